--- a/bench/processes/child.ts
+++ b/bench/processes/child.ts
@@ -17,7 +17,7 @@
  * Processes that run tests side by side, of which each takes ports of its own share: a port is free until whoever was given it
  * listens there, which takes seconds on a busy machine, and another process could be given it meanwhile.
  */
-const SHARES = 16;
+const SHARES = 24;
 const SHARE_SIZE = Math.floor((LAST_PORT - FIRST_PORT) / SHARES);
 /** Shares that lie between those of two runs of tests beside one another: each has at most this many processes. */
 const SHARES_OF_A_RUN = 4;
--- a/tools/guards.mjs
+++ b/tools/guards.mjs
@@ -9,7 +9,7 @@
 import { GUARDS } from './guard-table.mjs';
 
 /** Copies of the code in which guards are taken out side by side: most tests wait more than they compute. */
-const LANES = Math.max(1, Math.min(4, Math.floor(availableParallelism() / 4)));
+const LANES = Math.max(1, Math.min(6, Math.floor((availableParallelism() * 3) / 4)));
 
 const COPIED = [
   'src',
