--- a/src/forwarding/back-end-table.ts
+++ b/src/forwarding/back-end-table.ts
@@ -1,7 +1,7 @@
 /**
- * The back ends that requests may go to: what the list says, what their agents say, what is in flight there from here
- * and from other entries, and how they did. Rows go with their records, and are of one start of their back end each: one
- * that starts again has a new row, and what is told of the former start is passed over.
+ * The known back ends: their records in the list, the reports of their agents, the requests in flight from this and other
+ * entries, and the outcomes of requests. A row exists as long as its record and describes one start of a back end. A back end
+ * that restarts gets a new row, and reports on its previous start are ignored.
  */
 import type { BackEndChange } from '../fleet/back-end-list.js';
 import { type BackEndIdentity, isSameStart } from '../model/back-end-identity.js';
@@ -13,35 +13,36 @@
 import { HoldRecord } from './hold-record.js';
 import { SlotAgent } from './slot-agent.js';
 
-/** Weight of the newest time to a first answer, and of the newest duration. */
+/** Weight of the latest sample in moving averages of times. */
 const TIME_WEIGHT = 0.1;
-/** What an agent says of the load holds for this long, in milliseconds. */
+/** Time for which a reported load is valid, in milliseconds. */
 const LOAD_LIFE = 600;
-/** What an agent has read of its engine's version goes before the list for this long, in milliseconds. */
+/** Time for which a version that an agent has read from its engine takes precedence over the list, in milliseconds. */
 const VERSION_LIFE = 2_500;
 
 /**
- * Kept connections to two back ends that are found silent within this, in milliseconds, make those to all others suspect:
- * above the longest time in which a silent connection that is in use is noticed.
+ * If kept connections to two back ends are found silent within this time, in milliseconds, those to all other back ends are
+ * suspected as well. It exceeds the longest time until a silent connection that is in use is detected.
  */
 const SPREAD_TIME = 1_500;
 
-/** What an agent says of the engine beside it. */
+/** The state of an engine as reported by its agent. */
 export interface EngineNews {
-  /** The start of the engine that this is about; undefined where it does not tell it. */
+  /** The start of the engine that the report describes; undefined if the agent does not state it. */
   start?: BackEndIdentity['start'];
-  /** Version whose layers are all there; 0 for none, or where that is not known. */
+  /** The version of which the engine holds all layers; 0 if none or unknown. */
   version: number;
-  /** The agent reads the engine's state: what it tells is newer than the list. */
+  /** Whether the agent can read the engine's state; if so, the report is newer than the list. */
   isReached: boolean;
-  /** The engine is about to take another version, and takes nothing new. */
+  /** Whether the engine is switching versions and takes no new requests. */
   isSwitching: boolean;
-  /** `host:port` at which the agent is asked for slots of the engine; empty where it gives out none. */
+  /** `host:port` at which the agent grants slots of the engine; empty if it grants none. */
   slotAddress: string;
-  /** Requests of all callers that ran or waited there, and when that was told. */
+  /** Requests of all callers that ran or waited at the engine. */
   load: number;
+  /** When the report was received, in milliseconds of the steady clock. */
   toldAt: number;
-  /** When it is to be ordered to, in milliseconds of the steady clock; infinite where that is not due. */
+  /** When the engine is to be ordered to switch, in milliseconds of the steady clock; infinite if no switch is scheduled. */
   switchAt: number;
 }
 
@@ -50,46 +51,48 @@
   record: BackEndRecord;
   connections: BackEndConnections;
   health: BackEndHealth;
-  /** Requests sent from here that have not ended. */
+  /** Requests in flight from this entry. */
   inFlight: number;
-  /** Their prompt tokens. */
+  /** Prompt tokens of those requests whose prompts it has not finished reading. */
   unreadTokens: number;
-  /** Requests in flight from all other entries, as they told last. */
+  /** Requests in flight from all other entries according to their latest reports. */
   inFlightElsewhere: number;
-  /** When a first answer came last, in milliseconds of the steady clock. */
+  /** When the first part of an answer was last received, in milliseconds of the steady clock. */
   answeredAt: number;
-  /** Usual time to the first part of an answer, and of a whole request, in milliseconds; 0 before the first. */
+  /** Moving average of the time to the first part of an answer, in milliseconds; 0 before the first. */
   firstAnswerTime: number;
+  /** Moving average of the duration of a request, in milliseconds; 0 before the first. */
   duration: number;
-  /** Usual time of a request for each token that its answer may have, in milliseconds; 0 before the first. */
+  /** Moving average of the duration of a request per token that its answer may have, in milliseconds; 0 before the first. */
   timePerToken: number;
-  /** When anything came from it last. */
+  /** When any part of an answer was last received, in milliseconds of the steady clock. */
   progressAt: number;
-  /** When the newest request that it has answered was sent, by the urgency of the request. */
+  /** When the latest answered request was sent, by urgency. */
   answeredSends: Map<number, number>;
+  /** The latest report of its agent. */
   news: EngineNews | undefined;
-  /** Who gives out its slots; undefined where nobody is known to. */
+  /** The agent that grants its slots; undefined if none is known. */
   agent: SlotAgent | undefined;
 }
 
-/** The table. */
+/** The table of back ends of one entry. */
 export class BackEndTable {
   readonly rows = new Map<string, BackEndRow>();
   readonly #rowsByService = new Map<string, Set<BackEndRow>>();
-  /** The rows of each address: a back end that starts again there has another row until its former one lapses. */
+  /** The rows of each address: a back end that restarts there under another id has a second row until its earlier record expires. */
   readonly #rowsByAddress = new Map<string, Set<BackEndRow>>();
   readonly #holds = new Map<string, HoldRecord>();
   readonly #forecasts = new Map<string, CapacityForecast>();
-  /** What each other entry has in flight, as it told last. */
+  /** Requests in flight from each other entry, according to its latest report. */
   readonly #loadsOf = new Map<string, ReadonlyArray<readonly [row: BackEndRow, inFlight: number]>>();
-  /** Most connections that are kept to a back end of a service. */
+  /** Maximum number of kept connections to a back end of a service. */
   mostConnectionsKept: (service: string) => number = () => Number.POSITIVE_INFINITY;
-  /** Kept connections found silent so far. */
+  /** Number of kept connections found silent since the start. */
   silentConnections = 0;
-  /** The back end whose kept connection was found silent last, and when. */
+  /** The back end whose kept connection was most recently found silent, and when. */
   #silentConnection: { id: string; at: number } | undefined;
 
-  /** Follows changes of the list. */
+  /** Applies changes of the list. */
   apply(changes: readonly BackEndChange[]): void {
     for (const change of changes) {
       if (change.type === 'gone') this.#remove(change.id);
@@ -103,10 +106,10 @@
   }
 
   /**
-   * True where another back end has started at the address of `row` since: the row is of one that is gone, although its
-   * record lapses only after three missing heartbeats. After a loss of power nine entries sent 290 requests to such rows in
-   * the first second, which used up the budget of repetitions (counted in the logs of 15 engines).
-   * @param isNamed - whether the configuration names a service: a record of any other takes nobody's place
+   * Whether another back end has since started at the address of `row`. The back end of `row` no longer exists then, although its
+   * record expires only after three missed heartbeats. After a power failure, nine entries sent 290 requests to such rows within
+   * the first second, which exhausted the retry budget.
+   * @param isNamed - whether the configuration declares a service; records of undeclared services supersede no others
    */
   isSuperseded({ record }: BackEndRow, isNamed: (service: string) => boolean): boolean {
     const rows = this.#rowsByAddress.get(record.address);
@@ -116,7 +119,7 @@
     );
   }
 
-  /** True where this start of a back end has ended without notice: it is listed no more, or another one listens at its address. */
+  /** Whether this start of a back end has ended without notice: it is no longer listed, or another back end listens at its address. */
   hasEnded(row: BackEndRow): boolean {
     const { id, address, revision, leaving } = row.record;
     if (leaving) return false;
@@ -124,7 +127,7 @@
     return [...(this.#rowsByAddress.get(address) ?? [])].some((other) => other.record.revision > revision);
   }
 
-  /** The waits for back ends of a service. */
+  /** The record of waits for back ends of a service. */
   holdsOf(service: string): HoldRecord {
     const known = this.#holds.get(service) ?? new HoldRecord();
     this.#holds.set(service, known);
@@ -132,8 +135,8 @@
   }
 
   /**
-   * The row that news of the back end at `address` with this start are about: the one of that start, or else the one whose
-   * record is the newest, which has started again; undefined where none is listed there.
+   * The row that a report on `address` with this start refers to: the row of that start, or else the row with the latest record,
+   * as the back end has restarted; undefined if none is listed there.
    */
   rowAt(address: string, start: BackEndIdentity['start']): BackEndRow | undefined {
     const rows = [...(this.#rowsByAddress.get(address) ?? [])];
@@ -141,7 +144,7 @@
     return own ?? rows.sort((one, other) => other.record.revision - one.record.revision)[0];
   }
 
-  /** An agent tells of the engine at `address`. */
+  /** Applies an agent's report on the engine at `address`. */
   takeNews(address: string, news: EngineNews): void {
     for (const row of this.#rowsByAddress.get(address) ?? []) {
       if (!isSameStart(row.record.start, news.start)) continue;
@@ -152,7 +155,7 @@
     }
   }
 
-  /** Another entry tells what it has in flight. */
+  /** Applies another entry's report of its requests in flight. */
   takeLoads(entry: string, loads: readonly BackEndLoad[]): void {
     for (const [row, inFlight] of this.#loadsOf.get(entry) ?? []) row.inFlightElsewhere -= inFlight;
     const taken = loads.flatMap(({ id, start, inFlight }): Array<[BackEndRow, number]> => {
@@ -164,21 +167,22 @@
     else this.#loadsOf.delete(entry);
   }
 
-  /** What is in flight from here. */
+  /** This entry's requests in flight, to report to other entries. */
   loads(): BackEndLoad[] {
     const busy = [...this.rows.values()].filter(({ inFlight }) => inFlight > 0);
     return busy.map(({ record: { id, start }, inFlight }) => ({ id, start, inFlight }));
   }
 
   /**
-   * A kept connection to `row` has been silent since `since`: idle ones that were last heard before may be so too. Where
-   * another back end's has gone silent as well, that is true of all back ends.
+   * Handles a kept connection to `row` that has been silent since `since`: idle connections that were last active before then are
+   * closed, as they may be silent too. If another back end's connection was found silent shortly before, this applies to the
+   * connections to all back ends.
    */
   noteSilentConnection(row: BackEndRow, since: number): void {
     const now = performance.now();
     const { id } = row.record;
     this.silentConnections++;
-    // The connections to a former start are silent because it has ended.
+    // Connections to a previous start are silent because that start has ended.
     const present = this.rows.get(id);
     if (present !== undefined && present !== row) return;
     const last = this.#silentConnection;
@@ -188,14 +192,14 @@
     this.#silentConnection = { id, at: now };
   }
 
-  /** What is expected of a service while no back end of it serves. */
+  /** The capacity forecast of a service while none of its back ends serves. */
   forecastOf(service: string): CapacityForecast {
     const known = this.#forecasts.get(service) ?? new CapacityForecast();
     this.#forecasts.set(service, known);
     return known;
   }
 
-  /** Share of failures that is usual among the back ends of a service. */
+  /** Median failure share of the back ends of a service. */
   usualFailureShare(service: string): number {
     const shares = [...this.ofService(service)]
       .map(({ health }) => health.failureShare)
@@ -220,7 +224,7 @@
     addTo(this.#rowsByAddress, record.address, row);
   }
 
-  /** Forgets all of a back end that another has followed under its id; its requests in flight end by themselves, in no books that count. */
+  /** Removes the row of a back end that another one has replaced under the same id; its requests in flight no longer count. */
   #endFormer({ record }: BackEndRow): void {
     this.#remove(record.id);
     if (this.#silentConnection?.id === record.id) this.#silentConnection = undefined;
@@ -237,8 +241,8 @@
 }
 
 /**
- * Whether what is remembered of one holds for the other: of another start nothing is left, connections lead to the former
- * address, and requests of the former service may not run at the next.
+ * Whether the state kept for one record is valid for the other. A restart discards all state, existing connections lead to the
+ * previous address, and requests for one service must not run at another.
  */
 function isSameBackEnd(one: BackEndRecord, other: BackEndRecord): boolean {
   const isAtSamePlace = one.service === other.service && one.address === other.address;
@@ -275,8 +279,9 @@
 }
 
 /**
- * The version of which `row` holds every layer, or 0: what its agent has read there lately; else the newer of what the
- * list and the agent say. The list goes on telling of an engine that lost everything until its record lapses.
+ * The version of which `row` holds all layers, or 0 if none: the version that its agent has recently read from the engine, or
+ * else the later of the listed and the reported one. The list still names the version of an engine that has lost its weights
+ * until the record expires.
  */
 export function wholeVersion(
   { record, news }: BackEndRow,
@@ -288,19 +293,19 @@
   return Math.max(listed, news?.version ?? 0);
 }
 
-/** Whoever tells of more layers than the model has holds something else; a count of 0 is none that is known. */
+/** An engine that states more layers than the model has holds a different model. A layer count of 0 is unknown and not checked. */
 function isWhole(layers: HeldLayers | undefined, layerCount: number): boolean {
   if (layers === undefined || layers.from !== 0) return false;
   return layerCount === 0 || layers.end === layerCount;
 }
 
-/** Requests of all entries at `row`, as far as known: the more of what entries and its agent say. */
+/** Known requests of all entries at `row`: the larger of the counts reported by the entries and by the agent. */
 export function loadOf({ inFlight, inFlightElsewhere, news }: BackEndRow, now = performance.now()): number {
   const load = inFlight + inFlightElsewhere;
   return news !== undefined && isFresh(news, now) ? Math.max(load, news.load) : load;
 }
 
-/** Whether the agent beside `row` has lately told of the load there. */
+/** Whether the agent of `row` has recently reported its load. */
 export function isLoadTold({ news }: BackEndRow, now = performance.now()): boolean {
   return news !== undefined && isFresh(news, now);
 }
@@ -309,24 +314,24 @@
   return now - toldAt < LOAD_LIFE;
 }
 
-/** A request of `urgency` that was sent at `sentAt` has been answered. */
+/** Records that a request of `urgency` that was sent at `sentAt` has been answered. */
 export function noteOvertaking({ answeredSends }: BackEndRow, urgency: number, sentAt: number): void {
   answeredSends.set(urgency, Math.max(sentAt, answeredSends.get(urgency) ?? sentAt));
 }
 
-/** True where a request that is no more urgent than `urgency` and was sent after `sentAt` has been answered. */
+/** Whether a request that is not more urgent than `urgency` and was sent after `sentAt` has been answered. */
 export function isOvertaken({ answeredSends }: BackEndRow, urgency: number, sentAt: number): boolean {
   for (const [other, otherSentAt] of answeredSends) if (other >= urgency && otherSentAt > sentAt) return true;
   return false;
 }
 
-/** Notes the time to a first answer. */
+/** Records the time to the first part of an answer. */
 export function noteFirstAnswer(row: BackEndRow, milliseconds: number, now: number): void {
   row.firstAnswerTime = blend(row.firstAnswerTime, milliseconds);
   row.answeredAt = now;
 }
 
-/** A moving mean: `sample` weighs in with a tenth. */
+/** Exponential moving average; the first sample is taken as it is. */
 export function blend(mean: number, sample: number): number {
   return mean === 0 ? sample : mean + TIME_WEIGHT * (sample - mean);
 }
