--- a/src/forwarding/engine-slots.ts
+++ b/src/forwarding/engine-slots.ts
@@ -1,30 +1,30 @@
-/** The contract of whoever gives out the slots of engines. */
+/** Interface to the agents that grant the slots of engines. */
 
 /** A request for a slot. Times are in milliseconds. */
 export interface SlotWish {
-  /** 0 goes first. */
+  /** Rank in the agent's queue; 0 is first. */
   urgency: number;
-  /** For how long its caller has waited. */
+  /** Time for which the caller has already waited. */
   waitedFor: number;
-  /** For how long it waits for the slot. */
+  /** Maximum time to wait for the slot. */
   patience: number;
-  /** Requests that the engine runs at the same time. */
+  /** Number of requests that the engine runs concurrently. */
   slots: number;
   /** Rate limit of the engine in requests per second; undefined if none is known. */
   rateLimit: number | undefined;
 }
 
-/** Takes the answers to one request for a slot; they may never come. */
+/** Callbacks for the answers to one request for a slot. None is called if the agent does not answer. */
 export interface SlotAnswers {
   onGranted(): void;
   onQueued(): void;
-  /** The engine takes nothing now. */
+  /** The engine takes no requests now. */
   onRefused(): void;
-  /** The agent gives out no slots yet, and knows nothing of the engine. */
+  /** The agent does not know the state of its engine yet and grants no slots. */
   onUnready(): void;
 }
 
-/** A request for a slot, or the slot itself once it is granted. */
+/** A pending request for a slot, or the slot itself once it is granted. */
 export interface SlotClaim {
   /**
    * Reports that the engine has answered the request that holds the slot.
@@ -32,13 +32,13 @@
    */
   noteAnswer(rateLimit: number | undefined): void;
   /**
-   * Gives it back; nothing is answered any more.
+   * Releases the slot or cancels the request for it. No callback is called afterwards.
    * @param wasUsed - whether the request may have been sent to the engine
    */
   release(wasUsed: boolean): void;
 }
 
-/** The slots of all engines whose agents give them out. */
+/** The slots of all engines whose agents grant them. */
 export interface EngineSlots {
   /** Asks the agent at `agent` (`host:port`) for a slot of its engine. */
   ask(agent: string, wish: SlotWish, answers: SlotAnswers): SlotClaim;
--- a/src/forwarding/slot-agent.ts
+++ b/src/forwarding/slot-agent.ts
@@ -1,16 +1,16 @@
-/** Whether the agent that gives out an engine's slots answers this process. Times are in milliseconds of the steady clock. */
+/** Tracks whether the agent that grants an engine's slots responds to this process. Times are in milliseconds of the steady clock. */
 
-/** Requests in a row that an agent leaves without an answer until it is taken for silent: one datagram may be lost. */
+/** Consecutive unanswered requests after which an agent is considered unresponsive: a single datagram may be lost. */
 const SILENCES = 2;
-/** First and longest time for which a silent agent is not asked. */
+/** First and longest time for which an unresponsive agent is not asked; the time doubles each time. */
 const FIRST_PAUSE = 500;
 const LONGEST_PAUSE = 4_000;
-/** Time after which an agent that gave out no slots yet is asked again: it looks at its engine every 250 ms. */
+/** Time after which an agent that does not grant slots yet is asked again: it polls its engine every 250 ms. */
 const UNREADY_PAUSE = 250;
 
-/** The agent beside one engine, as this process meets it. */
+/** The responsiveness of one engine's agent. */
 export class SlotAgent {
-  /** `host:port` at which it is asked. */
+  /** `host:port` at which the agent grants slots. */
   readonly address: string;
   #unanswered = 0;
   #pause = 0;
@@ -20,24 +20,24 @@
     this.address = address;
   }
 
-  /** False while it is taken for silent, or gives out no slots yet: its engine is used without it. */
+  /** False while the agent is considered unresponsive or does not grant slots yet. Its engine is then used without slots. */
   answers(now: number): boolean {
     return now >= this.#silentUntil;
   }
 
-  /** It has answered. */
+  /** The agent has answered a request. */
   noteAnswer(): void {
     this.#unanswered = 0;
     this.#pause = 0;
     this.#silentUntil = Number.NEGATIVE_INFINITY;
   }
 
-  /** It gives out no slots yet. */
+  /** The agent has answered that it does not grant slots yet. */
   noteUnready(now: number): void {
     this.#silentUntil = now + UNREADY_PAUSE;
   }
 
-  /** It has left a request without an answer. */
+  /** The agent has not answered a request in time. */
   noteSilence(now: number): void {
     this.#unanswered++;
     if (this.#unanswered < SILENCES || now < this.#silentUntil) return;
--- a/src/forwarding/slot-seeker.ts
+++ b/src/forwarding/slot-seeker.ts
@@ -1,4 +1,4 @@
-/** Looks for a slot at an engine on behalf of one request: asks agents as its search says, and takes the first grant. */
+/** Obtains an engine's slot for one request: asks the agents chosen by its `SlotSearch` and takes the first slot granted. */
 import type { Random } from '../model/random.js';
 import type { Standstills } from '../model/standstills.js';
 import type { SlotCandidate } from '../systems/slot-search.js';
@@ -6,33 +6,33 @@
 import type { BackEndRow, BackEndTable } from './back-end-table.js';
 import type { EngineSlots, SlotClaim } from './engine-slots.js';
 
-/** What a seeker works with. */
 export interface SlotSeekerOptions {
   slots: EngineSlots;
   table: BackEndTable;
   random: Random;
-  /** The engines that may take the request now, and whose agents give out slots. */
+  /** The engines that are eligible now and whose agents grant slots. */
   candidates: () => SlotCandidate[];
-  /** Whether this engine still may, now that it has a slot for it. */
+  /** Whether an engine is still eligible; called when its slot has been granted. */
   mayTake: (row: BackEndRow) => boolean;
   /** Rate limit of an engine in requests per second; undefined if none is known. */
   rateLimitOf: (row: BackEndRow) => number | undefined;
-  /** 0 goes first. */
+  /** Rank of the request in the queues of agents; 0 is first. */
   urgency: number;
-  /** When the request arrived, and until when it waits for a slot, in milliseconds of the steady clock. */
+  /** When the request arrived, in milliseconds of the steady clock. */
   arrivedAt: number;
+  /** Until when the request waits for a slot, in milliseconds of the steady clock. */
   endsAt: number;
-  /** The first slot: whoever takes it releases the claim. The others are given back. */
+  /** Called with the first slot granted; the receiver must release the claim. All other claims have been released. */
   onGranted: (row: BackEndRow, claim: SlotClaim, asked: number) => void;
-  /** No agent had a slot within a moment: the request waits. */
+  /** Called if no agent has granted a slot when more agents are to be asked: the request waits. */
   onWait: () => void;
-  /** No agent is left that may grant a slot. */
+  /** Called when no agent is left that may grant a slot. */
   onNobody: () => void;
-  /** A fault of this process: it ends one request, not the process. */
+  /** Called on an exception in this process, which must end only the request. */
   onFault: (cause: unknown) => void;
 }
 
-/** The search for a slot of one request. */
+/** Obtains a slot for one request. */
 export class SlotSeeker {
   readonly #options: SlotSeekerOptions;
   readonly #search: SlotSearch;
@@ -52,12 +52,12 @@
     this.#ask(now);
   }
 
-  /** True once the time for which the request waits is over. */
+  /** Whether the request has waited for as long as it may. */
   isOver(now: number): boolean {
     return now >= this.#options.endsAt;
   }
 
-  /** Asks others in place of agents that are silent or have refused; called by the shared tick. */
+  /** Asks other agents in place of those that do not respond or have refused; called by the shared tick. */
   check(now: number, standstills: Standstills): void {
     for (const id of this.#search.silent((since) => standstills.runningTime(since, now))) {
       this.#options.table.rows.get(id)?.agent?.noteSilence(now);
@@ -66,7 +66,7 @@
     this.#askOthers(now);
   }
 
-  /** Gives back what was asked for. */
+  /** Releases all claims and stops. */
   cancel(): void {
     this.#isOver = true;
     clearTimeout(this.#timer);
@@ -128,7 +128,7 @@
     }
   }
 
-  /** Waits at this engine no more. */
+  /** Releases the claim at one engine. */
   #giveBack(id: string): void {
     this.#claims.get(id)?.release(false);
     this.#claims.delete(id);
@@ -146,7 +146,7 @@
     if (!this.#search.isPending) this.#options.onNobody();
   }
 
-  /** Takes a slot, unless its engine may not take the request any more. */
+  /** Takes a granted slot, unless its engine is no longer eligible. */
   #take(row: BackEndRow): void {
     const { id } = row.record;
     const claim = this.#claims.get(id);
