--- a/src/forwarding/attempt-watch.ts
+++ b/src/forwarding/attempt-watch.ts
@@ -70,8 +70,8 @@
   }
 
   /** True if the answer has not begun and the version at the back end is about to expire. */
-  #mustNotBegin({ row, sentFor, hasBegun }: BackEndUse, now: number): boolean {
-    return !hasBegun && this.#components.selector.mustWithdraw(row, sentFor, now);
+  #mustNotBegin({ row, assumedEngine, hasBegun }: BackEndUse, now: number): boolean {
+    return !hasBegun && this.#components.selector.mustWithdraw(row, assumedEngine, now);
   }
 
   /** Classifies the silence of an attempt, not counting time in which this process was not running. */
--- a/src/forwarding/back-end-selector.ts
+++ b/src/forwarding/back-end-selector.ts
@@ -5,12 +5,18 @@
 import type { Random } from '../model/random.js';
 import type { SlotCandidate } from '../systems/slot-search.js';
 import type { BackEndLimits } from './back-end-limits.js';
-import { type BackEndRow, type BackEndTable, isLoadTold, loadOf, wholeVersion } from './back-end-table.js';
+import {
+  type BackEndRow,
+  type BackEndTable,
+  completeVersion,
+  isLoadReported,
+  loadOf,
+} from './back-end-table.js';
 import type { DirectPermits } from './direct-permits.js';
 import {
-  ALIKE,
-  ALIKE_UNKNOWN,
   type Candidate,
+  COST_TOLERANCE,
+  COST_TOLERANCE_LOAD_UNKNOWN,
   chooseBackEnd,
   expectedWait,
   type Position,
@@ -34,9 +40,9 @@
  * Share of a back end's slots that requests which cannot meet their objective may use. The rest is reserved for requests that
  * can. Half this share did not help those and refused more of the others (docs/design/decisions.md).
  */
-const LATE_SHARE = 0.75;
+const LATE_REQUEST_SHARE = 0.75;
 /** Share of the slots assumed to be in use by requests of other entries that are not reported yet; reports take 150 to 450 ms. */
-const UNSEEN_SHARE = 0.25;
+const UNREPORTED_LOAD_SHARE = 0.25;
 /** Additional wait assumed if the agent has not reported the engine's load, in milliseconds: about the time to drain a full queue. */
 const UNKNOWN_LOAD_MARGIN = 1_600;
 /**
@@ -46,14 +52,14 @@
 export const WITHDRAWAL_LEAD = 250;
 const MILLISECONDS = 1_000;
 /** Time after which a slow first answer no longer counts against a back end, in milliseconds. */
-const SLOWNESS_LIFE = 4_000;
+const SLOWNESS_VALIDITY = 4_000;
 /** Usual time from the order to switch to a version until the engine takes requests on it, in milliseconds. */
 const SWITCH_TIME = 400;
 
 /** Time after its start within which an entry receives the first reports on its engines, in milliseconds: 0.5 to 0.9 s were measured. */
-const FIRST_NEWS = 1_500;
+const FIRST_REPORT_TIME = 1_500;
 /** Until then, time in which an unreported engine without weights is expected to serve, in milliseconds: a copy takes 3.5 to 4.3 s. */
-const FIRST_CAPACITY = 4_000;
+const FIRST_WEIGHTS_TIME = 4_000;
 
 /** Requirements of a request for its back end. */
 export interface Requirements {
@@ -66,7 +72,7 @@
   /** Maximum number of tokens of the answer; 0 if unknown. */
   answerTokens: number;
   /** The request continues a stream whose beginning the caller has received. Such a stream cannot be moved again. */
-  goesOn: boolean;
+  isContinuation: boolean;
   /** The version that must answer, if the request continues a stream. */
   version: number | undefined;
   /** Back ends that have already been tried. */
@@ -92,7 +98,7 @@
 const TRANSIENT: ReadonlySet<Exclusion> = new Set(['suspended', 'connections', 'full', 'rateLimited']);
 
 /** The engine and version that a selection assumed when the request was sent. */
-export interface SentFor {
+export interface AssumedEngine {
   /** The engine as declared at that time; undefined if the back end was not an engine. */
   engine: EngineShape | undefined;
   /** The version that the engine was assumed to hold; 0 if none. */
@@ -100,7 +106,7 @@
 }
 
 /** The back end selected for a request. */
-export interface Selection extends SentFor {
+export interface Selection extends AssumedEngine {
   row: BackEndRow;
   /** Expected time until the back end starts the request, in milliseconds. */
   expectedWait: number;
@@ -152,7 +158,7 @@
     const now = performance.now();
     const candidates = this.#candidates(requirements, now).filter(({ id }) => this.#maySendDirectly(id, now));
     const isEngine = this.#engineOf(requirements) !== undefined;
-    const considered = isEngine ? this.#twoOf(candidates) : candidates;
+    const considered = isEngine ? this.#sampleTwo(candidates) : candidates;
     const choice = chooseBackEnd(considered, this.#self, this.#random);
     if (choice === undefined) return undefined;
     return this.selectionOf(choice.candidate.id, requirements, choice.expectedWait, candidates.length);
@@ -165,7 +171,7 @@
     return {
       row,
       engine,
-      version: wholeVersion(row, engine?.layers ?? 0),
+      version: completeVersion(row, engine?.layers ?? 0),
       expectedWait: wait,
       expectedVersion: requirements.version ?? this.#expectedVersion(row, engine, performance.now()),
       choices,
@@ -177,7 +183,7 @@
     const now = performance.now();
     // A request that holds a slot does not queue at the engine.
     return this.#candidates({ ...requirements, mayQueue: true }, now)
-      .filter(({ id }) => this.#givesOutSlots(id, now))
+      .filter(({ id }) => this.#hasResponsiveAgent(id, now))
       .map((candidate) => this.#slotCandidate(candidate, now));
   }
 
@@ -185,12 +191,12 @@
    * Whether a request tries to obtain a slot first. Always true if all eligible engines have responsive agents. Otherwise it is
    * true with a probability equal to the share of such engines, so that an engine without an agent gets its share of requests.
    */
-  looksForSlot(requirements: Requirements): boolean {
+  shouldAcquireSlot(requirements: Requirements): boolean {
     const now = performance.now();
     let managed = 0;
     let others = 0;
     for (const row of this.#table.ofService(requirements.service)) {
-      const isManaged = row.agent?.answers(now) === true;
+      const isManaged = row.agent?.isResponsive(now) === true;
       if (this.#exclusion(row, { ...requirements, mayQueue: isManaged }, now) !== undefined) continue;
       if (isManaged) managed++;
       else if (this.#permits.mayClaim(row.record, now)) others++;
@@ -199,19 +205,19 @@
   }
 
   /** Whether `row` is eligible for a request that holds one of its slots; it may have been removed from the list since the slot was requested. */
-  mayTakeSlot(row: BackEndRow, requirements: Requirements): boolean {
+  isEligibleWithSlot(row: BackEndRow, requirements: Requirements): boolean {
     if (this.#table.rows.get(row.record.id) !== row) return false;
     return this.#exclusion(row, { ...requirements, mayQueue: true }, performance.now()) === undefined;
   }
 
   #slotCandidate(candidate: Candidate, now: number): SlotCandidate {
     const { id, zone } = candidate;
-    const isLoadFresh = isLoadTold(this.#table.rows.get(id)!, now);
+    const isLoadFresh = isLoadReported(this.#table.rows.get(id)!, now);
     return {
       id,
       isNear: zone === this.#self.zone,
       cost: slotCost(candidate, this.#self, isLoadFresh),
-      spread: isLoadFresh ? ALIKE : ALIKE_UNKNOWN,
+      spread: isLoadFresh ? COST_TOLERANCE : COST_TOLERANCE_LOAD_UNKNOWN,
     };
   }
 
@@ -219,19 +225,21 @@
     const candidates: Candidate[] = [];
     for (const row of this.#table.ofService(requirements.service)) {
       if (this.#exclusion(row, requirements, now) === undefined)
-        candidates.push(this.#candidate(row, requirements.answerTokens, now, requirements.goesOn));
+        candidates.push(this.#candidate(row, requirements.answerTokens, now, requirements.isContinuation));
     }
     addSlowness(candidates, this.#table, now);
     return candidates;
   }
 
-  #givesOutSlots(id: string, now: number): boolean {
-    return this.#table.rows.get(id)?.agent?.answers(now) === true;
+  #hasResponsiveAgent(id: string, now: number): boolean {
+    return this.#table.rows.get(id)?.agent?.isResponsive(now) === true;
   }
 
   /** Whether a request may be sent to the back end without a slot now. A back end with a rate limit requires a permit in addition. */
   #maySendDirectly(id: string, now: number): boolean {
-    return !this.#givesOutSlots(id, now) && this.#permits.mayClaim(this.#table.rows.get(id)!.record, now);
+    return (
+      !this.#hasResponsiveAgent(id, now) && this.#permits.mayClaim(this.#table.rows.get(id)!.record, now)
+    );
   }
 
   /** Whether a request sent to `row` without a slot needs a permit. */
@@ -259,14 +267,14 @@
    * Two random candidates, one of them in this entry's zone if there is one. Reports of other entries' load are older than the
    * requests they describe; if every entry chose the least loaded engine of all, they would all choose the same one at once.
    */
-  #twoOf(candidates: readonly Candidate[]): Candidate[] {
+  #sampleTwo(candidates: readonly Candidate[]): Candidate[] {
     if (candidates.length <= 2) return [...candidates];
     const near = candidates.filter(({ zone }) => zone === this.#self.zone);
-    const first = this.#oneOf(near.length > 0 ? near : candidates);
-    return [first, this.#oneOf(candidates.filter((candidate) => candidate !== first))];
+    const first = this.#sampleOne(near.length > 0 ? near : candidates);
+    return [first, this.#sampleOne(candidates.filter((candidate) => candidate !== first))];
   }
 
-  #oneOf(candidates: readonly Candidate[]): Candidate {
+  #sampleOne(candidates: readonly Candidate[]): Candidate {
     return candidates[this.#random.below(candidates.length)];
   }
 
@@ -274,19 +282,19 @@
    * Expected time until an engine of `service` takes requests, in milliseconds. Infinite if no engine is expected to; undefined
    * if some serve now, but not every request can be placed.
    */
-  expectedCapacity(service: string): number | undefined {
+  timeToCapacity(service: string): number | undefined {
     const now = performance.now();
     const engine = this.#fleet.routes?.service(service)?.engine;
     if (engine === undefined) return undefined;
-    const isNew = now - this.#createdAt < FIRST_NEWS;
+    const isNew = now - this.#createdAt < FIRST_REPORT_TIME;
     let soonest = Number.POSITIVE_INFINITY;
     for (const row of this.#table.ofService(service)) {
       const { record, news, health } = row;
       if (record.leaving || this.#isSuperseded(row)) continue;
-      const version = wholeVersion(row, engine.layers);
+      const version = completeVersion(row, engine.layers);
       const serves = version > 0 && version >= this.#lowestVersion(engine, now, 0);
       if (serves && news?.isSwitching !== true && health.admits(now, true)) return undefined;
-      if (news === undefined && version === 0 && isNew) soonest = Math.min(soonest, FIRST_CAPACITY);
+      if (news === undefined && version === 0 && isNew) soonest = Math.min(soonest, FIRST_WEIGHTS_TIME);
       if (news === undefined || (serves && !news.isSwitching)) continue;
       const readyAt = news.isSwitching ? now + SWITCH_TIME : news.switchAt + SWITCH_TIME;
       soonest = Math.min(soonest, Math.max(0, readyAt - now));
@@ -308,20 +316,25 @@
    * information does not cancel this: neither a configuration that lacks the engine or its model nor a report that the engine
    * holds no version proves that the engine will not start the request.
    */
-  mustWithdraw(row: BackEndRow, sentFor: SentFor, now: number): boolean {
-    if (this.#isAboutToExpire(row, sentFor.engine, sentFor, now)) return true;
+  mustWithdraw(row: BackEndRow, assumed: AssumedEngine, now: number): boolean {
+    if (this.#isAboutToExpire(row, assumed.engine, assumed, now)) return true;
     const engine = this.#fleet.routes?.service(row.record.service)?.engine;
-    return engine !== sentFor.engine && this.#isAboutToExpire(row, engine, sentFor, now);
+    return engine !== assumed.engine && this.#isAboutToExpire(row, engine, assumed, now);
   }
 
-  #isAboutToExpire(row: BackEndRow, engine: EngineShape | undefined, { version }: SentFor, now: number) {
+  #isAboutToExpire(
+    row: BackEndRow,
+    engine: EngineShape | undefined,
+    { version }: AssumedEngine,
+    now: number,
+  ) {
     if (engine === undefined) return false;
-    const held = wholeVersion(row, engine.layers, now) || version;
+    const held = completeVersion(row, engine.layers, now) || version;
     return held > 0 && held < this.#lowestVersion(engine, now, WITHDRAWAL_LEAD);
   }
 
   /** Time since `version` of `engine` expired for new requests, in milliseconds; negative before it expires. */
-  expiredFor(engine: EngineShape | undefined, version: number, now: number): number {
+  timeSinceExpiry(engine: EngineShape | undefined, version: number, now: number): number {
     const models = engine?.models ?? [];
     const expiries = models.map(({ name }) =>
       this.#fleet.versions.expiryOf(name, version, this.#versionBound),
@@ -346,7 +359,7 @@
   }
 
   /** Whether a back end is eligible now, or is excluded only for a transient reason. */
-  mayTakeLater(requirements: Requirements): boolean {
+  mayBecomeEligible(requirements: Requirements): boolean {
     const now = performance.now();
     return [...this.#table.ofService(requirements.service)].some((row) => {
       const exclusion = this.#exclusion(row, requirements, now);
@@ -359,7 +372,7 @@
     const now = performance.now();
     const counts: Partial<Record<Exclusion, number>> = {};
     for (const row of this.#table.ofService(requirements.service)) {
-      const isRateLimited = row.agent?.answers(now) !== true && !this.#permits.mayClaim(row.record, now);
+      const isRateLimited = row.agent?.isResponsive(now) !== true && !this.#permits.mayClaim(row.record, now);
       const exclusion =
         this.#exclusion(row, requirements, now) ?? (isRateLimited ? 'rateLimited' : undefined);
       if (exclusion !== undefined) counts[exclusion] = (counts[exclusion] ?? 0) + 1;
@@ -371,7 +384,7 @@
   #exclusion(row: BackEndRow, requirements: Requirements, now: number): Exclusion | undefined {
     const { record, health } = row;
     if (record.leaving) return 'leaving';
-    if (!this.#isNamed(record.service)) return 'unnamedService';
+    if (!this.#isConfigured(record.service)) return 'unnamedService';
     if (this.#isSuperseded(row)) return 'superseded';
     if (requirements.tried.has(record)) return 'tried';
     if (!health.admits(now, requirements.isRepeatable)) return 'suspended';
@@ -380,16 +393,16 @@
     const exclusion =
       engine === undefined ? undefined : this.#versionExclusion(row, engine, requirements, now);
     if (exclusion !== undefined) return exclusion;
-    return !requirements.mayQueue && this.#isFullForLate(row) ? 'full' : undefined;
+    return !requirements.mayQueue && this.#isFullForLateRequests(row) ? 'full' : undefined;
   }
 
   /** Whether the configuration declares `service`. Listed back ends of other services are not used. */
-  #isNamed(service: string): boolean {
+  #isConfigured(service: string): boolean {
     return this.#fleet.routes?.service(service) !== undefined;
   }
 
   #isSuperseded(row: BackEndRow): boolean {
-    return this.#table.isSuperseded(row, (service) => this.#isNamed(service));
+    return this.#table.isSuperseded(row, (service) => this.#isConfigured(service));
   }
 
   /** Why the version that `row` holds excludes it; undefined if it does not. */
@@ -400,7 +413,7 @@
     now: number,
   ): Exclusion | undefined {
     if (row.news?.isSwitching === true) return 'switching';
-    const version = wholeVersion(row, engine.layers);
+    const version = completeVersion(row, engine.layers);
     if (version === 0) return 'noWeights';
     // The margin is computed only for a version that will expire: for all engines it would be the most expensive check.
     // As for withdrawal, the engine as declared at admission counts too; otherwise a request could be sent to an engine on
@@ -417,7 +430,7 @@
   }
 
   /** Time by which a request of this duration would outlast the scheduled version switch of the engine, in milliseconds. */
-  #overhang({ news }: BackEndRow, duration: number, now: number): number {
+  #overrun({ news }: BackEndRow, duration: number, now: number): number {
     if (news === undefined || news.switchAt === Number.POSITIVE_INFINITY) return 0;
     return Math.max(0, now + duration - news.switchAt);
   }
@@ -432,8 +445,8 @@
    * Whether a request that cannot meet its objective would delay one that can. Each entry uses only its share of the slots,
    * because entries learn of one another's requests late and make the same choices.
    */
-  #isFullForLate(row: BackEndRow): boolean {
-    const slots = LATE_SHARE * row.record.slots;
+  #isFullForLateRequests(row: BackEndRow): boolean {
+    const slots = LATE_REQUEST_SHARE * row.record.slots;
     const share = Math.max(1, Math.floor(slots / this.#entryCount()));
     return row.inFlight >= share || loadOf(row) >= slots;
   }
@@ -441,18 +454,18 @@
   /** Time before the expiry of its version from which `row` gets no new requests, in milliseconds. */
   #expiryMargin(row: BackEndRow, now: number): number {
     const candidate = this.#candidate(row, 0, now);
-    const load = candidate.load + UNSEEN_SHARE * candidate.slots;
+    const load = candidate.load + UNREPORTED_LOAD_SHARE * candidate.slots;
     const wait = Math.max(row.firstAnswerTime, expectedWait({ ...candidate, load }));
-    return EXPIRY_MARGIN + EXPIRY_MARGIN_WAITS * wait + (isLoadTold(row, now) ? 0 : UNKNOWN_LOAD_MARGIN);
+    return EXPIRY_MARGIN + EXPIRY_MARGIN_WAITS * wait + (isLoadReported(row, now) ? 0 : UNKNOWN_LOAD_MARGIN);
   }
 
   /** The version that a back end must hold once an older version may no longer answer; undefined before that. */
   #expectedVersion(row: BackEndRow, engine: EngineShape | undefined, now: number): number | undefined {
     if (engine === undefined || this.#lowestVersion(engine, now, 0) === 0) return undefined;
-    return wholeVersion(row, engine.layers);
+    return completeVersion(row, engine.layers);
   }
 
-  #candidate(row: BackEndRow, answerTokens: number, now: number, goesOn = false): Candidate {
+  #candidate(row: BackEndRow, answerTokens: number, now: number, isContinuation = false): Candidate {
     const { record, health } = row;
     const engine = this.#fleet.routes?.service(record.service)?.engine;
     const slots = record.slots > 0 ? record.slots : DEFAULT_SLOTS;
@@ -463,13 +476,13 @@
       region: this.#regionOf(record.zone),
       slots,
       load: loadOf(row),
-      unreadTokens: row.unreadTokens,
+      pendingPromptTokens: row.pendingPromptTokens,
       tokensPerMillisecond: (engine?.readTokensPerSecond ?? 0) / MILLISECONDS,
       releaseInterval: (row.duration || usual) / slots,
       failureShare: health.failureShare,
       slowness: 0,
-      overhang: this.#overhang(row, answerTokens * (row.timePerToken || (engine?.tokenTime ?? 0)), now),
-      mayNotMove: goesOn,
+      overrun: this.#overrun(row, answerTokens * (row.timePerToken || (engine?.tokenTime ?? 0)), now),
+      cannotBeMoved: isContinuation,
     };
   }
 }
@@ -478,7 +491,7 @@
 function addSlowness(candidates: Candidate[], table: BackEndTable, now: number): void {
   const times = candidates.map(({ id }) => {
     const { firstAnswerTime, answeredAt } = table.rows.get(id)!;
-    return now - answeredAt < SLOWNESS_LIFE ? firstAnswerTime : 0;
+    return now - answeredAt < SLOWNESS_VALIDITY ? firstAnswerTime : 0;
   });
   const known = times.filter((time) => time > 0);
   if (known.length < 2) return;
--- a/src/forwarding/back-end-table.ts
+++ b/src/forwarding/back-end-table.ts
@@ -14,17 +14,17 @@
 import { SlotAgent } from './slot-agent.js';
 
 /** Weight of the latest sample in moving averages of times. */
-const TIME_WEIGHT = 0.1;
+const SAMPLE_WEIGHT = 0.1;
 /** Time for which a reported load is valid, in milliseconds. */
-const LOAD_LIFE = 600;
+const LOAD_VALIDITY = 600;
 /** Time for which a version that an agent has read from its engine takes precedence over the list, in milliseconds. */
-const VERSION_LIFE = 2_500;
+const VERSION_VALIDITY = 2_500;
 
 /**
  * If kept connections to two back ends are found silent within this time, in milliseconds, those to all other back ends are
  * suspected as well. It exceeds the longest time until a silent connection that is in use is detected.
  */
-const SPREAD_TIME = 1_500;
+const SILENCE_CORRELATION_TIME = 1_500;
 
 /** The state of an engine as reported by its agent. */
 export interface EngineNews {
@@ -41,7 +41,7 @@
   /** Requests of all callers that ran or waited at the engine. */
   load: number;
   /** When the report was received, in milliseconds of the steady clock. */
-  toldAt: number;
+  reportedAt: number;
   /** When the engine is to be ordered to switch, in milliseconds of the steady clock; infinite if no switch is scheduled. */
   switchAt: number;
 }
@@ -54,7 +54,7 @@
   /** Requests in flight from this entry. */
   inFlight: number;
   /** Prompt tokens of those requests whose prompts it has not finished reading. */
-  unreadTokens: number;
+  pendingPromptTokens: number;
   /** Requests in flight from all other entries according to their latest reports. */
   inFlightElsewhere: number;
   /** When the first part of an answer was last received, in milliseconds of the steady clock. */
@@ -86,11 +86,11 @@
   /** Requests in flight from each other entry, according to its latest report. */
   readonly #loadsOf = new Map<string, ReadonlyArray<readonly [row: BackEndRow, inFlight: number]>>();
   /** Maximum number of kept connections to a back end of a service. */
-  mostConnectionsKept: (service: string) => number = () => Number.POSITIVE_INFINITY;
+  maxKeptConnections: (service: string) => number = () => Number.POSITIVE_INFINITY;
   /** Number of kept connections found silent since the start. */
   silentConnections = 0;
   /** The back end whose kept connection was most recently found silent, and when. */
-  #silentConnection: { id: string; at: number } | undefined;
+  #lastSilentConnection: { id: string; at: number } | undefined;
 
   /** Applies changes of the list. */
   apply(changes: readonly BackEndChange[]): void {
@@ -109,13 +109,13 @@
    * Whether another back end has since started at the address of `row`. The back end of `row` no longer exists then, although its
    * record expires only after three missed heartbeats. After a power failure, nine entries sent 290 requests to such rows within
    * the first second, which exhausted the retry budget.
-   * @param isNamed - whether the configuration declares a service; records of undeclared services supersede no others
+   * @param isConfigured - whether the configuration declares a service; records of undeclared services supersede no others
    */
-  isSuperseded({ record }: BackEndRow, isNamed: (service: string) => boolean): boolean {
+  isSuperseded({ record }: BackEndRow, isConfigured: (service: string) => boolean): boolean {
     const rows = this.#rowsByAddress.get(record.address);
     if (rows === undefined || rows.size < 2) return false;
     return [...rows].some(
-      (other) => other.record.revision > record.revision && isNamed(other.record.service),
+      (other) => other.record.revision > record.revision && isConfigured(other.record.service),
     );
   }
 
@@ -145,7 +145,7 @@
   }
 
   /** Applies an agent's report on the engine at `address`. */
-  takeNews(address: string, news: EngineNews): void {
+  applyReport(address: string, news: EngineNews): void {
     for (const row of this.#rowsByAddress.get(address) ?? []) {
       if (!isSameStart(row.record.start, news.start)) continue;
       if (row.news?.version !== news.version) row.health.noteNews();
@@ -156,7 +156,7 @@
   }
 
   /** Applies another entry's report of its requests in flight. */
-  takeLoads(entry: string, loads: readonly BackEndLoad[]): void {
+  applyLoads(entry: string, loads: readonly BackEndLoad[]): void {
     for (const [row, inFlight] of this.#loadsOf.get(entry) ?? []) row.inFlightElsewhere -= inFlight;
     const taken = loads.flatMap(({ id, start, inFlight }): Array<[BackEndRow, number]> => {
       const row = this.rows.get(id);
@@ -185,11 +185,11 @@
     // Connections to a previous start are silent because that start has ended.
     const present = this.rows.get(id);
     if (present !== undefined && present !== row) return;
-    const last = this.#silentConnection;
-    const isSpread = last !== undefined && last.id !== id && now - last.at < SPREAD_TIME;
-    const suspect = isSpread ? this.rows.values() : [row];
+    const last = this.#lastSilentConnection;
+    const isCorrelated = last !== undefined && last.id !== id && now - last.at < SILENCE_CORRELATION_TIME;
+    const suspect = isCorrelated ? this.rows.values() : [row];
     for (const { connections } of suspect) connections.closeIdleSince(since);
-    this.#silentConnection = { id, at: now };
+    this.#lastSilentConnection = { id, at: now };
   }
 
   /** The capacity forecast of a service while none of its back ends serves. */
@@ -217,17 +217,17 @@
       known.record = record;
       return;
     }
-    if (known !== undefined) this.#endFormer(known);
-    const row = createRow(record, () => this.mostConnectionsKept(record.service));
+    if (known !== undefined) this.#removePrevious(known);
+    const row = createRow(record, () => this.maxKeptConnections(record.service));
     this.rows.set(record.id, row);
     addTo(this.#rowsByService, record.service, row);
     addTo(this.#rowsByAddress, record.address, row);
   }
 
   /** Removes the row of a back end that another one has replaced under the same id; its requests in flight no longer count. */
-  #endFormer({ record }: BackEndRow): void {
+  #removePrevious({ record }: BackEndRow): void {
     this.#remove(record.id);
-    if (this.#silentConnection?.id === record.id) this.#silentConnection = undefined;
+    if (this.#lastSilentConnection?.id === record.id) this.#lastSilentConnection = undefined;
   }
 
   #remove(id: string): void {
@@ -259,13 +259,13 @@
   if (rows?.size === 0) index.delete(key);
 }
 
-function createRow(record: BackEndRecord, mostConnectionsKept: () => number): BackEndRow {
+function createRow(record: BackEndRecord, maxKeptConnections: () => number): BackEndRow {
   return {
     record,
-    connections: new BackEndConnections(record.address, mostConnectionsKept),
+    connections: new BackEndConnections(record.address, maxKeptConnections),
     health: new BackEndHealth(),
     inFlight: 0,
-    unreadTokens: 0,
+    pendingPromptTokens: 0,
     inFlightElsewhere: 0,
     answeredAt: 0,
     firstAnswerTime: 0,
@@ -283,18 +283,18 @@
  * else the later of the listed and the reported one. The list still names the version of an engine that has lost its weights
  * until the record expires.
  */
-export function wholeVersion(
+export function completeVersion(
   { record, news }: BackEndRow,
   layerCount: number,
   now = performance.now(),
 ): number {
-  if (news?.isReached === true && now - news.toldAt < VERSION_LIFE) return news.version;
-  const listed = isWhole(record.layers, layerCount) ? record.layers!.version : 0;
+  if (news?.isReached === true && now - news.reportedAt < VERSION_VALIDITY) return news.version;
+  const listed = isComplete(record.layers, layerCount) ? record.layers!.version : 0;
   return Math.max(listed, news?.version ?? 0);
 }
 
 /** An engine that states more layers than the model has holds a different model. A layer count of 0 is unknown and not checked. */
-function isWhole(layers: HeldLayers | undefined, layerCount: number): boolean {
+function isComplete(layers: HeldLayers | undefined, layerCount: number): boolean {
   if (layers === undefined || layers.from !== 0) return false;
   return layerCount === 0 || layers.end === layerCount;
 }
@@ -306,12 +306,12 @@
 }
 
 /** Whether the agent of `row` has recently reported its load. */
-export function isLoadTold({ news }: BackEndRow, now = performance.now()): boolean {
+export function isLoadReported({ news }: BackEndRow, now = performance.now()): boolean {
   return news !== undefined && isFresh(news, now);
 }
 
-function isFresh({ toldAt }: EngineNews, now: number): boolean {
-  return now - toldAt < LOAD_LIFE;
+function isFresh({ reportedAt }: EngineNews, now: number): boolean {
+  return now - reportedAt < LOAD_VALIDITY;
 }
 
 /** Records that a request of `urgency` that was sent at `sentAt` has been answered. */
@@ -327,11 +327,11 @@
 
 /** Records the time to the first part of an answer. */
 export function noteFirstAnswer(row: BackEndRow, milliseconds: number, now: number): void {
-  row.firstAnswerTime = blend(row.firstAnswerTime, milliseconds);
+  row.firstAnswerTime = movingAverage(row.firstAnswerTime, milliseconds);
   row.answeredAt = now;
 }
 
 /** Exponential moving average; the first sample is taken as it is. */
-export function blend(mean: number, sample: number): number {
-  return mean === 0 ? sample : mean + TIME_WEIGHT * (sample - mean);
+export function movingAverage(mean: number, sample: number): number {
+  return mean === 0 ? sample : mean + SAMPLE_WEIGHT * (sample - mean);
 }
--- a/src/forwarding/back-end-use.ts
+++ b/src/forwarding/back-end-use.ts
@@ -4,12 +4,12 @@
  */
 import type { Attempt } from './attempt.js';
 import type { AttemptAnswer } from './attempt-answer.js';
-import type { SentFor } from './back-end-selector.js';
+import type { AssumedEngine } from './back-end-selector.js';
 import {
   type BackEndRow,
   type BackEndTable,
-  blend,
   isOvertaken,
+  movingAverage,
   noteFirstAnswer,
   noteOvertaking,
 } from './back-end-table.js';
@@ -17,7 +17,7 @@
 
 export interface BackEndUseOptions {
   /** The selected back end, and the engine and version for which it was selected. */
-  selection: SentFor & { row: BackEndRow };
+  selection: AssumedEngine & { row: BackEndRow };
   attempt: Attempt;
   answer: AttemptAnswer;
   /** The slot held by the attempt; undefined if it holds none. */
@@ -35,7 +35,7 @@
   readonly attempt: Attempt;
   readonly answer: AttemptAnswer;
   readonly claim: SlotClaim | undefined;
-  readonly sentFor: SentFor;
+  readonly assumedEngine: AssumedEngine;
   readonly #urgency: number;
   readonly #promptTokens: number;
   readonly #answerTokens: number;
@@ -51,7 +51,7 @@
   constructor(options: BackEndUseOptions) {
     const { row, engine, version } = options.selection;
     this.row = row;
-    this.sentFor = { engine, version };
+    this.assumedEngine = { engine, version };
     this.attempt = options.attempt;
     this.answer = options.answer;
     this.claim = options.claim;
@@ -60,7 +60,7 @@
     this.#answerTokens = options.answerTokens;
     this.#progressAt = performance.now();
     row.inFlight++;
-    row.unreadTokens += options.promptTokens;
+    row.pendingPromptTokens += options.promptTokens;
     row.health.noteSent();
     if (row.inFlight === 1) row.progressAt = this.#progressAt;
   }
@@ -129,7 +129,7 @@
   noteRead(): void {
     if (this.#isRead) return;
     this.#isRead = true;
-    this.row.unreadTokens -= this.#promptTokens;
+    this.row.pendingPromptTokens -= this.#promptTokens;
     if (this.#answeredAt === undefined) return;
     const now = performance.now();
     this.#firstAnswerAfter = Math.round(now - this.attempt.startedAt);
@@ -153,9 +153,9 @@
 
   /** The whole answer came after `took` milliseconds. */
   noteServed(took: number): void {
-    this.row.duration = blend(this.row.duration, took);
+    this.row.duration = movingAverage(this.row.duration, took);
     if (this.#answerTokens > 0)
-      this.row.timePerToken = blend(this.row.timePerToken, took / this.#answerTokens);
+      this.row.timePerToken = movingAverage(this.row.timePerToken, took / this.#answerTokens);
   }
 
   #noteProgress(): void {
--- a/src/forwarding/engine-slots.ts
+++ b/src/forwarding/engine-slots.ts
@@ -1,7 +1,7 @@
 /** Interface to the agents that grant the slots of engines. */
 
 /** A request for a slot. Times are in milliseconds. */
-export interface SlotWish {
+export interface SlotRequest {
   /** Rank in the agent's queue; 0 is first. */
   urgency: number;
   /** Time for which the caller has already waited. */
@@ -41,5 +41,5 @@
 /** The slots of all engines whose agents grant them. */
 export interface EngineSlots {
   /** Asks the agent at `agent` (`host:port`) for a slot of its engine. */
-  ask(agent: string, wish: SlotWish, answers: SlotAnswers): SlotClaim;
+  ask(agent: string, request: SlotRequest, answers: SlotAnswers): SlotClaim;
 }
--- a/src/forwarding/forwarded-request.ts
+++ b/src/forwarding/forwarded-request.ts
@@ -394,14 +394,14 @@
     const version = this.#versionOf(use);
     if (version === undefined) return;
     const { selector, expiryFigures } = this.#components;
-    const { row, attempt, sentFor } = use;
-    const expiredFor = selector.expiredFor(sentFor.engine, version, performance.now());
-    if (!(expiredFor > 0)) return;
+    const { row, attempt, assumedEngine } = use;
+    const timeSinceExpiry = selector.timeSinceExpiry(assumedEngine.engine, version, performance.now());
+    if (!(timeSinceExpiry > 0)) return;
     expiryFigures.begunLate++;
     this.#log.note('began on an expired version', {
       backEnd: row.record.id,
       version,
-      expiredMs: Math.round(expiredFor),
+      expiredMs: Math.round(timeSinceExpiry),
       send: this.#policy.sends,
       sentMsAgo: Math.round(performance.now() - attempt.startedAt),
     });
@@ -513,7 +513,9 @@
     const { route, timing } = this.#admitted;
     const latest = latestBegin(this.#answer.forwardedAt, timing.endsAt, route.patience);
     if (performance.now() + SEARCH_INTERVAL > latest) return false;
-    return this.#policy.mayRunAgain && this.#components.selector.mayTakeLater(this.#policy.requirements());
+    return (
+      this.#policy.mayRunAgain && this.#components.selector.mayBecomeEligible(this.#policy.requirements())
+    );
   }
 
   #onTimeout(): void {
--- a/src/forwarding/request-wait.ts
+++ b/src/forwarding/request-wait.ts
@@ -97,7 +97,7 @@
     if (this.#claiming !== undefined) return;
     if (this.#seeker === undefined) return this.begin();
     if (!this.#request.canEnd()) return this.#events.onNoTime();
-    if (this.#seeker.isOver(now)) return this.#events.onGivenUp('back ends full');
+    if (this.#seeker.hasExpired(now)) return this.#events.onGivenUp('back ends full');
     this.#seeker.check(now, standstills);
   }
 
@@ -116,21 +116,21 @@
   #seekSlot(): boolean {
     const { selector, backEnds, limits, slots, random } = this.#components;
     const { timing, requirements, wasSent, goesOn, urgency } = this.#request;
-    if (!selector.looksForSlot(requirements())) return false;
+    if (!selector.shouldAcquireSlot(requirements())) return false;
     const now = performance.now();
     this.#seeker = new SlotSeeker({
       slots,
       table: backEnds,
       random,
       candidates: () => selector.slotCandidates(requirements()),
-      mayTake: (row) => selector.mayTakeSlot(row, requirements()),
+      isEligible: (row) => selector.isEligibleWithSlot(row, requirements()),
       rateLimitOf: (row) => limits.rateOf(row.record),
       urgency: goesOn() ? 0 : urgency(now),
       arrivedAt: timing.arrivedAt,
       endsAt: timing.waitsForSlotUntil(now, wasSent(), this.#wasHeldForCapacity),
       onGranted: (row, claim, asked) => this.#takeSlot(row, claim, asked),
       onWait: () => this.#onWaitForSlot(),
-      onNobody: () => {
+      onExhausted: () => {
         this.#endSearch();
         this.#chooseWithoutSlot();
       },
@@ -184,7 +184,7 @@
       // The wait may have ended during the claim.
       if (this.#claiming !== selection) return;
       this.#claiming = undefined;
-      if (!isGranted || !selector.mayTakeSlot(selection.row, this.#request.requirements()))
+      if (!isGranted || !selector.isEligibleWithSlot(selection.row, this.#request.requirements()))
         return this.begin();
       this.end('sent');
       this.#events.onChosen(selection, undefined);
@@ -197,7 +197,7 @@
   #holdOrGiveUp(): void {
     const { canEnd, goesOn, mayBeSent } = this.#request;
     const now = performance.now();
-    const capacity = this.#components.selector.expectedCapacity(this.#request.requirements().service);
+    const capacity = this.#components.selector.timeToCapacity(this.#request.requirements().service);
     const wasHeld = this.#heldSince !== undefined;
     this.#heldSince ??= now;
     if (!canEnd(capacity)) return this.#events.onNoTime();
--- a/src/forwarding/retry-after.ts
+++ b/src/forwarding/retry-after.ts
@@ -20,7 +20,7 @@
 
 /** For a request that no back end of `service` can take now. */
 export function retryOnceServed(service: string, selector: BackEndSelector, random: Random): number {
-  const capacity = selector.expectedCapacity(service) ?? 0;
+  const capacity = selector.timeToCapacity(service) ?? 0;
   const soon = RETRY_AFTER * (1 + random.fraction());
   const delay = Math.max(soon + capacity, selector.requestInterval(service));
   return Math.min(LONGEST_RETURN, delay) / MILLISECONDS;
--- a/src/forwarding/selection.ts
+++ b/src/forwarding/selection.ts
@@ -18,7 +18,7 @@
   /** Known requests of all entries that run or wait there. */
   load: number;
   /** Prompt tokens of the requests sent there that it has not started to answer. */
-  unreadTokens: number;
+  pendingPromptTokens: number;
   /** Prompt tokens that it processes per millisecond; 0 if unknown. */
   tokensPerMillisecond: number;
   /** Usual time between two completions under full load, in milliseconds. */
@@ -28,9 +28,9 @@
   /** Its usual time to the first answer beyond twice that of the fastest candidate, in milliseconds; 0 if unknown. */
   slowness: number;
   /** Time by which the request would outlast the engine's current version, in milliseconds. */
-  overhang: number;
+  overrun: number;
   /** The request has already been moved: its stream would be cut if the engine dropped it. */
-  mayNotMove: boolean;
+  cannotBeMoved: boolean;
 }
 
 /** A chosen candidate. */
@@ -48,13 +48,13 @@
 /** Cost of a back end whose requests all fail, in milliseconds. */
 const FAILURE_COST = 600;
 /** Cost per millisecond by which a request outlasts the engine's version: it must be moved, or it delays the switch. */
-const OVERHANG_COST = 0.4;
+const OVERRUN_COST = 0.4;
 /** The same for a request that would be cut instead of moved: this exceeds the cost of any distance or queue. */
 const CUT_COST = 4;
 /** Costs that differ by less than this are treated as equal, in milliseconds. */
-export const ALIKE = 2;
+export const COST_TOLERANCE = 2;
 /** The same for candidates whose load is not known, in milliseconds: less than the cost of another region. */
-export const ALIKE_UNKNOWN = 40;
+export const COST_TOLERANCE_LOAD_UNKNOWN = 40;
 
 /** Chooses the best candidate for a request from `position`, randomly among equals; undefined if there are no candidates. */
 export function chooseBackEnd(
@@ -66,8 +66,8 @@
   let bestCost = Number.POSITIVE_INFINITY;
   for (const candidate of candidates) {
     const cost = costOf(candidate, position);
-    if (cost < bestCost - ALIKE) best = [];
-    if (cost < bestCost + ALIKE) best.push(candidate);
+    if (cost < bestCost - COST_TOLERANCE) best = [];
+    if (cost < bestCost + COST_TOLERANCE) best.push(candidate);
     bestCost = Math.min(bestCost, cost);
   }
   if (best.length === 0) return undefined;
@@ -82,13 +82,13 @@
 }
 
 function costOf(candidate: Candidate, position: Position): number {
-  const reading =
-    candidate.tokensPerMillisecond > 0 ? candidate.unreadTokens / candidate.tokensPerMillisecond : 0;
+  const promptTime =
+    candidate.tokensPerMillisecond > 0 ? candidate.pendingPromptTokens / candidate.tokensPerMillisecond : 0;
   return (
     distanceCost(candidate, position) +
     expectedWait(candidate) +
-    reading +
-    standingCost(candidate) +
+    promptTime +
+    baseCost(candidate) +
     (candidate.load / candidate.slots) * FULLNESS_COST
   );
 }
@@ -98,14 +98,12 @@
  * entries have the same outdated load and would choose the same candidate.
  */
 export function slotCost(candidate: Candidate, position: Position, isLoadFresh: boolean): number {
-  return isLoadFresh
-    ? costOf(candidate, position)
-    : distanceCost(candidate, position) + standingCost(candidate);
+  return isLoadFresh ? costOf(candidate, position) : distanceCost(candidate, position) + baseCost(candidate);
 }
 
 /** Cost of `candidate` apart from its load and distance, in milliseconds of waiting. */
-function standingCost({ slowness, failureShare, overhang, mayNotMove }: Candidate): number {
-  return slowness + failureShare * FAILURE_COST + overhang * (mayNotMove ? CUT_COST : OVERHANG_COST);
+function baseCost({ slowness, failureShare, overrun, cannotBeMoved }: Candidate): number {
+  return slowness + failureShare * FAILURE_COST + overrun * (cannotBeMoved ? CUT_COST : OVERRUN_COST);
 }
 
 function distanceCost(candidate: Position, { zone, region }: Position): number {
--- a/src/forwarding/send-policy.ts
+++ b/src/forwarding/send-policy.ts
@@ -61,7 +61,7 @@
       // The queues of back ends are for those that can be in time: one that comes again waits here for a free slot.
       mayQueue: this.#sends > 0 || !timing.isLastChance,
       answerTokens,
-      goesOn: answer.started,
+      isContinuation: answer.started,
       version: answer.started ? this.version : undefined,
       tried: this.#tried,
     };
--- a/src/forwarding/slot-agent.ts
+++ b/src/forwarding/slot-agent.ts
@@ -1,7 +1,7 @@
 /** Tracks whether the agent that grants an engine's slots responds to this process. Times are in milliseconds of the steady clock. */
 
 /** Consecutive unanswered requests after which an agent is considered unresponsive: a single datagram may be lost. */
-const SILENCES = 2;
+const MAX_UNANSWERED = 2;
 /** First and longest time for which an unresponsive agent is not asked; the time doubles each time. */
 const FIRST_PAUSE = 500;
 const LONGEST_PAUSE = 4_000;
@@ -14,34 +14,34 @@
   readonly address: string;
   #unanswered = 0;
   #pause = 0;
-  #silentUntil = Number.NEGATIVE_INFINITY;
+  #pausedUntil = Number.NEGATIVE_INFINITY;
 
   constructor(address: string) {
     this.address = address;
   }
 
   /** False while the agent is considered unresponsive or does not grant slots yet. Its engine is then used without slots. */
-  answers(now: number): boolean {
-    return now >= this.#silentUntil;
+  isResponsive(now: number): boolean {
+    return now >= this.#pausedUntil;
   }
 
   /** The agent has answered a request. */
   noteAnswer(): void {
     this.#unanswered = 0;
     this.#pause = 0;
-    this.#silentUntil = Number.NEGATIVE_INFINITY;
+    this.#pausedUntil = Number.NEGATIVE_INFINITY;
   }
 
   /** The agent has answered that it does not grant slots yet. */
   noteUnready(now: number): void {
-    this.#silentUntil = now + UNREADY_PAUSE;
+    this.#pausedUntil = now + UNREADY_PAUSE;
   }
 
   /** The agent has not answered a request in time. */
-  noteSilence(now: number): void {
+  noteUnanswered(now: number): void {
     this.#unanswered++;
-    if (this.#unanswered < SILENCES || now < this.#silentUntil) return;
+    if (this.#unanswered < MAX_UNANSWERED || now < this.#pausedUntil) return;
     this.#pause = Math.min(LONGEST_PAUSE, Math.max(FIRST_PAUSE, 2 * this.#pause));
-    this.#silentUntil = now + this.#pause;
+    this.#pausedUntil = now + this.#pause;
   }
 }
--- a/src/forwarding/slot-seeker.ts
+++ b/src/forwarding/slot-seeker.ts
@@ -13,7 +13,7 @@
   /** The engines that are eligible now and whose agents grant slots. */
   candidates: () => SlotCandidate[];
   /** Whether an engine is still eligible; called when its slot has been granted. */
-  mayTake: (row: BackEndRow) => boolean;
+  isEligible: (row: BackEndRow) => boolean;
   /** Rate limit of an engine in requests per second; undefined if none is known. */
   rateLimitOf: (row: BackEndRow) => number | undefined;
   /** Rank of the request in the queues of agents; 0 is first. */
@@ -27,7 +27,7 @@
   /** Called if no agent has granted a slot when more agents are to be asked: the request waits. */
   onWait: () => void;
   /** Called when no agent is left that may grant a slot. */
-  onNobody: () => void;
+  onExhausted: () => void;
   /** Called on an exception in this process, which must end only the request. */
   onFault: (cause: unknown) => void;
 }
@@ -38,7 +38,7 @@
   readonly #search: SlotSearch;
   readonly #claims = new Map<string, SlotClaim>();
   #timer: NodeJS.Timeout | undefined;
-  #isOver = false;
+  #isStopped = false;
 
   constructor(options: SlotSeekerOptions) {
     this.#options = options;
@@ -53,32 +53,32 @@
   }
 
   /** Whether the request has waited for as long as it may. */
-  isOver(now: number): boolean {
+  hasExpired(now: number): boolean {
     return now >= this.#options.endsAt;
   }
 
   /** Asks other agents in place of those that do not respond or have refused; called by the shared tick. */
   check(now: number, standstills: Standstills): void {
     for (const id of this.#search.silent((since) => standstills.runningTime(since, now))) {
-      this.#options.table.rows.get(id)?.agent?.noteSilence(now);
-      this.#giveBack(id);
+      this.#options.table.rows.get(id)?.agent?.noteUnanswered(now);
+      this.#release(id);
     }
     this.#askOthers(now);
   }
 
   /** Releases all claims and stops. */
   cancel(): void {
-    this.#isOver = true;
+    this.#isStopped = true;
     clearTimeout(this.#timer);
     for (const claim of this.#claims.values()) claim.release(false);
     this.#claims.clear();
   }
 
   #widen(): void {
-    if (this.#isOver) return;
-    this.#guard(() => {
+    if (this.#isStopped) return;
+    this.#catchFaults(() => {
       this.#options.onWait();
-      if (!this.#isOver) this.#ask(performance.now());
+      if (!this.#isStopped) this.#ask(performance.now());
     });
   }
 
@@ -92,17 +92,17 @@
     const row = table.rows.get(id);
     if (row?.agent === undefined) return this.#search.noteFailed(id);
     const { agent } = row;
-    const wish = {
+    const request = {
       urgency,
       waitedFor: Math.round(now - arrivedAt),
       patience: Math.round(Math.max(0, endsAt - now)),
       slots: row.record.slots,
       rateLimit: rateLimitOf(row),
     };
-    const claim = slots.ask(agent.address, wish, {
+    const claim = slots.ask(agent.address, request, {
       onGranted: () => {
         agent.noteAnswer();
-        this.#guard(() => this.#take(row));
+        this.#catchFaults(() => this.#take(row));
       },
       onQueued: () => {
         agent.noteAnswer();
@@ -110,17 +110,17 @@
       },
       onRefused: () => {
         agent.noteAnswer();
-        this.#guard(() => this.#goElsewhere(id));
+        this.#catchFaults(() => this.#tryOthers(id));
       },
       onUnready: () => {
         agent.noteUnready(performance.now());
-        this.#guard(() => this.#goElsewhere(id));
+        this.#catchFaults(() => this.#tryOthers(id));
       },
     });
     this.#claims.set(id, claim);
   }
 
-  #guard(handle: () => void): void {
+  #catchFaults(handle: () => void): void {
     try {
       handle();
     } catch (cause) {
@@ -129,29 +129,29 @@
   }
 
   /** Releases the claim at one engine. */
-  #giveBack(id: string): void {
+  #release(id: string): void {
     this.#claims.get(id)?.release(false);
     this.#claims.delete(id);
     this.#search.noteFailed(id);
   }
 
-  #goElsewhere(id: string): void {
-    this.#giveBack(id);
+  #tryOthers(id: string): void {
+    this.#release(id);
     this.#askOthers(performance.now());
   }
 
   #askOthers(now: number): void {
-    if (this.#isOver) return;
+    if (this.#isStopped) return;
     this.#ask(now);
-    if (!this.#search.isPending) this.#options.onNobody();
+    if (!this.#search.isPending) this.#options.onExhausted();
   }
 
   /** Takes a granted slot, unless its engine is no longer eligible. */
   #take(row: BackEndRow): void {
     const { id } = row.record;
     const claim = this.#claims.get(id);
-    if (this.#isOver || claim === undefined) return;
-    if (!this.#options.mayTake(row)) return this.#goElsewhere(id);
+    if (this.#isStopped || claim === undefined) return;
+    if (!this.#options.isEligible(row)) return this.#tryOthers(id);
     this.#claims.delete(id);
     this.cancel();
     this.#options.onGranted(row, claim, this.#search.asked);
--- a/src/peers/slot-client.ts
+++ b/src/peers/slot-client.ts
@@ -1,5 +1,5 @@
 /** The entry's side of slots: asks agents by datagram, and hands their answers to the requests that wait for them. */
-import type { EngineSlots, SlotAnswers, SlotClaim, SlotWish } from '../forwarding/engine-slots.js';
+import type { EngineSlots, SlotAnswers, SlotClaim, SlotRequest } from '../forwarding/engine-slots.js';
 import type { Random } from '../model/random.js';
 import type { Startable } from '../model/startable.js';
 import type { ConnectionContext } from '../protocol/connection.js';
@@ -45,10 +45,10 @@
     await this.#endpoint.stop();
   }
 
-  ask(agent: string, wish: SlotWish, answers: SlotAnswers): SlotClaim {
+  ask(agent: string, request: SlotRequest, answers: SlotAnswers): SlotClaim {
     const id = this.#claims.open(agent);
     this.#openClaims.set(id, { answers, isLimited: false });
-    this.#endpoint.send(agent, { type: 'slotAsked', id, ...wish });
+    this.#endpoint.send(agent, { type: 'slotAsked', id, ...request });
     return {
       noteAnswer: (rateLimit) => {
         const open = this.#openClaims.get(id);
--- a/src/roles/direct-entry.ts
+++ b/src/roles/direct-entry.ts
@@ -113,7 +113,7 @@
       },
       onLapsed: ({ id }) => {
         for (const readers of Object.values(this.#storeReaders)) readers.forget(id);
-        backEnds.takeLoads(id, []);
+        backEnds.applyLoads(id, []);
       },
       log,
     });
@@ -128,7 +128,7 @@
       this.#permits.noteOlderCopy();
     };
     sync.onNews = (news) => this.#peers.passStoreNews(news);
-    backEnds.mostConnectionsKept = (service) => this.#connectionsKept(service);
+    backEnds.maxKeptConnections = (service) => this.#connectionsKept(service);
     this.#agents = new EngineAgents(
       (row) => this.#planner.planFor(row),
       (report, before) => {
@@ -327,7 +327,7 @@
 
   #onPeerReport(report: EntryReport): void {
     const { backEnds } = this.#components;
-    backEnds.takeLoads(report.id, report.loads);
+    backEnds.applyLoads(report.id, report.loads);
     for (const engine of report.engines) this.#takeEngineReport(engine);
   }
 
@@ -337,7 +337,7 @@
     const news = engineNews(report);
     const row = backEnds.rowAt(report.address, news.start);
     if (row !== undefined) fleet.takeStart({ id: row.record.id, start: news.start }, report.follows);
-    backEnds.takeNews(report.address, news);
+    backEnds.applyReport(report.address, news);
   }
 
   /**
@@ -395,7 +395,7 @@
 
 function engineNews(report: EngineReport): EngineNews {
   const { version, isReached, isSwitching, slotAddress, load, switchesIn } = report;
-  const toldAt = performance.now();
+  const reportedAt = performance.now();
   // The codec carries no undefined in lists.
   return {
     start: report.start ?? undefined,
@@ -404,8 +404,8 @@
     isSwitching,
     slotAddress,
     load,
-    toldAt,
-    switchAt: toldAt + (switchesIn ?? Number.POSITIVE_INFINITY),
+    reportedAt,
+    switchAt: reportedAt + (switchesIn ?? Number.POSITIVE_INFINITY),
   };
 }
 
--- a/src/roles/weights-planner.ts
+++ b/src/roles/weights-planner.ts
@@ -1,7 +1,7 @@
 /** What an entry tells an agent: versions, who holds pieces, whom to connect to, and how the engine may switch. */
 import type { BackEndService } from '../fleet/configuration.js';
 import type { FleetView } from '../fleet/fleet-view.js';
-import { type BackEndRow, type BackEndTable, loadOf, wholeVersion } from '../forwarding/back-end-table.js';
+import { type BackEndRow, type BackEndTable, completeVersion, loadOf } from '../forwarding/back-end-table.js';
 import { rendezvousOrder } from '../model/random.js';
 import type { EngineAgentRow } from '../peers/engine-agents.js';
 import type { EntryReport, WeightsPlan } from '../protocol/reports.js';
@@ -88,7 +88,7 @@
       targets.some(({ service }) => service === own.record.service),
     );
     const engineOf = (row: BackEndRow) => ({
-      version: wholeVersion(row, layers),
+      version: completeVersion(row, layers),
       isSwitching: row.news?.isSwitching === true,
       switchesIn: (row.news?.switchAt ?? Number.POSITIVE_INFINITY) - performance.now(),
       slots: row.record.slots,
--- a/test/forwarding/capacity.test.ts
+++ b/test/forwarding/capacity.test.ts
@@ -49,7 +49,7 @@
   });
 
   it('is believed by the list once its agent has long said nothing', async () => {
-    tell({ version: 0, toldAt: performance.now() - 10_000 });
+    tell({ version: 0, reportedAt: performance.now() - 10_000 });
     expect((await forwarding.send('/write/', COMES_FIRST)).status).toBe(200);
   });
 });
@@ -242,7 +242,7 @@
     forwarding.expireIn(2_000);
     tell({ version: 1, load: 12 });
     expect((await forwarding.send('/write/', COMES_FIRST)).status).toBe(503);
-    tell({ version: 1, toldAt: performance.now() - 1_000 });
+    tell({ version: 1, reportedAt: performance.now() - 1_000 });
     expect((await forwarding.send('/write/', COMES_FIRST)).status).toBe(503);
     expect(engine.requests).toHaveLength(0);
     tell({ version: 1 });
--- a/test/forwarding/forwarding-harness.ts
+++ b/test/forwarding/forwarding-harness.ts
@@ -195,13 +195,13 @@
 
   /** The agent beside `engine` tells of it, as of now; it gives out no slots unless `news` says so. */
   tell(engine: StandInBackEnd, news: Partial<EngineNews> = {}): void {
-    this.backEnds.takeNews(engine.address, {
+    this.backEnds.applyReport(engine.address, {
       version: 0,
       isReached: true,
       isSwitching: false,
       slotAddress: '',
       load: 0,
-      toldAt: performance.now(),
+      reportedAt: performance.now(),
       switchAt: Number.POSITIVE_INFINITY,
       ...news,
     });
--- a/test/forwarding/restart-order.test.ts
+++ b/test/forwarding/restart-order.test.ts
@@ -124,10 +124,10 @@
       const isListed = this.row !== undefined;
       const row = this.table.rowAt(ADDRESS, news.start);
       if (row !== undefined) this.fleet.takeStart({ id: ID, start: news.start }, news.follows);
-      this.table.takeNews(ADDRESS, this.#engineNews(news.start));
+      this.table.applyReport(ADDRESS, this.#engineNews(news.start));
       // A report says nothing while no entry has told whose address it is.
       if (isListed) this.#noteTold(news.start);
-    } else if (news.type === 'load') this.table.takeLoads('peer', [news.load]);
+    } else if (news.type === 'load') this.table.applyLoads('peer', [news.load]);
     else {
       if (news.state.records.some((record) => this.#isLost(record))) return;
       this.fleet.takeBackEnds(news.state);
@@ -147,7 +147,7 @@
     if (inFlightElsewhere !== 0 && inFlightElsewhere !== place + 1) found.push('load');
     if (health.suspended && !this.failed.has(row)) found.push('health');
     for (const other of this.asked) {
-      if (other.record.start !== record.start && this.selector.mayTakeSlot(other, requirements()))
+      if (other.record.start !== record.start && this.selector.isEligibleWithSlot(other, requirements()))
         found.push('grant');
     }
     const tried = new BackEndSet();
@@ -216,7 +216,7 @@
       isSwitching: false,
       slotAddress: '127.0.0.1:2',
       load: 0,
-      toldAt: performance.now(),
+      reportedAt: performance.now(),
       switchAt: Number.POSITIVE_INFINITY,
     };
   }
@@ -256,7 +256,7 @@
     isRepeatable: true,
     mayQueue: true,
     answerTokens: 0,
-    goesOn: false,
+    isContinuation: false,
     version: undefined,
     tried: new BackEndSet(),
   };
--- a/test/forwarding/restart.test.ts
+++ b/test/forwarding/restart.test.ts
@@ -5,9 +5,9 @@
 import { BackEndSelector } from '../../src/forwarding/back-end-selector.js';
 import {
   type BackEndRow,
+  completeVersion,
   type EngineNews,
   loadOf,
-  wholeVersion,
 } from '../../src/forwarding/back-end-table.js';
 import type { SlotAnswers } from '../../src/forwarding/engine-slots.js';
 import { seededRandom } from '../../src/model/random.js';
@@ -54,7 +54,7 @@
 
 /** The agent tells that the engine of this start holds version 1 and has 3 requests. */
 function tell(which: number | undefined): void {
-  forwarding.backEnds.takeNews(backEnd.address, engineNews(which));
+  forwarding.backEnds.applyReport(backEnd.address, engineNews(which));
 }
 
 function engineNews(which: number | undefined): EngineNews {
@@ -65,7 +65,7 @@
     isSwitching: true,
     slotAddress: '127.0.0.1:1',
     load: 3,
-    toldAt: performance.now(),
+    reportedAt: performance.now(),
     switchAt: Number.POSITIVE_INFINITY,
   };
 }
@@ -74,7 +74,7 @@
   it('has nothing in flight, unread or failed, and none of the marks and figures of before', async () => {
     await forwarding.send('/again/');
     tell(FORMER);
-    forwarding.backEnds.takeLoads('other', [{ id: 'one', start: FORMER, inFlight: 7 }]);
+    forwarding.backEnds.applyLoads('other', [{ id: 'one', start: FORMER, inFlight: 7 }]);
     const former = row();
     former.health.note('silent', performance.now(), 0);
     former.health.note('silent', performance.now(), 0);
@@ -83,7 +83,7 @@
     expect(row()).not.toBe(former);
     expect(row()).toMatchObject({
       inFlight: 0,
-      unreadTokens: 0,
+      pendingPromptTokens: 0,
       inFlightElsewhere: 0,
       firstAnswerTime: 0,
       duration: 0,
@@ -92,7 +92,7 @@
     });
     expect(row().health.suspended).toBe(false);
     expect(loadOf(row())).toBe(0);
-    expect(wholeVersion(row(), ENGINE_LAYERS)).toBe(0);
+    expect(completeVersion(row(), ENGINE_LAYERS)).toBe(0);
     expect([...forwarding.backEnds.ofService('engines')]).toEqual([row()]);
   });
 
@@ -114,10 +114,10 @@
     start(NEXT, false);
     tell(FORMER);
     expect(row().news).toBeUndefined();
-    forwarding.backEnds.takeLoads('other', [{ id: 'one', start: FORMER, inFlight: 7 }]);
+    forwarding.backEnds.applyLoads('other', [{ id: 'one', start: FORMER, inFlight: 7 }]);
     expect(row().inFlightElsewhere).toBe(0);
     tell(NEXT);
-    forwarding.backEnds.takeLoads('other', [{ id: 'one', start: NEXT, inFlight: 2 }]);
+    forwarding.backEnds.applyLoads('other', [{ id: 'one', start: NEXT, inFlight: 2 }]);
     expect(row()).toMatchObject({ inFlightElsewhere: 2, news: { load: 3 } });
   });
 
@@ -181,7 +181,7 @@
       mayQueue: true,
       engine: undefined,
       answerTokens: 0,
-      goesOn: false,
+      isContinuation: false,
       version: undefined,
       tried,
     };
@@ -246,7 +246,7 @@
     await other.start(ENGINE_CONFIGURATION);
     const listed = (which: number) => other.list(['one', backEnd, { start: which, layers: LAYERS }]);
     listed(FORMER);
-    other.backEnds.takeNews(backEnd.address, { ...engineNews(FORMER), isSwitching: false });
+    other.backEnds.applyReport(backEnd.address, { ...engineNews(FORMER), isSwitching: false });
     const answering = other.send('/write/');
     await until(() => asked.length === 1, 'the question');
     const dispatches = vi.spyOn(other.backEnds.rows.get('one')!.connections, 'dispatch');
@@ -266,7 +266,7 @@
     tell(undefined);
     expect(known?.news).toMatchObject({ load: 3 });
     // As it is after its way in a message.
-    forwarding.backEnds.takeLoads('other', [
+    forwarding.backEnds.applyLoads('other', [
       { id: 'plain', start: null as unknown as undefined, inFlight: 2 },
     ]);
     expect(known?.inFlightElsewhere).toBe(2);
--- a/test/forwarding/slots.test.ts
+++ b/test/forwarding/slots.test.ts
@@ -60,15 +60,15 @@
 }
 
 function tell({ backEnd, address }: Engine, isSwitching = false, entry = forwarding): void {
-  const toldAt = performance.now();
+  const reportedAt = performance.now();
   const switchAt = Number.POSITIVE_INFINITY;
-  entry.backEnds.takeNews(backEnd.address, {
+  entry.backEnds.applyReport(backEnd.address, {
     version: 1,
     isReached: true,
     isSwitching,
     slotAddress: address,
     load: 0,
-    toldAt,
+    reportedAt,
     switchAt,
   });
 }
--- a/test/weights/joint-drop.test.ts
+++ b/test/weights/joint-drop.test.ts
@@ -32,13 +32,13 @@
   fleet.takeBackEnds({ revision: 1, records });
   for (const [index, { address }] of records.entries()) {
     const isSwitching = index < ZONES.length - 1;
-    backEnds.takeNews(address, {
+    backEnds.applyReport(address, {
       version: 1,
       isReached: true,
       isSwitching,
       slotAddress: '',
       load: isSwitching ? LOAD : 0,
-      toldAt: performance.now(),
+      reportedAt: performance.now(),
       switchAt: Number.POSITIVE_INFINITY,
     });
   }
--- a/tools/guard-table.mjs
+++ b/tools/guard-table.mjs
@@ -802,7 +802,7 @@
   {
     fault: 'an engine that lost its weights gets requests as long as the list tells of them',
     file: 'src/forwarding/back-end-table.ts',
-    find: 'if (news?.isReached === true && now - news.toldAt < VERSION_LIFE) return news.version;',
+    find: 'if (news?.isReached === true && now - news.reportedAt < VERSION_VALIDITY) return news.version;',
     replace: '',
     test: 'test/forwarding/capacity.test.ts',
   },
@@ -837,7 +837,7 @@
   {
     fault: 'requests go to engines of whose queue nothing is known until their version expires',
     file: 'src/forwarding/back-end-selector.ts',
-    find: '(isLoadTold(row, now) ? 0 : UNKNOWN_LOAD_MARGIN)',
+    find: '(isLoadReported(row, now) ? 0 : UNKNOWN_LOAD_MARGIN)',
     replace: '0',
     test: 'test/forwarding/capacity.test.ts',
   },
@@ -1145,15 +1145,15 @@
   {
     fault: 'a configuration without its engine hides that the version of a request expires',
     file: 'src/forwarding/back-end-selector.ts',
-    find: 'if (this.#isAboutToExpire(row, sentFor.engine, sentFor, now)) return true;',
+    find: 'if (this.#isAboutToExpire(row, assumed.engine, assumed, now)) return true;',
     replace: '',
     test: 'test/forwarding/version-expiry.test.ts',
   },
   {
     fault: 'news that an engine holds nothing hide that the version of a request there expires',
     file: 'src/forwarding/back-end-selector.ts',
-    find: 'wholeVersion(row, engine.layers, now) || version;',
-    replace: 'wholeVersion(row, engine.layers, now);',
+    find: 'completeVersion(row, engine.layers, now) || version;',
+    replace: 'completeVersion(row, engine.layers, now);',
     test: 'test/forwarding/version-expiry.test.ts',
   },
   {
@@ -1266,14 +1266,14 @@
   {
     fault: 'a back end of a service that is not named gets requests',
     file: 'src/forwarding/back-end-selector.ts',
-    find: "if (!this.#isNamed(record.service)) return 'unnamedService';",
+    find: "if (!this.#isConfigured(record.service)) return 'unnamedService';",
     replace: '',
     test: 'test/forwarding/foreign-back-ends.test.ts',
   },
   {
     fault: 'a record of a service that is not named takes the place of a sound one',
     file: 'src/forwarding/back-end-table.ts',
-    find: 'other.record.revision > record.revision && isNamed(other.record.service)',
+    find: 'other.record.revision > record.revision && isConfigured(other.record.service)',
     replace: 'other.record.revision > record.revision',
     test: 'test/forwarding/foreign-back-ends.test.ts',
   },
