--- a/src/forwarding/poison-guard.ts
+++ b/src/forwarding/poison-guard.ts
@@ -1,6 +1,7 @@
 /**
- * Keeps requests that crash back ends from being sent on: what this entry sees break, what other entries tell, and what
- * follows for requests that arrive, wait or are under way. What is decided stands in `systems/poison-requests.ts`.
+ * Stops forwarding requests that crash back ends (poison requests). Collects the crashes that this entry detects and those that
+ * other entries report, and applies the resulting decisions to new, waiting and sent requests. The decision rules are in
+ * `systems/poison-requests.ts`.
  */
 import type { Log } from '../observability/log.js';
 import type { Metrics } from '../observability/metrics.js';
@@ -15,37 +16,36 @@
 import { type ConnectionAnswer, type CrashSuspect, CrashWitness } from './crash-witness.js';
 import type { QuarantineRecords, QuarantineState } from './quarantine-records.js';
 
-/** After a trial that could not be claimed callers may ask again after this, in milliseconds: the store may be back then. */
+/** Retry delay for callers whose trial could not be claimed, in milliseconds: the store may be available again by then. */
 const RETRY_CLAIM = 2_000;
 
-/** What the guard works with. */
 export interface PoisonGuardOptions {
   log: Log;
   metrics: Metrics;
-  /** This entry's place among those that may try a content, 0 for the first. */
+  /** This entry's rank among those that may run a trial with a content; 0 is first. */
   placeOf: (fingerprint: Fingerprint) => number;
   /** Whether this start of a back end has ended without notice. */
   hasEnded: (row: BackEndRow) => boolean;
-  /** What outlives this process. */
+  /** Persists crashes and trials. */
   records: QuarantineRecords;
   /** Opens a connection to a back end that may have crashed. */
   call?: (address: string) => Promise<ConnectionAnswer>;
 }
 
-/** The guard of one entry. */
+/** Blocks poison requests at one entry. */
 export class PoisonGuard {
   readonly #log: Log;
   readonly #requests: PoisonRequests;
   readonly #witness: CrashWitness;
   readonly #records: QuarantineRecords;
-  /** Contents whose trial is being claimed here. */
+  /** Contents for which this entry is currently claiming a trial. */
   readonly #claimed = new Set<Fingerprint>();
   readonly #counts = { crashes: 0, quarantined: 0, trials: 0, acquitted: 0 };
   readonly #calls: Record<ConnectionAnswer, number> = { refused: 0, accepted: 0, silent: 0 };
   readonly #refusedByService = new Map<string, number>();
-  /** Takes what other entries are to know. */
+  /** Called with news to send to all other entries. */
   onNews: (news: PoisonNews) => void = () => {};
-  /** Takes contents that are in quarantine from now on. */
+  /** Called with contents that have just been put into quarantine. */
   onQuarantined: (fingerprints: ReadonlySet<Fingerprint>) => void = () => {};
 
   constructor({ log, metrics, placeOf, hasEnded, records, call }: PoisonGuardOptions) {
@@ -93,12 +93,12 @@
     ]);
   }
 
-  /** False while no content is suspect: then fingerprints need not be taken. */
+  /** Whether any content is suspected. While none is, fingerprints need not be computed. */
   get isWatching(): boolean {
     return this.#requests.isWatching;
   }
 
-  /** Decides on a request of `service` that is to be sent for the first time; a trial is claimed first, and begins here. */
+  /** Decides on a request of `service` before it is first sent. A trial is claimed in the store and recorded as started. */
   async admit(fingerprints: readonly Fingerprint[], service: string): Promise<PoisonDecision> {
     const now = performance.now();
     let decision = this.#decide(fingerprints, now);
@@ -113,7 +113,7 @@
     return this.#decide(fingerprints, performance.now()).type === 'allowed';
   }
 
-  /** Time after which a request with this content may be tried here, in milliseconds. */
+  /** Time until a request with this content may be sent as a trial from here, in milliseconds; 0 if it is not in quarantine. */
   retryAfter(fingerprints: readonly Fingerprint[]): number {
     const decision = this.#decide(fingerprints, performance.now());
     return decision.type === 'quarantined' ? decision.retryAfter : 0;
@@ -124,12 +124,12 @@
     this.#witness.noteBroken(suspect);
   }
 
-  /** A request in progress was given up, and its back end may still run it. */
+  /** A request in progress was aborted, but its back end may still run it. */
   noteGivenUp(suspect: CrashSuspect): void {
     this.#witness.noteGivenUp(suspect);
   }
 
-  /** A request was served whole. */
+  /** A request was served completely: its content is acquitted. */
   noteServed(fingerprints: readonly Fingerprint[]): void {
     const trials = this.#trialsOf(fingerprints);
     for (const fingerprint of fingerprints)
@@ -137,7 +137,7 @@
     void this.#records.releaseTrials(trials, Number.POSITIVE_INFINITY);
   }
 
-  /** The request of a trial has ended without having reached a back end. */
+  /** The request of a trial has ended without reaching a back end. */
   withdrawTrial(fingerprints: readonly Fingerprint[]): void {
     void this.#records.releaseTrials(this.#trialsOf(fingerprints), 1);
     for (const fingerprint of fingerprints) {
@@ -146,12 +146,12 @@
     }
   }
 
-  /** Looks for crashes no more. */
+  /** Stops detecting crashes. */
   stop(): void {
     this.#witness.stop();
   }
 
-  /** Takes what another entry tells. */
+  /** Applies news from another entry. */
   takeNews(news: PoisonNews): void {
     const now = performance.now();
     if (news.type === 'trial') return this.#requests.noteTrial(news.fingerprint, now);
@@ -161,13 +161,13 @@
     this.#takeCrash({ backEnd, start, at: now - age, suspects });
   }
 
-  /** What quarantines rest on, for an entry that may not have heard of it. */
+  /** The crashes that current quarantines are based on, to send on a new connection. */
   allNews(): PoisonNews[] {
     const now = performance.now();
     return this.#requests.blamedCrashes().map((crash) => newsOf(crash, now));
   }
 
-  /** The strictest of what its fingerprints say, as each stands for the whole content. */
+  /** The strictest of the decisions on its fingerprints, because each fingerprint identifies the whole content. */
   #decide(fingerprints: readonly Fingerprint[], now: number): PoisonDecision {
     const decisions = fingerprints.map((fingerprint) => this.#requests.decide(fingerprint, now));
     const quarantined = decisions.filter((decision) => decision.type === 'quarantined');
@@ -176,7 +176,7 @@
     return decisions.find(({ type }) => type === 'trial') ?? { type: 'allowed' };
   }
 
-  /** A trial that cannot be claimed, or that another entry has, is not made. */
+  /** Claims a trial. The request is refused if the store does not answer or the trial has already been claimed. */
   async #claimTrial(fingerprints: readonly Fingerprint[]): Promise<PoisonDecision> {
     const refused: PoisonDecision = { type: 'quarantined', retryAfter: RETRY_CLAIM };
     if (fingerprints.some((fingerprint) => this.#claimed.has(fingerprint))) return refused;
@@ -205,7 +205,7 @@
     this.#takeOwnCrash(crash);
   }
 
-  /** A crash, or suspects of one, that this entry knows of by itself. */
+  /** Handles a crash, or further suspects of one, that this entry detected itself: stores and announces it. */
   #takeOwnCrash(crash: BackEndCrash): void {
     this.#records.noteCrash(crash);
     this.onNews(newsOf(crash, performance.now()));
@@ -223,15 +223,16 @@
   }
 
   /**
-   * What was given up at a back end that crashes nevertheless was in progress there as well. Left out, a content seemed to have
-   * no part in a crash that it caused, which took another crash of the same moment for one of a wave and ended its quarantine.
+   * Adds aborted requests that may still have been running at the back end to the suspects of its crash. Without them, a content
+   * was not counted for a crash that it had caused; another crash at the same moment was then classified as part of a wave, which
+   * ended the quarantine of the content.
    */
   #addGivenUp({ backEnd, start, at }: BackEndCrash): void {
     const suspects = this.#witness.takeGivenUp({ id: backEnd, start });
     if (suspects.length > 0) this.#takeOwnCrash({ backEnd, start, at, suspects });
   }
 
-  /** What the store keeps of a time that this process has not seen. */
+  /** Applies stored crashes and trials, which may precede the start of this process. */
   #restore({ crashes, trials }: QuarantineState): void {
     for (const crash of crashes) this.#takeCrash(crash);
     for (const [fingerprint, count] of trials) this.#requests.noteTrials(fingerprint, count);
--- a/src/forwarding/request-fingerprint.ts
+++ b/src/forwarding/request-fingerprint.ts
@@ -1,7 +1,8 @@
 /**
- * What is the same request, whoever sends it again: digests of its method, host, path, body and caller. Its identity, its
- * deadline, its other headers and the entry that it came to are not part of it. The caller is, so that no tenant can have another
- * one's request shut out: once by its key and once by its tenant, as a tenant's keys are replaced and keys pass to other tenants.
+ * Fingerprints that identify repetitions of the same request: digests of its method, host, path, body and caller. The request
+ * identity, the deadline, other headers and the receiving entry are not included, as they differ between repetitions. The caller is
+ * included, so that no tenant can cause another tenant's requests to be refused. One digest identifies the caller by its key and
+ * another one by its tenant, because a tenant may replace its keys and a key may pass to another tenant.
  */
 import { createHash } from 'node:crypto';
 import type { IncomingMessage } from 'node:http';
@@ -9,20 +10,20 @@
 import type { CallerBody } from './caller-body.js';
 import type { HeaderNames } from './header-names.js';
 
-/** Characters of a digest that are kept, of 6 bits each: 132 bits, which nobody can find a second content for. */
+/** Length of a fingerprint in characters of 6 bits: 132 bits, for which finding a second content is infeasible. */
 const LENGTH = 22;
 const SEPARATOR = '\n';
 
-/** What a request's fingerprints are taken of. */
+/** The request data from which fingerprints are computed. */
 export interface FingerprintedRequest {
   request: IncomingMessage;
-  /** Its body, which has been read; of one that is streamed, its beginning and length count. */
+  /** The body, which has been read. Of a streamed body, only the beginning and the length are included. */
   body: CallerBody;
-  /** Name of its key's tenant; undefined where no key is needed. */
+  /** Name of the tenant that owns the caller's key; undefined if no key is required. */
   tenant: string | undefined;
 }
 
-/** The fingerprints of a request. It is the same as another one that shares any of them. */
+/** Computes the fingerprints of a request. Requests that share any fingerprint are considered the same. */
 export function fingerprintsOf(
   { request, body, tenant }: FingerprintedRequest,
   names: HeaderNames,
--- a/src/forwarding/suspect-content.ts
+++ b/src/forwarding/suspect-content.ts
@@ -1,9 +1,9 @@
-/** The content of one request, as far as back ends may crash under it. Its fingerprints are taken only where they are needed. */
+/** The content of one request, which may be a poison request. Its fingerprints are computed only when they are needed. */
 import type { Fingerprint, PoisonDecision } from '../systems/poison-requests.js';
 import type { BackEndRow } from './back-end-table.js';
 import type { PoisonGuard } from './poison-guard.js';
 
-/** The content of one request. */
+/** Applies the poison guard to one request. */
 export class SuspectContent {
   readonly #guard: PoisonGuard;
   readonly #take: () => Fingerprint[];
@@ -11,7 +11,7 @@
   #isTrial = false;
   #mayHaveRun = false;
 
-  /** @param take - takes its fingerprints; called once at the most, after its body has been read */
+  /** @param take - computes the fingerprints; called at most once, after the body has been read */
   constructor(guard: PoisonGuard, take: () => Fingerprint[]) {
     this.#guard = guard;
     this.#take = take;
@@ -22,7 +22,7 @@
     return this.#fingerprints;
   }
 
-  /** Decides whether it is sent at all. */
+  /** Decides whether the request is sent at all. */
   async admit(service: string): Promise<PoisonDecision> {
     if (!this.#guard.isWatching) return { type: 'allowed' };
     const decision = await this.#guard.admit(this.fingerprints, service);
@@ -30,42 +30,42 @@
     return decision;
   }
 
-  /** Whether it may go to a back end now; a trial may as long as it lasts. */
+  /** Whether the request may be sent to a back end now. Always true for a trial. */
   get mayBeSent(): boolean {
     return this.#isTrial || !this.#guard.isWatching || this.#guard.allows(this.fingerprints);
   }
 
-  /** After this a request like it may be tried here, in milliseconds. */
+  /** Time until a request with this content may be sent as a trial from here, in milliseconds. */
   get retryAfter(): number {
     return this.#guard.retryAfter(this.fingerprints);
   }
 
-  /** Whether it may go to one more back end after one that may have run it; a trial ends with its first. */
+  /** Whether the request may be sent again after a back end may have run it. Never true for a trial. */
   get mayRunAgain(): boolean {
     return !this.#isTrial && this.mayBeSent;
   }
 
-  /** Whether it is one of these. */
+  /** Whether `fingerprints` includes any of this content's fingerprints. */
   isAmong(fingerprints: ReadonlySet<Fingerprint>): boolean {
     return this.fingerprints.some((fingerprint) => fingerprints.has(fingerprint));
   }
 
-  /** Its connection to a back end broke. */
+  /** The connection to a back end that was running the request broke. */
   noteBroken(row: BackEndRow): void {
     this.#guard.noteBroken({ row, fingerprints: this.fingerprints });
   }
 
-  /** It was given up at a back end, which may still run it. */
+  /** The request was aborted at a back end, which may still run it. */
   noteGivenUp(row: BackEndRow): void {
     this.#guard.noteGivenUp({ row, fingerprints: this.fingerprints });
   }
 
-  /** A back end may have run it, or may yet. */
+  /** A back end may have run the request, or may still run it. */
   noteMayHaveRun(): void {
     this.#mayHaveRun = true;
   }
 
-  /** It has ended, whatever came of it. */
+  /** The request has ended, with any outcome. */
   noteSettled(): void {
     if (this.#isTrial && !this.#mayHaveRun) this.#guard.withdrawTrial(this.fingerprints);
   }
