--- a/src/forwarding/crash-witness.ts
+++ b/src/forwarding/crash-witness.ts
@@ -1,8 +1,8 @@
 /**
- * Tells the crash of a back end from connections that break while it lives: as the first one breaks, the back end is called
- * on a new connection. Its machine refuses that where the process has ended. One that accepts lives, or has started again; one
- * that says nothing is cut off or without power, or the call was lost. Where such a start of it turns out to have ended a moment
- * later, that was a crash as well.
+ * Distinguishes the crash of a back end from connections that break while it is running. When the first connection breaks, a new
+ * connection to the back end is opened as a probe. If the process has ended, its machine refuses the connection. If the connection
+ * is accepted, the back end is running or has restarted. If there is no answer, the machine is unreachable or without power, or
+ * the probe was lost. If that start of the back end is found to have ended shortly afterwards, it counts as a crash as well.
  */
 import { connect as connectSocket } from 'node:net';
 import { type BackEndIdentity, isSameStart } from '../model/back-end-identity.js';
@@ -10,59 +10,58 @@
 import type { BackEndCrash, Fingerprint } from '../systems/poison-requests.js';
 import type { BackEndRow } from './back-end-table.js';
 
-/** Time after which a call that nobody answers is given up, in milliseconds: above a packet that is lost and sent again. */
+/** Timeout of a probe, in milliseconds: longer than the retransmission of a lost packet. */
 const CALL_LIMIT = 400;
-/** Connections that break this long after the first one of a crash broke by it, in milliseconds: 15 were measured. */
+/** Connections that break within this time of the first one belong to the same crash, in milliseconds: 15 ms were measured. */
 const SAME_CRASH = 500;
 
 /**
- * The end of a back end is told this long after its connections broke, or a request there was given up, at the most, in milliseconds: its
- * entry in the list lapses after three heartbeats and is read a moment later.
+ * Maximum time from a broken connection or an aborted request until the end of the back end is known, in milliseconds: its record
+ * in the list expires after three heartbeats, and the list is read shortly afterwards.
  */
 const LATE_NEWS = 8_000;
-/** Time between two looks whether one whose connections broke has ended, in milliseconds. */
+/** Interval of the checks whether back ends with broken connections have ended, in milliseconds. */
 const LOOK_INTERVAL = 250;
 
-/** What a back end's machine says to a new connection. */
+/** Result of a probe. */
 export type ConnectionAnswer = 'refused' | 'accepted' | 'silent';
 
-/** A request at a back end. */
+/** A request in progress at a back end, which may have caused its crash. */
 export interface CrashSuspect {
   row: BackEndRow;
   fingerprints: readonly Fingerprint[];
 }
 
-/** A request that was given up at a back end, which may still run it. */
+/** A request that was aborted, but which its back end may still run. */
 interface GivenUpRequest extends CrashSuspect {
   at: number;
 }
 
-/** What the witness works with. */
 export interface CrashWitnessOptions {
-  /** Counts what the back ends' machines said to the calls. */
+  /** Counters of probes by result. */
   calls: Record<ConnectionAnswer, number>;
-  /** Takes a crash, and further suspects of it as they become known. */
+  /** Called with each crash, and again with further suspects of it as they become known. */
   onCrash: (crash: BackEndCrash) => void;
-  /** Whether this start of a back end has ended without notice: it is listed no more, or another one listens at its address. */
+  /** Whether this start of a back end has ended without notice: it is no longer listed, or another back end listens at its address. */
   hasEnded: (row: BackEndRow) => boolean;
   log: Log;
-  /** Opens a connection to `host:port` and closes it again. */
+  /** Probes `host:port`: opens a connection and closes it again. */
   call?: (address: string) => Promise<ConnectionAnswer>;
 }
 
 interface BrokenConnections {
   row: BackEndRow;
   at: number;
-  /** Undefined while the call is under way. */
+  /** Undefined while the probe is in progress. */
   hasCrashed: boolean | undefined;
   suspects: Set<Fingerprint>;
 }
 
-/** Watches the connections of one entry break. */
+/** Detects crashes from the broken connections and aborted requests of one entry. */
 export class CrashWitness {
   readonly #options: CrashWitnessOptions;
   readonly #broken = new Map<string, BrokenConnections>();
-  /** The earliest first. */
+  /** In the order in which they were aborted. */
   #givenUp: GivenUpRequest[] = [];
   #timer: NodeJS.Timeout | undefined;
 
@@ -79,7 +78,7 @@
     if (known.hasCrashed === true) this.#tell(known, fingerprints);
   }
 
-  /** A request in progress was given up. */
+  /** A request in progress was aborted. */
   noteGivenUp(suspect: CrashSuspect): void {
     const now = performance.now();
     this.#forgetGivenUp(now);
@@ -87,7 +86,7 @@
     this.#lookFromNowOn();
   }
 
-  /** Takes the requests that were given up lately at a back end that has crashed. */
+  /** Removes and returns the requests that were recently aborted at a back end that has crashed. */
   takeGivenUp({ id, start }: BackEndIdentity): Fingerprint[] {
     const isThere = ({ row: { record } }: GivenUpRequest) =>
       record.id === id && isSameStart(record.start, start);
@@ -97,7 +96,7 @@
     return taken.flatMap(({ fingerprints }) => fingerprints);
   }
 
-  /** Looks no more. */
+  /** Stops checking and discards all state. */
   stop(): void {
     clearInterval(this.#timer);
     this.#timer = undefined;
@@ -120,7 +119,7 @@
     while (this.#givenUp.length > 0 && now - this.#givenUp[0].at > LATE_NEWS) this.#givenUp.shift();
   }
 
-  /** News of the end of a back end may come late, or may have come while this process stood still. */
+  /** Checks whether back ends have ended. The list may show this late, or may have shown it while this process was paused. */
   #look(): void {
     const now = performance.now();
     for (const [key, broken] of this.#broken) {
@@ -128,7 +127,7 @@
       if (now - broken.at > LATE_NEWS) this.#broken.delete(key);
     }
     this.#forgetGivenUp(now);
-    // Where all callers had left, no connection broke.
+    // If all callers had left before the crash, no connection broke.
     const ended = this.#givenUp.filter(({ row }) => this.#options.hasEnded(row));
     for (const { row, at, fingerprints } of ended) this.#tell({ row, at }, fingerprints);
     if (ended.length > 0) this.#givenUp = this.#givenUp.filter((one) => !ended.includes(one));
--- a/src/forwarding/quarantine-records.ts
+++ b/src/forwarding/quarantine-records.ts
@@ -1,11 +1,12 @@
 /**
- * What this entry knows of contents that crash back ends, kept in the platform's store, as all entries may end at once: the
- * crashes that it saw, in one row of its own, and the trials of all entries, one row each.
+ * Persists the information on contents that crash back ends in the platform's store, because all entries may stop at once. Each
+ * entry has one row for the crashes that it has detected. Each trial of any entry has a row of its own.
  *
- * A trial is claimed before its request goes out: its row is created on the condition that it is not there, so that entries that
- * do not hear one another, or have forgotten, do not each make it. Without the store there is no trial.
+ * A trial is claimed before its request is sent. Its row is created on the condition that it does not exist, so that entries that
+ * cannot reach one another or have restarted do not each run the same trial. While the store is unavailable there are no trials.
  *
- * Rows are read at the start and whenever the store has come back from an older copy; in between entries tell one another.
+ * Rows are read at the start and whenever the store was restored from an older copy. Otherwise entries inform one another
+ * directly.
  */
 import { z } from 'zod';
 import type { StoredRow, WatchedTables } from '../clients/watched-tables.js';
@@ -18,62 +19,64 @@
 import { type BackEndCrash, type Fingerprint, keyOf } from '../systems/poison-requests.js';
 
 const TABLE = 'quarantine';
-/** Of its own: what a partition takes in a second is shared by all that is written there. */
+/** Separate from other data, because the write throughput of a partition is shared by all of its rows. */
 const PARTITION = 'quarantine';
 const CRASHES_PREFIX = 'crashes/';
 const TRIAL_PREFIX = 'trial/';
-/** Time for one call, in milliseconds. */
+/** Timeout of a call to the store, in milliseconds. */
 const CALL_LIMIT = 1_000;
-/** Time for the claim of a trial, in milliseconds: its caller waits. */
+/** Timeout of the claim of a trial, in milliseconds: its caller waits. */
 const CLAIM_LIMIT = 300;
-/** Suspects of one crash become known within some milliseconds and are mostly written together: what is not written dies with all entries. */
+/**
+ * Delay before a write, in milliseconds. The suspects of one crash become known within a few milliseconds and are mostly written
+ * together. The delay is short because unwritten information is lost if all entries stop.
+ */
 const GATHER_TIME = 5;
-/** Time after a failed call, in milliseconds times 1 to 2. */
+/** Minimum pause before a failed call is retried, in milliseconds; random jitter adds up to as much again. */
 const RETRY_PAUSE = 250;
-/** Time between two writes, in milliseconds: what becomes known meanwhile is written together. */
+/** Minimum time between two writes, in milliseconds: changes in between are written together. */
 const WRITE_INTERVAL = 20;
-/** Bytes of this entry's row: an entry that starts reads the rows of all. */
+/** Maximum size of this entry's row, in bytes: an entry reads the rows of all entries at its start. */
 const MOST_BYTES = 8_000;
 
 const storedCrashes = z.array(
   z.object({
     backEnd: z.string(),
     start: z.number().optional(),
-    /** Milliseconds of the store's clock. */
+    /** In milliseconds of the store's clock. */
     at: z.number(),
     suspects: z.array(z.string()),
   }),
 );
 
-/** What the store keeps, in this process's time. */
+/** The stored crashes and trials, with times converted to this process's steady clock. */
 export interface QuarantineState {
   crashes: BackEndCrash[];
-  /** Trials made with each content. */
+  /** Number of trials run with each content. */
   trials: Map<Fingerprint, number>;
 }
 
-/** What became of the claim of a trial. */
+/** Result of claiming a trial. */
 export type TrialClaim =
   | { type: 'claimed' }
-  /** Others have made it; these are the trials made with each content. */
+  /** The trial has already been claimed; `trials` is the number of trials run with each content. */
   | { type: 'taken'; trials: Map<Fingerprint, number> }
-  /** The store does not answer. */
+  /** The store did not answer. */
   | { type: 'unknown' };
 
-/** What the records work with. */
 export interface QuarantineRecordsOptions {
   tables: WatchedTables;
-  /** Names this entry's machine: the next process there goes on with its row. */
+  /** Name of this entry's machine: the next process there continues its row. */
   name: string;
   clock: StoreClock;
   random: Random;
   log: Log;
 }
 
-/** The records of one entry. */
+/** The stored crashes and trials, as read and written by one entry. */
 export class QuarantineRecords implements Startable {
   readonly #options: QuarantineRecordsOptions;
-  /** The crashes that this entry, or a former process at its place, saw: the earliest first. */
+  /** Crashes detected by this entry or an earlier process on its machine, in the order in which they were noted. */
   readonly #own = new Map<string, BackEndCrash>();
   #revision = 0;
   #isRead = false;
@@ -81,16 +84,16 @@
   #isWorking = false;
   #writtenAt = Number.NEGATIVE_INFINITY;
   #stopped = new AbortController();
-  /** Takes what the store keeps. */
+  /** Called with the stored state after each read. */
   onRead: (state: QuarantineState) => void = () => {};
-  /** Whether a quarantine rests on a crash with this content: such crashes are dropped last. */
+  /** Whether a content is in quarantine: crashes with such contents are dropped last. */
   isQuarantined: (fingerprint: Fingerprint) => boolean = () => false;
 
   constructor(options: QuarantineRecordsOptions) {
     this.#options = options;
   }
 
-  /** Does not wait for the store: an entry serves while that is away. */
+  /** Reads and writes in the background, because an entry must start even if the store is unavailable. */
   async start(): Promise<void> {
     this.#stopped = new AbortController();
     void this.#work();
@@ -100,7 +103,7 @@
     this.#stopped.abort();
   }
 
-  /** Takes a crash that this entry saw, or more suspects of one. */
+  /** Adds a crash that this entry detected, or further suspects of a known one. */
   noteCrash(crash: BackEndCrash): void {
     const known = this.#own.get(keyOf(crash));
     const suspects = [...new Set([...(known?.suspects ?? []), ...crash.suspects])];
@@ -108,7 +111,7 @@
     this.#change();
   }
 
-  /** A request with this content was served: it is suspect no more. */
+  /** A request with this content was served: the content is no longer suspected. */
   noteServed(fingerprint: Fingerprint): void {
     for (const [key, crash] of this.#own) {
       if (!crash.suspects.includes(fingerprint)) continue;
@@ -119,7 +122,7 @@
     }
   }
 
-  /** The store has come back from an older copy: rows written lately may be gone. */
+  /** The store was restored from an older copy, which may lack recent writes. */
   noteOlderCopy(): void {
     this.#isRead = false;
     if (this.#own.size > 0) this.#isWritten = false;
@@ -127,8 +130,8 @@
   }
 
   /**
-   * Claims the next trial of a content, for all of its fingerprints together.
-   * @param made - the trials that are known of each fingerprint
+   * Claims the next trial of a content, for all of its fingerprints in one transaction.
+   * @param made - known number of trials with each fingerprint
    */
   async claimTrial(made: ReadonlyMap<Fingerprint, number>): Promise<TrialClaim> {
     const rows = [...made].map(([fingerprint, count]) => ({
@@ -158,7 +161,11 @@
     return { type: 'taken', trials: new Map(trials) };
   }
 
-  /** Gives trials back, as they showed that the content is harmless, or never reached a back end. */
+  /**
+   * Deletes the rows of trials that showed the content to be harmless or never reached a back end.
+   * @param made - known number of trials with each fingerprint
+   * @param released - maximum number of trials to delete per fingerprint, the latest first
+   */
   async releaseTrials(made: ReadonlyMap<Fingerprint, number>, released: number): Promise<void> {
     const rows = [...made].flatMap(([fingerprint, count]) =>
       Array.from({ length: Math.min(count, released) }, (_, index) => rowOfTrial(fingerprint, count - index)),
@@ -170,8 +177,8 @@
       rows.map((row) => ({ ...row, value: undefined })),
       signal,
     );
-    // A trial too few is made later; nothing is sent that may not be.
-    if (!outcome.ok) this.#options.log.warn('trial not given back', { ...outcome.error });
+    // Remaining rows only reduce the number of later trials; they never permit an additional request.
+    if (!outcome.ok) this.#options.log.warn('trial rows not deleted', { ...outcome.error });
   }
 
   #change(): void {
@@ -206,12 +213,12 @@
     return true;
   }
 
-  /** A row of a former process here is gone on with. */
+  /** Reads the crashes of a row. Those of this entry's own row, written by an earlier process, are added to the known ones. */
   #crashesIn({ key, value }: StoredRow): BackEndCrash[] {
     if (!key.startsWith(CRASHES_PREFIX) || value === undefined) return [];
     const stored = parse(value);
     if (stored === undefined) {
-      this.#options.log.warn('crashes left out', { key });
+      this.#options.log.warn('crash row malformed, ignored', { key });
       return [];
     }
     const crashes = stored.map((crash) => ({ ...crash, at: this.#options.clock.localTimeAt(crash.at) }));
@@ -220,7 +227,10 @@
     return crashes;
   }
 
-  /** On the condition that the row is as it was read or written last: a late copy of an earlier write must not undo a later one. */
+  /**
+   * Writes this entry's row on the condition that it still has its last known revision: an earlier write that the store executes
+   * late must not overwrite a later one.
+   */
   async #write(signal: AbortSignal): Promise<boolean> {
     await sleep(Math.max(GATHER_TIME, this.#writtenAt + WRITE_INTERVAL - performance.now()), signal);
     this.#writtenAt = performance.now();
@@ -270,7 +280,7 @@
   return { table: TABLE, partition: PARTITION, key: `${TRIAL_PREFIX}${fingerprint}/${number}` };
 }
 
-/** The highest number of a trial of each content. */
+/** The highest trial number of each content. */
 function trialsIn(rows: readonly StoredRow[]): Map<Fingerprint, number> {
   const trials = new Map<Fingerprint, number>();
   for (const { key } of rows) {
@@ -281,7 +291,7 @@
   return trials;
 }
 
-/** Undefined where the row is none of these. */
+/** Returns undefined if the value is malformed. */
 function parse(value: Buffer): z.output<typeof storedCrashes> | undefined {
   try {
     return storedCrashes.safeParse(JSON.parse(value.toString())).data;
