--- a/src/forwarding/crash-witness.ts
+++ b/src/forwarding/crash-detector.ts
@@ -11,20 +11,20 @@
 import type { BackEndRow } from './back-end-table.js';
 
 /** Timeout of a probe, in milliseconds: longer than the retransmission of a lost packet. */
-const CALL_LIMIT = 400;
+const PROBE_TIMEOUT = 400;
 /** Connections that break within this time of the first one belong to the same crash, in milliseconds: 15 ms were measured. */
-const SAME_CRASH = 500;
+const SAME_CRASH_TIME = 500;
 
 /**
  * Maximum time from a broken connection or an aborted request until the end of the back end is known, in milliseconds: its record
  * in the list expires after three heartbeats, and the list is read shortly afterwards.
  */
-const LATE_NEWS = 8_000;
+const END_DETECTION_TIME = 8_000;
 /** Interval of the checks whether back ends with broken connections have ended, in milliseconds. */
-const LOOK_INTERVAL = 250;
+const CHECK_INTERVAL = 250;
 
 /** Result of a probe. */
-export type ConnectionAnswer = 'refused' | 'accepted' | 'silent';
+export type ProbeResult = 'refused' | 'accepted' | 'silent';
 
 /** A request in progress at a back end, which may have caused its crash. */
 export interface CrashSuspect {
@@ -37,16 +37,16 @@
   at: number;
 }
 
-export interface CrashWitnessOptions {
+export interface CrashDetectorOptions {
   /** Counters of probes by result. */
-  calls: Record<ConnectionAnswer, number>;
+  calls: Record<ProbeResult, number>;
   /** Called with each crash, and again with further suspects of it as they become known. */
   onCrash: (crash: BackEndCrash) => void;
   /** Whether this start of a back end has ended without notice: it is no longer listed, or another back end listens at its address. */
   hasEnded: (row: BackEndRow) => boolean;
   log: Log;
   /** Probes `host:port`: opens a connection and closes it again. */
-  call?: (address: string) => Promise<ConnectionAnswer>;
+  call?: (address: string) => Promise<ProbeResult>;
 }
 
 interface BrokenConnections {
@@ -58,14 +58,14 @@
 }
 
 /** Detects crashes from the broken connections and aborted requests of one entry. */
-export class CrashWitness {
-  readonly #options: CrashWitnessOptions;
+export class CrashDetector {
+  readonly #options: CrashDetectorOptions;
   readonly #broken = new Map<string, BrokenConnections>();
   /** In the order in which they were aborted. */
   #givenUp: GivenUpRequest[] = [];
   #timer: NodeJS.Timeout | undefined;
 
-  constructor(options: CrashWitnessOptions) {
+  constructor(options: CrashDetectorOptions) {
     this.#options = options;
   }
 
@@ -73,24 +73,25 @@
   noteBroken({ row, fingerprints }: CrashSuspect): void {
     const now = performance.now();
     const known = this.#broken.get(keyOf(row.record));
-    if (known === undefined || now - known.at > SAME_CRASH) return this.#begin(row, fingerprints, now);
+    if (known === undefined || now - known.at > SAME_CRASH_TIME)
+      return this.#startProbe(row, fingerprints, now);
     for (const fingerprint of fingerprints) known.suspects.add(fingerprint);
-    if (known.hasCrashed === true) this.#tell(known, fingerprints);
+    if (known.hasCrashed === true) this.#reportSuspects(known, fingerprints);
   }
 
   /** A request in progress was aborted. */
   noteGivenUp(suspect: CrashSuspect): void {
     const now = performance.now();
-    this.#forgetGivenUp(now);
+    this.#expireGivenUp(now);
     this.#givenUp.push({ ...suspect, at: now });
-    this.#lookFromNowOn();
+    this.#startChecks();
   }
 
   /** Removes and returns the requests that were recently aborted at a back end that has crashed. */
-  takeGivenUp({ id, start }: BackEndIdentity): Fingerprint[] {
+  removeGivenUp({ id, start }: BackEndIdentity): Fingerprint[] {
     const isThere = ({ row: { record } }: GivenUpRequest) =>
       record.id === id && isSameStart(record.start, start);
-    this.#forgetGivenUp(performance.now());
+    this.#expireGivenUp(performance.now());
     const taken = this.#givenUp.filter(isThere);
     if (taken.length > 0) this.#givenUp = this.#givenUp.filter((one) => !isThere(one));
     return taken.flatMap(({ fingerprints }) => fingerprints);
@@ -104,38 +105,38 @@
     this.#givenUp = [];
   }
 
-  #begin(row: BackEndRow, fingerprints: readonly Fingerprint[], now: number): void {
+  #startProbe(row: BackEndRow, fingerprints: readonly Fingerprint[], now: number): void {
     const broken = { row, at: now, hasCrashed: undefined, suspects: new Set(fingerprints) };
     this.#broken.set(keyOf(row.record), broken);
-    this.#lookFromNowOn();
-    void this.#ask(broken);
+    this.#startChecks();
+    void this.#probe(broken);
   }
 
-  #lookFromNowOn(): void {
-    this.#timer ??= setInterval(() => this.#look(), LOOK_INTERVAL).unref();
+  #startChecks(): void {
+    this.#timer ??= setInterval(() => this.#checkEnded(), CHECK_INTERVAL).unref();
   }
 
-  #forgetGivenUp(now: number): void {
-    while (this.#givenUp.length > 0 && now - this.#givenUp[0].at > LATE_NEWS) this.#givenUp.shift();
+  #expireGivenUp(now: number): void {
+    while (this.#givenUp.length > 0 && now - this.#givenUp[0].at > END_DETECTION_TIME) this.#givenUp.shift();
   }
 
   /** Checks whether back ends have ended. The list may show this late, or may have shown it while this process was paused. */
-  #look(): void {
+  #checkEnded(): void {
     const now = performance.now();
     for (const [key, broken] of this.#broken) {
       if (broken.hasCrashed === false && this.#options.hasEnded(broken.row)) this.#noteCrashed(broken);
-      if (now - broken.at > LATE_NEWS) this.#broken.delete(key);
+      if (now - broken.at > END_DETECTION_TIME) this.#broken.delete(key);
     }
-    this.#forgetGivenUp(now);
+    this.#expireGivenUp(now);
     // If all callers had left before the crash, no connection broke.
     const ended = this.#givenUp.filter(({ row }) => this.#options.hasEnded(row));
-    for (const { row, at, fingerprints } of ended) this.#tell({ row, at }, fingerprints);
+    for (const { row, at, fingerprints } of ended) this.#reportSuspects({ row, at }, fingerprints);
     if (ended.length > 0) this.#givenUp = this.#givenUp.filter((one) => !ended.includes(one));
     if (this.#broken.size === 0 && this.#givenUp.length === 0) this.stop();
   }
 
-  async #ask(broken: BrokenConnections): Promise<void> {
-    const { call = callOnce, calls, log } = this.#options;
+  async #probe(broken: BrokenConnections): Promise<void> {
+    const { call = probe, calls, log } = this.#options;
     const { row } = broken;
     const answer = await call(row.record.address);
     calls[answer]++;
@@ -149,10 +150,13 @@
     broken.hasCrashed = true;
     row.health.noteCrashed(performance.now());
     this.#options.log.info('back end crashed', { backEnd: row.record.id, suspects: suspects.size });
-    this.#tell(broken, [...suspects]);
+    this.#reportSuspects(broken, [...suspects]);
   }
 
-  #tell({ row, at }: Pick<BrokenConnections, 'row' | 'at'>, suspects: readonly Fingerprint[]): void {
+  #reportSuspects(
+    { row, at }: Pick<BrokenConnections, 'row' | 'at'>,
+    suspects: readonly Fingerprint[],
+  ): void {
     const { id: backEnd, start } = row.record;
     this.#options.onCrash({ backEnd, start, at, suspects });
   }
@@ -162,11 +166,11 @@
   return `${id} ${start ?? ''}`;
 }
 
-function callOnce(address: string): Promise<ConnectionAnswer> {
+function probe(address: string): Promise<ProbeResult> {
   const [host, port] = address.split(':');
   return new Promise((resolve) => {
-    const socket = connectSocket({ host, port: Number(port), timeout: CALL_LIMIT });
-    const settle = (answer: ConnectionAnswer) => {
+    const socket = connectSocket({ host, port: Number(port), timeout: PROBE_TIMEOUT });
+    const settle = (answer: ProbeResult) => {
       socket.destroy();
       resolve(answer);
     };
--- a/src/forwarding/forwarded-request.ts
+++ b/src/forwarding/forwarded-request.ts
@@ -112,7 +112,7 @@
     if (this.#body.type === 'cut') return this.#fail({ type: 'malformed', reason: 'cut body' });
     this.#components.budgetOf(this.#admitted.service).earn(performance.now());
     const decision = await this.#content.admit(this.#admitted.service);
-    if (this.#settled) return this.#content.noteSettled();
+    if (this.#settled) return this.#content.noteEnded();
     if (decision.type === 'quarantined') return this.#refuseQuarantined(decision.retryAfter);
     this.#wait.begin();
   }
@@ -121,7 +121,7 @@
   onQuarantined(fingerprints: ReadonlySet<Fingerprint>): void {
     const isWaiting = !this.#settled && this.#wait?.isUnderWay;
     if (this.#openAttempts.size === 0 && !isWaiting) return;
-    if (!this.#content.isAmong(fingerprints) || this.#content.mayBeSent) return;
+    if (!this.#content.matchesAny(fingerprints) || this.#content.mayBeSent) return;
     if (isWaiting) this.#giveUpQuarantined();
     for (const { attempt, hasBegun } of this.#openAttempts.all())
       if (!hasBegun) attempt.withdraw('quarantined');
@@ -570,7 +570,7 @@
     if (ending.type === 'answered' && this.#openAttempts.has(ending.use)) this.#closeAnswered(ending.use);
     this.#wait?.end(holdEndOf(ending));
     this.#openAttempts.abortAll(ending.type === 'left' ? 'caller left' : 'request ended');
-    this.#content.noteSettled();
+    this.#content.noteEnded();
   }
 
   /** Closes the attempt that completed the answer, and records its outcome. */
--- a/src/forwarding/poison-guard.ts
+++ b/src/forwarding/poison-guard.ts
@@ -13,11 +13,11 @@
   PoisonRequests,
 } from '../systems/poison-requests.js';
 import type { BackEndRow } from './back-end-table.js';
-import { type ConnectionAnswer, type CrashSuspect, CrashWitness } from './crash-witness.js';
+import { CrashDetector, type CrashSuspect, type ProbeResult } from './crash-detector.js';
 import type { QuarantineRecords, QuarantineState } from './quarantine-records.js';
 
 /** Retry delay for callers whose trial could not be claimed, in milliseconds: the store may be available again by then. */
-const RETRY_CLAIM = 2_000;
+const CLAIM_RETRY_DELAY = 2_000;
 
 export interface PoisonGuardOptions {
   log: Log;
@@ -29,19 +29,19 @@
   /** Persists crashes and trials. */
   records: QuarantineRecords;
   /** Opens a connection to a back end that may have crashed. */
-  call?: (address: string) => Promise<ConnectionAnswer>;
+  call?: (address: string) => Promise<ProbeResult>;
 }
 
 /** Blocks poison requests at one entry. */
 export class PoisonGuard {
   readonly #log: Log;
   readonly #requests: PoisonRequests;
-  readonly #witness: CrashWitness;
+  readonly #detector: CrashDetector;
   readonly #records: QuarantineRecords;
   /** Contents for which this entry is currently claiming a trial. */
-  readonly #claimed = new Set<Fingerprint>();
+  readonly #claiming = new Set<Fingerprint>();
   readonly #counts = { crashes: 0, quarantined: 0, trials: 0, acquitted: 0 };
-  readonly #calls: Record<ConnectionAnswer, number> = { refused: 0, accepted: 0, silent: 0 };
+  readonly #probes: Record<ProbeResult, number> = { refused: 0, accepted: 0, silent: 0 };
   readonly #refusedByService = new Map<string, number>();
   /** Called with news to send to all other entries. */
   onNews: (news: PoisonNews) => void = () => {};
@@ -54,11 +54,11 @@
     records.onRead = (state) => this.#restore(state);
     records.isQuarantined = (fingerprint) => this.#requests.isQuarantined(fingerprint);
     this.#requests = new PoisonRequests(placeOf);
-    this.#witness = new CrashWitness({
+    this.#detector = new CrashDetector({
       log,
       call,
       hasEnded,
-      calls: this.#calls,
+      calls: this.#probes,
       onCrash: (crash) => this.#onCrash(crash),
     });
     metrics.add([
@@ -72,7 +72,7 @@
         name: 'crash_calls',
         help: 'Calls since the start to back ends whose connections broke, by what came of them: only a refused one is a crash',
         label: 'answer',
-        read: () => ({ ...this.#calls }),
+        read: () => ({ ...this.#probes }),
       },
       {
         name: 'poison_refusals',
@@ -94,7 +94,7 @@
   }
 
   /** Whether any content is suspected. While none is, fingerprints need not be computed. */
-  get isWatching(): boolean {
+  get hasSuspects(): boolean {
     return this.#requests.isWatching;
   }
 
@@ -121,12 +121,12 @@
 
   /** The connection of a request in progress broke. */
   noteBroken(suspect: CrashSuspect): void {
-    this.#witness.noteBroken(suspect);
+    this.#detector.noteBroken(suspect);
   }
 
   /** A request in progress was aborted, but its back end may still run it. */
   noteGivenUp(suspect: CrashSuspect): void {
-    this.#witness.noteGivenUp(suspect);
+    this.#detector.noteGivenUp(suspect);
   }
 
   /** A request was served completely: its content is acquitted. */
@@ -148,7 +148,7 @@
 
   /** Stops detecting crashes. */
   stop(): void {
-    this.#witness.stop();
+    this.#detector.stop();
   }
 
   /** Applies news from another entry. */
@@ -158,7 +158,7 @@
     if (news.type === 'notTried') return this.#requests.withdrawTrial(news.fingerprint);
     if (news.type === 'served') return void this.#acquit(news.fingerprint);
     const { backEnd, start, age, suspects } = news;
-    this.#takeCrash({ backEnd, start, at: now - age, suspects });
+    this.#applyCrash({ backEnd, start, at: now - age, suspects });
   }
 
   /** The crashes that current quarantines are based on, to send on a new connection. */
@@ -178,12 +178,12 @@
 
   /** Claims a trial. The request is refused if the store does not answer or the trial has already been claimed. */
   async #claimTrial(fingerprints: readonly Fingerprint[]): Promise<PoisonDecision> {
-    const refused: PoisonDecision = { type: 'quarantined', retryAfter: RETRY_CLAIM };
-    if (fingerprints.some((fingerprint) => this.#claimed.has(fingerprint))) return refused;
-    for (const fingerprint of fingerprints) this.#claimed.add(fingerprint);
-    const made = new Map(fingerprints.map((one) => [one, this.#requests.trialsOf(one)]));
-    const claim = await this.#records.claimTrial(made);
-    for (const fingerprint of fingerprints) this.#claimed.delete(fingerprint);
+    const refused: PoisonDecision = { type: 'quarantined', retryAfter: CLAIM_RETRY_DELAY };
+    if (fingerprints.some((fingerprint) => this.#claiming.has(fingerprint))) return refused;
+    for (const fingerprint of fingerprints) this.#claiming.add(fingerprint);
+    const trialCounts = new Map(fingerprints.map((one) => [one, this.#requests.trialsOf(one)]));
+    const claim = await this.#records.claimTrial(trialCounts);
+    for (const fingerprint of fingerprints) this.#claiming.delete(fingerprint);
     if (claim.type === 'taken')
       for (const [fingerprint, count] of claim.trials) this.#requests.noteTrials(fingerprint, count);
     if (claim.type !== 'claimed') return refused;
@@ -202,17 +202,17 @@
 
   #onCrash(crash: BackEndCrash): void {
     this.#counts.crashes++;
-    this.#takeOwnCrash(crash);
+    this.#handleOwnCrash(crash);
   }
 
   /** Handles a crash, or further suspects of one, that this entry detected itself: stores and announces it. */
-  #takeOwnCrash(crash: BackEndCrash): void {
+  #handleOwnCrash(crash: BackEndCrash): void {
     this.#records.noteCrash(crash);
     this.onNews(newsOf(crash, performance.now()));
-    this.#takeCrash(crash);
+    this.#applyCrash(crash);
   }
 
-  #takeCrash(crash: BackEndCrash): void {
+  #applyCrash(crash: BackEndCrash): void {
     this.#addGivenUp(crash);
     const quarantined = this.#requests.noteCrash(crash);
     if (quarantined.length === 0) return;
@@ -228,13 +228,13 @@
    * ended the quarantine of the content.
    */
   #addGivenUp({ backEnd, start, at }: BackEndCrash): void {
-    const suspects = this.#witness.takeGivenUp({ id: backEnd, start });
-    if (suspects.length > 0) this.#takeOwnCrash({ backEnd, start, at, suspects });
+    const suspects = this.#detector.removeGivenUp({ id: backEnd, start });
+    if (suspects.length > 0) this.#handleOwnCrash({ backEnd, start, at, suspects });
   }
 
   /** Applies stored crashes and trials, which may precede the start of this process. */
   #restore({ crashes, trials }: QuarantineState): void {
-    for (const crash of crashes) this.#takeCrash(crash);
+    for (const crash of crashes) this.#applyCrash(crash);
     for (const [fingerprint, count] of trials) this.#requests.noteTrials(fingerprint, count);
   }
 
--- a/src/forwarding/quarantine-records.ts
+++ b/src/forwarding/quarantine-records.ts
@@ -31,13 +31,13 @@
  * Delay before a write, in milliseconds. The suspects of one crash become known within a few milliseconds and are mostly written
  * together. The delay is short because unwritten information is lost if all entries stop.
  */
-const GATHER_TIME = 5;
+const BATCH_DELAY = 5;
 /** Minimum pause before a failed call is retried, in milliseconds; random jitter adds up to as much again. */
 const RETRY_PAUSE = 250;
 /** Minimum time between two writes, in milliseconds: changes in between are written together. */
 const WRITE_INTERVAL = 20;
 /** Maximum size of this entry's row, in bytes: an entry reads the rows of all entries at its start. */
-const MOST_BYTES = 8_000;
+const MAX_ROW_BYTES = 8_000;
 
 const storedCrashes = z.array(
   z.object({
@@ -77,11 +77,11 @@
 export class QuarantineRecords implements Startable {
   readonly #options: QuarantineRecordsOptions;
   /** Crashes detected by this entry or an earlier process on its machine, in the order in which they were noted. */
-  readonly #own = new Map<string, BackEndCrash>();
+  readonly #ownCrashes = new Map<string, BackEndCrash>();
   #revision = 0;
   #isRead = false;
   #isWritten = true;
-  #isWorking = false;
+  #isSynchronizing = false;
   #writtenAt = Number.NEGATIVE_INFINITY;
   #stopped = new AbortController();
   /** Called with the stored state after each read. */
@@ -96,7 +96,7 @@
   /** Reads and writes in the background, because an entry must start even if the store is unavailable. */
   async start(): Promise<void> {
     this.#stopped = new AbortController();
-    void this.#work();
+    void this.#synchronize();
   }
 
   async stop(): Promise<void> {
@@ -105,36 +105,36 @@
 
   /** Adds a crash that this entry detected, or further suspects of a known one. */
   noteCrash(crash: BackEndCrash): void {
-    const known = this.#own.get(keyOf(crash));
+    const known = this.#ownCrashes.get(keyOf(crash));
     const suspects = [...new Set([...(known?.suspects ?? []), ...crash.suspects])];
-    this.#own.set(keyOf(crash), { ...crash, at: known?.at ?? crash.at, suspects });
-    this.#change();
+    this.#ownCrashes.set(keyOf(crash), { ...crash, at: known?.at ?? crash.at, suspects });
+    this.#markChanged();
   }
 
   /** A request with this content was served: the content is no longer suspected. */
   noteServed(fingerprint: Fingerprint): void {
-    for (const [key, crash] of this.#own) {
+    for (const [key, crash] of this.#ownCrashes) {
       if (!crash.suspects.includes(fingerprint)) continue;
       const suspects = crash.suspects.filter((one) => one !== fingerprint);
-      if (suspects.length > 0) this.#own.set(key, { ...crash, suspects });
-      else this.#own.delete(key);
-      this.#change();
+      if (suspects.length > 0) this.#ownCrashes.set(key, { ...crash, suspects });
+      else this.#ownCrashes.delete(key);
+      this.#markChanged();
     }
   }
 
   /** The store was restored from an older copy, which may lack recent writes. */
   noteOlderCopy(): void {
     this.#isRead = false;
-    if (this.#own.size > 0) this.#isWritten = false;
-    void this.#work();
+    if (this.#ownCrashes.size > 0) this.#isWritten = false;
+    void this.#synchronize();
   }
 
   /**
    * Claims the next trial of a content, for all of its fingerprints in one transaction.
-   * @param made - known number of trials with each fingerprint
+   * @param trialCounts - known number of trials with each fingerprint
    */
-  async claimTrial(made: ReadonlyMap<Fingerprint, number>): Promise<TrialClaim> {
-    const rows = [...made].map(([fingerprint, count]) => ({
+  async claimTrial(trialCounts: ReadonlyMap<Fingerprint, number>): Promise<TrialClaim> {
+    const rows = [...trialCounts].map(([fingerprint, count]) => ({
       ...rowOfTrial(fingerprint, count + 1),
       count,
       fingerprint,
@@ -163,12 +163,14 @@
 
   /**
    * Deletes the rows of trials that showed the content to be harmless or never reached a back end.
-   * @param made - known number of trials with each fingerprint
-   * @param released - maximum number of trials to delete per fingerprint, the latest first
+   * @param trialCounts - known number of trials with each fingerprint
+   * @param maxReleased - maximum number of trials to delete per fingerprint, the latest first
    */
-  async releaseTrials(made: ReadonlyMap<Fingerprint, number>, released: number): Promise<void> {
-    const rows = [...made].flatMap(([fingerprint, count]) =>
-      Array.from({ length: Math.min(count, released) }, (_, index) => rowOfTrial(fingerprint, count - index)),
+  async releaseTrials(trialCounts: ReadonlyMap<Fingerprint, number>, maxReleased: number): Promise<void> {
+    const rows = [...trialCounts].flatMap(([fingerprint, count]) =>
+      Array.from({ length: Math.min(count, maxReleased) }, (_, index) =>
+        rowOfTrial(fingerprint, count - index),
+      ),
     );
     if (rows.length === 0) return;
     const signal = withLimit(this.#stopped.signal, CALL_LIMIT);
@@ -181,28 +183,28 @@
     if (!outcome.ok) this.#options.log.warn('trial rows not deleted', { ...outcome.error });
   }
 
-  #change(): void {
+  #markChanged(): void {
     this.#isWritten = false;
-    void this.#work();
+    void this.#synchronize();
   }
 
-  async #work(): Promise<void> {
-    if (this.#isWorking) return;
-    this.#isWorking = true;
+  async #synchronize(): Promise<void> {
+    if (this.#isSynchronizing) return;
+    this.#isSynchronizing = true;
     const { signal } = this.#stopped;
     while (!signal.aborted && !(this.#isRead && this.#isWritten)) {
       const isDone = this.#isRead ? await this.#write(signal) : await this.#read(signal);
       if (!isDone) await sleep(RETRY_PAUSE * (1 + this.#options.random.fraction()), signal);
     }
-    this.#isWorking = false;
+    this.#isSynchronizing = false;
   }
 
   async #read(signal: AbortSignal): Promise<boolean> {
     const { tables, clock, log } = this.#options;
-    const askedAt = performance.now();
+    const requestedAt = performance.now();
     const read = await tables.read(TABLE, PARTITION, withLimit(signal, CALL_LIMIT));
     if (!read.ok) return false;
-    clock.note(read.value.storeTime, performance.now(), askedAt);
+    clock.note(read.value.storeTime, performance.now(), requestedAt);
     const { rows } = read.value;
     const crashes = rows.flatMap((row) => this.#crashesIn(row));
     this.#revision = rows.find(({ key }) => key === this.#ownKey)?.revision ?? 0;
@@ -223,7 +225,8 @@
     }
     const crashes = stored.map((crash) => ({ ...crash, at: this.#options.clock.localTimeAt(crash.at) }));
     if (key === this.#ownKey)
-      for (const crash of crashes) if (!this.#own.has(keyOf(crash))) this.#own.set(keyOf(crash), crash);
+      for (const crash of crashes)
+        if (!this.#ownCrashes.has(keyOf(crash))) this.#ownCrashes.set(keyOf(crash), crash);
     return crashes;
   }
 
@@ -232,7 +235,7 @@
    * late must not overwrite a later one.
    */
   async #write(signal: AbortSignal): Promise<boolean> {
-    await sleep(Math.max(GATHER_TIME, this.#writtenAt + WRITE_INTERVAL - performance.now()), signal);
+    await sleep(Math.max(BATCH_DELAY, this.#writtenAt + WRITE_INTERVAL - performance.now()), signal);
     this.#writtenAt = performance.now();
     const row = { table: TABLE, partition: PARTITION, key: this.#ownKey };
     this.#isWritten = true;
@@ -253,18 +256,18 @@
   #document(): Buffer {
     for (;;) {
       const document = Buffer.from(
-        JSON.stringify([...this.#own.values()].map((crash) => this.#toStored(crash))),
+        JSON.stringify([...this.#ownCrashes.values()].map((crash) => this.#toStored(crash))),
       );
-      if (document.byteLength <= MOST_BYTES) return document;
-      this.#dropOne();
+      if (document.byteLength <= MAX_ROW_BYTES) return document;
+      this.#dropOneCrash();
     }
   }
 
-  #dropOne(): void {
+  #dropOneCrash(): void {
     const isNeeded = ({ suspects }: BackEndCrash) => suspects.some((one) => this.isQuarantined(one));
-    const all = [...this.#own];
+    const all = [...this.#ownCrashes];
     const [key] = all.find(([, crash]) => !isNeeded(crash)) ?? all[0];
-    this.#own.delete(key);
+    this.#ownCrashes.delete(key);
   }
 
   #toStored({ at, ...crash }: BackEndCrash): z.input<typeof storedCrashes>[number] {
--- a/src/forwarding/request-fingerprint.ts
+++ b/src/forwarding/request-fingerprint.ts
@@ -11,7 +11,7 @@
 import type { HeaderNames } from './header-names.js';
 
 /** Length of a fingerprint in characters of 6 bits: 132 bits, for which finding a second content is infeasible. */
-const LENGTH = 22;
+const FINGERPRINT_LENGTH = 22;
 const SEPARATOR = '\n';
 
 /** The request data from which fingerprints are computed. */
@@ -39,5 +39,5 @@
   hash.update(SEPARATOR);
   if (body.type === 'kept') hash.update(body.bytes);
   if (body.type === 'streamed') hash.update(`${body.beginning} ${headers['content-length'] ?? ''}`);
-  return hash.digest('base64url').slice(0, LENGTH);
+  return hash.digest('base64url').slice(0, FINGERPRINT_LENGTH);
 }
--- a/src/forwarding/suspect-content.ts
+++ b/src/forwarding/suspect-content.ts
@@ -6,25 +6,25 @@
 /** Applies the poison guard to one request. */
 export class SuspectContent {
   readonly #guard: PoisonGuard;
-  readonly #take: () => Fingerprint[];
+  readonly #computeFingerprints: () => Fingerprint[];
   #fingerprints: Fingerprint[] | undefined;
   #isTrial = false;
   #mayHaveRun = false;
 
-  /** @param take - computes the fingerprints; called at most once, after the body has been read */
-  constructor(guard: PoisonGuard, take: () => Fingerprint[]) {
+  /** @param computeFingerprints - computes the fingerprints; called at most once, after the body has been read */
+  constructor(guard: PoisonGuard, computeFingerprints: () => Fingerprint[]) {
     this.#guard = guard;
-    this.#take = take;
+    this.#computeFingerprints = computeFingerprints;
   }
 
   get fingerprints(): readonly Fingerprint[] {
-    this.#fingerprints ??= this.#take();
+    this.#fingerprints ??= this.#computeFingerprints();
     return this.#fingerprints;
   }
 
   /** Decides whether the request is sent at all. */
   async admit(service: string): Promise<PoisonDecision> {
-    if (!this.#guard.isWatching) return { type: 'allowed' };
+    if (!this.#guard.hasSuspects) return { type: 'allowed' };
     const decision = await this.#guard.admit(this.fingerprints, service);
     this.#isTrial = decision.type === 'trial';
     return decision;
@@ -32,7 +32,7 @@
 
   /** Whether the request may be sent to a back end now. Always true for a trial. */
   get mayBeSent(): boolean {
-    return this.#isTrial || !this.#guard.isWatching || this.#guard.allows(this.fingerprints);
+    return this.#isTrial || !this.#guard.hasSuspects || this.#guard.allows(this.fingerprints);
   }
 
   /** Time until a request with this content may be sent as a trial from here, in milliseconds. */
@@ -46,7 +46,7 @@
   }
 
   /** Whether `fingerprints` includes any of this content's fingerprints. */
-  isAmong(fingerprints: ReadonlySet<Fingerprint>): boolean {
+  matchesAny(fingerprints: ReadonlySet<Fingerprint>): boolean {
     return this.fingerprints.some((fingerprint) => fingerprints.has(fingerprint));
   }
 
@@ -66,11 +66,11 @@
   }
 
   /** The request has ended, with any outcome. */
-  noteSettled(): void {
+  noteEnded(): void {
     if (this.#isTrial && !this.#mayHaveRun) this.#guard.withdrawTrial(this.fingerprints);
   }
 
   noteServed(): void {
-    if (this.#guard.isWatching) this.#guard.noteServed(this.fingerprints);
+    if (this.#guard.hasSuspects) this.#guard.noteServed(this.fingerprints);
   }
 }
--- a/test/forwarding/deadly-content-orders.test.ts
+++ b/test/forwarding/deadly-content-orders.test.ts
@@ -170,7 +170,7 @@
 
   async #send(running: RunningGuard, isSeen: boolean): Promise<void> {
     const { guard } = running;
-    const asked = guard.isWatching ? guard.admit(CONTENT, 'service') : Promise.resolve({ type: 'allowed' });
+    const asked = guard.hasSuspects ? guard.admit(CONTENT, 'service') : Promise.resolve({ type: 'allowed' });
     await vi.advanceTimersByTimeAsync(1);
     if ((await asked).type === 'quarantined') return;
     this.#count(running);
--- a/tools/guard-table.mjs
+++ b/tools/guard-table.mjs
@@ -243,7 +243,7 @@
   },
   {
     fault: 'a connection that breaks is taken for the crash of its back end',
-    file: 'src/forwarding/crash-witness.ts',
+    file: 'src/forwarding/crash-detector.ts',
     find: "broken.hasCrashed = answer === 'refused';",
     replace: 'broken.hasCrashed = answer !== undefined;',
     test: 'test/forwarding/poison-request.test.ts',
@@ -258,7 +258,7 @@
   {
     fault: 'what was written of crashes is not read again after a start',
     file: 'src/forwarding/poison-guard.ts',
-    find: 'for (const crash of crashes) this.#takeCrash(crash);',
+    find: 'for (const crash of crashes) this.#applyCrash(crash);',
     replace: '',
     test: 'test/forwarding/deadly-content-orders.test.ts',
   },
@@ -279,7 +279,7 @@
   {
     fault: 'crashes of a former process at the same place are overwritten',
     file: 'src/forwarding/quarantine-records.ts',
-    find: 'for (const crash of crashes) if (!this.#own.has(keyOf(crash))) this.#own.set(keyOf(crash), crash);',
+    find: 'if (!this.#ownCrashes.has(keyOf(crash))) this.#ownCrashes.set(keyOf(crash), crash);',
     replace: '{}',
     test: 'test/forwarding/quarantine-records.test.ts',
   },
@@ -306,15 +306,15 @@
   },
   {
     fault: 'a back end that has started again before it is called is not taken for one that crashed',
-    file: 'src/forwarding/crash-witness.ts',
+    file: 'src/forwarding/crash-detector.ts',
     find: 'if (broken.hasCrashed === false && this.#options.hasEnded(broken.row)) this.#noteCrashed(broken);',
     replace: '',
     test: 'test/forwarding/deadly-content.test.ts',
   },
   {
     fault: 'a crash after all callers of a back end have left is nobody’s',
-    file: 'src/forwarding/crash-witness.ts',
-    find: 'for (const { row, at, fingerprints } of ended) this.#tell({ row, at }, fingerprints);',
+    file: 'src/forwarding/crash-detector.ts',
+    find: 'for (const { row, at, fingerprints } of ended) this.#reportSuspects({ row, at }, fingerprints);',
     replace: '',
     test: 'test/forwarding/deadly-content.test.ts',
   },
