--- a/src/forwarding/back-end-health.ts
+++ b/src/forwarding/back-end-health.ts
@@ -1,38 +1,38 @@
 /**
- * What the outcomes of requests say of one back end. One that fails much more than its peers, or does not answer at
- * all, is left out for a while that doubles; then a single repeatable request tries it.
+ * Tracks the health of one back end by the outcomes of its requests. A back end that fails much more often than its peers, or does
+ * not answer at all, is suspended for a time that doubles. It is then probed with a single repeatable request.
  */
 
-/** How a request ended at a back end, as far as the back end is concerned. */
+/** The outcome of a request, as far as it concerns the health of the back end. */
 export type BackEndOutcome =
-  /** It answered well. */
+  /** The back end answered successfully. */
   | 'served'
-  /** It answered with a failure of its own, or broke the answer off. */
+  /** The back end answered with a server error, or its answer was cut off. */
   | 'failed'
-  /** Nothing came from it: no connection, or silence. */
+  /** Nothing was received: there was no connection or no answer. */
   | 'silent'
-  /** Nothing came from it, over a kept connection that may have gone silent while the back end works. */
+  /** Nothing was received over a kept connection, which may be dead while the back end works. */
   | 'silentConnection'
-  /** It refused, as it is full. */
+  /** The back end refused the request because it is full. */
   | 'overloaded'
-  /** It refused, as it is not the one that was meant, or does not hold what was asked for. */
+  /** The back end refused the request because it is not the intended one or does not hold the required version. */
   | 'misdirected';
 
-/** Weight of the newest outcome. */
+/** Weight of the latest outcome in the failure share. */
 const OUTCOME_WEIGHT = 0.12;
-/** Failures in a row after which it is left out, of each kind. */
+/** Number of requests without any answer after which a back end is suspended, counted since the last one served. */
 const SILENCES_TO_SUSPEND = 2;
-/** Excess of its share of failures over its peers' at which it is left out. */
+/** Excess of its failure share over the usual one of its peers above which a back end is suspended. */
 const EXCESS_TO_SUSPEND = 0.3;
-/** First and longest time for which it is left out, in milliseconds. */
+/** First and longest suspension, in milliseconds. */
 const FIRST_SUSPENSION = 500;
 const LONGEST_SUSPENSION = 6_000;
-/** After a refusal it is left out this long, in milliseconds. */
+/** Time without requests after a refusal because of overload, in milliseconds. */
 const OVERLOAD_PAUSE = 120;
-/** What was believed of it was wrong: it is left out this long, or until there is news of it, in milliseconds. */
+/** Time without requests after a misdirected one, in milliseconds; a report of another version ends it. The known state of the back end was wrong. */
 const MISDIRECTED_PAUSE = 1_000;
 
-/** The health of one back end as this process sees it. */
+/** The health of one back end as observed by this process. */
 export class BackEndHealth {
   #failureShare = 0;
   #silences = 0;
@@ -42,19 +42,20 @@
   #isProbed = false;
   #isInDoubt = false;
 
-  /** Share of its latest requests that failed, 0 to 1. */
+  /** Share of its recent requests that failed, 0 to 1. */
   get failureShare(): number {
     return this.#failureShare;
   }
 
-  /** True while it gets no requests but one that tries it. */
+  /** Whether the back end gets no requests except a single probe. */
   get suspended(): boolean {
     return this.#suspension > 0;
   }
 
   /**
-   * Whether a request may go there now; only repeatable ones may try a suspended one. One in doubt is tried by any request:
-   * over a new connection, which tells that it is not there before the request is sent.
+   * Whether a request may be sent now. Only a repeatable request may probe a suspended back end. A back end in doubt, after a silent
+   * connection, may be probed by any request: it uses a new connection, which fails before the request is sent if the back end is
+   * unreachable.
    */
   admits(now: number, isRepeatable: boolean): boolean {
     if (now < this.#pausedUntil) return false;
@@ -63,33 +64,36 @@
     return isRepeatable && now >= this.#suspendedUntil && !this.#isProbed;
   }
 
-  /** There is news of what it holds. */
+  /** Its agent has reported another version. */
   noteNews(): void {
     this.#pausedUntil = 0;
   }
 
-  /** A request goes there. */
+  /** A request is sent to the back end. */
   noteSent(): void {
     if (this.suspended || this.#isInDoubt) this.#isProbed = true;
   }
 
-  /** An answer from there has begun. */
+  /** The head of an answer has been received. */
   noteAnswering(): void {
     this.#isInDoubt = false;
   }
 
-  /** A request there has ended in a way that says nothing of it. */
+  /** A request has ended in a way that does not indicate the health of the back end. */
   noteAbandoned(): void {
     this.#isProbed = false;
   }
 
-  /** Its process has ended: it is left out until it is listed as started again, or a request that may repeat has tried it. */
+  /** Its process has ended. The back end is suspended until it is listed as restarted or a repeatable request has probed it successfully. */
   noteCrashed(now: number): void {
     this.#silences = SILENCES_TO_SUSPEND;
     this.#suspend(now);
   }
 
-  /** @param usualShare - share of failures that is usual among its peers */
+  /**
+   * Records the outcome of a request.
+   * @param usualShare - usual failure share of its peers
+   */
   note(outcome: BackEndOutcome, now: number, usualShare: number): void {
     this.#isProbed = false;
     if (outcome === 'silentConnection') {
--- a/src/forwarding/back-end-use.ts
+++ b/src/forwarding/back-end-use.ts
@@ -1,6 +1,6 @@
 /**
- * One attempt at a back end in the books of the table: what is in flight there and unread, when anything came last, and
- * how long its answers take. Times are in milliseconds of the steady clock.
+ * Accounts for one attempt in the row of its back end: requests in flight, prompt tokens that are not read yet, the time of the
+ * last progress, and moving averages of answer times. Times are in milliseconds of the steady clock.
  */
 import type { Attempt } from './attempt.js';
 import type { AttemptAnswer } from './attempt-answer.js';
@@ -29,7 +29,7 @@
   answerTokens: number;
 }
 
-/** The use of one back end by one attempt. */
+/** One attempt's use of a back end. */
 export class BackEndUse {
   readonly row: BackEndRow;
   readonly attempt: Attempt;
@@ -39,7 +39,7 @@
   readonly #urgency: number;
   readonly #promptTokens: number;
   readonly #answerTokens: number;
-  /** True once the back end has read the prompt, or the attempt has ended. */
+  /** Whether the prompt tokens no longer count: the back end has read the prompt, or the attempt has ended. */
   #isRead = false;
   #answeredAt: number | undefined;
   #firstAnswerAfter: number | undefined;
@@ -65,22 +65,22 @@
     if (row.inFlight === 1) row.progressAt = this.#progressAt;
   }
 
-  /** True once the head of an answer has come. */
+  /** Whether the head of an answer has been received. */
   get hasAnswered(): boolean {
     return this.#answeredAt !== undefined;
   }
 
-  /** True once the first part of an answer has come. */
+  /** Whether the first part of an answer has been received. */
   get hasBegun(): boolean {
     return this.#firstAnswerAfter !== undefined;
   }
 
-  /** Time to the first part of the answer, in milliseconds; undefined before it. */
+  /** Time to the first part of the answer, in milliseconds; undefined until it has been received. */
   get firstAnswerAfter(): number | undefined {
     return this.#firstAnswerAfter;
   }
 
-  /** When anything came of this attempt last. */
+  /** When any part of the answer was last received; when the request was sent, before that. */
   get progressAt(): number {
     return this.#progressAt;
   }
@@ -90,12 +90,12 @@
     return this.#isSilent;
   }
 
-  /** True where a request that was sent there later, and is no more urgent, has been answered. */
+  /** Whether the back end has answered a request that was sent later and is not more urgent. */
   get isOvertaken(): boolean {
     return isOvertaken(this.row, this.#urgency, this.attempt.startedAt);
   }
 
-  /** The head of an answer has come. */
+  /** The head of an answer has been received. */
   noteHead(): void {
     this.#noteProgress();
     this.#answeredAt ??= this.#progressAt;
@@ -103,7 +103,7 @@
     noteOvertaking(this.row, this.#urgency, this.attempt.startedAt);
   }
 
-  /** A part of the answer has come: the prompt has been read. */
+  /** A part of the answer has been received, so the back end has read the prompt. */
   notePart(): void {
     this.#noteProgress();
     this.noteRead();
@@ -120,12 +120,12 @@
     this.#isSilent = true;
   }
 
-  /** The caller does not read: the back end is not let send, and owes nothing at `now`. */
+  /** The caller does not read the answer. Back-pressure stops the back end, so no part of the answer is due at `now`. */
   noteCallerBlocks(now: number): void {
     this.#progressAt = now;
   }
 
-  /** The back end has read the prompt, or will not. */
+  /** The back end has read the prompt, or will no longer do so. */
   noteRead(): void {
     if (this.#isRead) return;
     this.#isRead = true;
@@ -136,7 +136,7 @@
     noteFirstAnswer(this.row, this.#firstAnswerAfter, now);
   }
 
-  /** Its kept connection is silent: the idle ones that were last heard before it was sent are not used again. */
+  /** Its kept connection is silent: idle connections that were last active before the request was sent are not used again. */
   suspectConnections(table: BackEndTable): void {
     if (this.#hasSuspectedConnections) return;
     this.#hasSuspectedConnections = true;
@@ -151,7 +151,7 @@
     return performance.now() - this.attempt.startedAt;
   }
 
-  /** The whole answer came after `took` milliseconds. */
+  /** The complete answer was received after `took` milliseconds. */
   noteServed(took: number): void {
     this.row.duration = movingAverage(this.row.duration, took);
     if (this.#answerTokens > 0)
--- a/src/forwarding/silence.ts
+++ b/src/forwarding/silence.ts
@@ -1,52 +1,53 @@
 /**
- * Tells a back end that says nothing from a connection on which nothing comes any more while the back end works. Pure:
- * times are in milliseconds of the steady clock.
+ * Distinguishes an unresponsive back end from a dead connection to a back end that works. Pure functions; times are in
+ * milliseconds of the steady clock.
  */
 import type { Route } from '../fleet/configuration.js';
 
-/** A back end that owes a first answer and says nothing to anybody for this many objectives is silent. */
+/** A back end with an outstanding first answer is silent if nothing at all is received from it for this multiple of the route's objective. */
 const SILENT_OBJECTIVES = 2;
-/** Bounds of that time, in milliseconds. */
+/** Bounds of the resulting time, in milliseconds. */
 const SHORTEST_SILENCE = 350;
 const LONGEST_SILENCE = 1_200;
-/** A stream that owes an event for this many of its longest pauses stands still. */
+/** A stream is silent if no event is received for this multiple of the route's longest pause. */
 const SILENT_PAUSES = 2;
+/** Lower bound of the resulting time, in milliseconds. */
 const SHORTEST_STREAM_SILENCE = 600;
 /**
- * A kept connection is silent after this many of its back end's usual times to a first answer, if the back end goes on
- * with other requests meanwhile: above what the queue of a back end adds while it grows.
+ * A kept connection is silent after this multiple of its back end's usual time to a first answer if the back end makes progress
+ * with other requests meanwhile. The multiple exceeds the delay that a growing queue at the back end adds.
  */
 const SILENT_FIRST_ANSWERS = 4;
 
-/** A request at a back end, as far as its answer has come. */
+/** The state of a request that waits for its answer or the next part of it. */
 export interface AwaitedAnswer {
   route: Pick<Route, 'objective' | 'longestPause'>;
-  /** When anything came of this answer last; when it was sent, before that. */
+  /** When any part of the answer was last received; when the request was sent, before that. */
   progressAt: number;
-  /** The caller has a part of the answer. */
+  /** Whether the caller has received a part of the answer. */
   isStreaming: boolean;
-  /** It went over a kept connection, and nothing has come there since. */
+  /** Whether the request was sent over a kept connection on which nothing has been received since. */
   isOnSilentConnection: boolean;
-  /** A request that was sent later, and that is no more urgent, has been answered by the same back end. */
+  /** Whether the back end has answered a request that was sent later and is not more urgent. */
   isOvertaken: boolean;
-  /** When anything came from the back end last, for any request. */
+  /** When anything was last received from the back end, for any request. */
   backEndProgressAt: number;
-  /** Usual time of the back end to a first answer, in milliseconds; 0 where it is not known. */
+  /** Usual time to the first answer of the back end, in milliseconds; 0 if unknown. */
   usualFirstAnswer: number;
 }
 
-/** What an answer that has not come says. */
+/** The cause of a missing answer. */
 export type Silence =
-  /** It is not due. */
+  /** The answer is not overdue. */
   | 'none'
-  /** The back end says nothing to anybody. */
+  /** The back end does not answer any request. */
   | 'backEnd'
-  /** Nothing comes on the kept connection, nor from the back end: either may be at fault. */
+  /** Nothing is received on the kept connection or from the back end otherwise: either may be at fault. */
   | 'backEndOrConnection'
-  /** The back end answers others: the kept connection is at fault. */
+  /** The back end answers other requests: the kept connection is at fault. */
   | 'connection';
 
-/** What `awaited` says at `now`. */
+/** Classifies the silence of an awaited answer at `now`. */
 export function silenceOf(awaited: AwaitedAnswer, now: number): Silence {
   const waited = now - awaited.progressAt;
   const limit = silenceLimit(awaited);
