--- a/src/forwarding/back-end-connection.ts
+++ b/src/forwarding/back-end-connection.ts
@@ -1,29 +1,29 @@
 /**
- * One connection to a back end, for one request at a time. It knows whether anything has come on it since a request was
- * sent: a kept connection may have gone silent for good, without an end or a reset, while new ones work.
+ * One connection to a back end, for one request at a time. It tracks whether anything was received since the latest request was
+ * sent, because a kept connection may be dead without having been closed or reset, while new connections work.
  */
 import type { Socket } from 'node:net';
 import { buildConnector, Client, type Dispatcher } from 'undici';
 
-/** Idle connections are kept this long where the back end says nothing, and at most, in milliseconds. */
+/** Time for which an idle connection is kept if the back end does not specify one, and its upper bound, in milliseconds. */
 const IDLE_TIME = 20_000;
 const LONGEST_IDLE_TIME = 60_000;
-/** Time after which the client library gives a new connection up, in milliseconds; requests give up sooner. */
+/** Timeout of the client library for opening a connection, in milliseconds; requests time out earlier. */
 const CONNECT_LIMIT = 1_500;
 
 const connector = buildConnector({ timeout: CONNECT_LIMIT });
 
-/** What becomes of a connection. */
+/** Callbacks for the state changes of a connection. */
 export interface BackEndConnectionListener {
-  /** It can take a request again. */
+  /** The connection can take another request. */
   onIdle(connection: BackEndConnection): void;
-  /** It is closed, or was never there. */
+  /** The connection has closed or could not be opened. */
   onClosed(connection: BackEndConnection): void;
-  /** It breaks: while the library handles this, an answer that ends is not whole. */
+  /** The connection has failed. An answer that ends while the library handles the error is incomplete. */
   onInterruption(): void;
 }
 
-/** A connection, which opens with its first request. */
+/** A connection that is opened by its first request. */
 export class BackEndConnection {
   readonly #client: Client;
   readonly #listener: BackEndConnectionListener;
@@ -55,27 +55,27 @@
     this.#client.on('connectionError', () => listener.onClosed(this));
   }
 
-  /** Since when it has been idle, in milliseconds of the steady clock; then something came on it last. */
+  /** When the connection last became idle, in milliseconds of the steady clock. At that time it was still working. */
   get idleSince(): number {
     return this.#idleSince;
   }
 
-  /** True where it had served a request before the latest, and nothing has come on it since that was sent. */
+  /** Whether the connection was used before the latest request and nothing has been received since that was sent. */
   get isSilent(): boolean {
     return this.#requests > 1 && this.#socket !== undefined && this.#socket.bytesRead === this.#bytesBefore;
   }
 
-  /** Sends a request; there is no other in progress. */
+  /** Sends a request. No other request may be in progress. */
   dispatch(options: Dispatcher.DispatchOptions, handler: Dispatcher.DispatchHandler): void {
     this.#requests++;
     this.#bytesBefore = this.#socket?.bytesRead ?? 0;
     this.#bytesSentBefore = this.#socket?.bytesWritten ?? 0;
     this.#client.dispatch(options, handler);
-    // A request that the library does not take ends at once, without another word of the connection.
+    // A request that the library rejects ends at once, without an event of the connection.
     if (this.#isFree) queueMicrotask(() => this.#onFree());
   }
 
-  /** Closes once the request in progress has ended. */
+  /** Closes the connection once the request in progress has ended. */
   async close(): Promise<void> {
     if (!this.#client.closed) await this.#client.close();
   }
@@ -89,8 +89,9 @@
   }
 
   /**
-   * A request that went out has ended, or was given up: for one that was given up the library would open a new connection
-   * before it finds that nothing is left to send. One that has not gone out does so on a new connection.
+   * If the request was sent, it has ended or was aborted. The client is then destroyed: after an abort, the library would otherwise
+   * open a new connection before it finds that there is nothing left to send. A request that was not sent yet is sent by the library
+   * on a new connection.
    */
   #onDisconnected(): void {
     const isSent = this.#socket !== undefined && this.#socket.bytesWritten > this.#bytesSentBefore;
--- a/src/forwarding/back-end-connections.ts
+++ b/src/forwarding/back-end-connections.ts
@@ -1,18 +1,18 @@
 /**
- * Kept connections to one back end. The client library takes an answer without a length for whole when its connection is
- * reset, which it is not: whether a connection is being interrupted can be asked here while the library tells of an end.
+ * Connections to one back end. If a connection is reset, the client library wrongly reports an answer without a length as
+ * complete. `isInterrupted` therefore shows, while the library reports the end of an answer, whether a connection has just failed.
  */
 import type { Dispatcher } from 'undici';
 import { BackEndConnection } from './back-end-connection.js';
 
-/** Most connections; what is in flight bounds them further. */
+/** Maximum number of connections. The number of requests in flight is limited separately. */
 const MOST_CONNECTIONS = 128;
 
-/** The connections. */
+/** The connections to one back end. */
 export class BackEndConnections {
   readonly #address: string;
   readonly #all = new Set<BackEndConnection>();
-  /** The latest used last: it is taken first, so that those that are not needed close. */
+  /** Idle connections, the most recently used last. That one is used first, so that surplus connections reach their idle timeout. */
   #idle: BackEndConnection[] = [];
   #isInterrupted = false;
   #isClosed = false;
@@ -20,21 +20,21 @@
 
   /**
    * @param address - `host:port`
-   * @param mostKept - with more connections than this, one that is free is closed; asked at each
+   * @param mostKept - maximum number of connections above which one that becomes idle is closed; called each time
    */
   constructor(address: string, mostKept: () => number = () => MOST_CONNECTIONS) {
     this.#address = address;
     this.#mostKept = mostKept;
   }
 
-  /** True while the library handles the error of a connection: an answer that ends now is not whole. */
+  /** Whether the library is handling the error of a connection: an answer that ends now is incomplete. */
   get isInterrupted(): boolean {
     return this.#isInterrupted;
   }
 
   /**
-   * Sends a request over an idle connection or a new one; returns it, or undefined, without a word to the handler, where
-   * no more are allowed.
+   * Sends a request over an idle or new connection and returns the connection. Returns undefined without calling the handler if no
+   * more connections are allowed.
    */
   dispatch(
     options: Dispatcher.DispatchOptions,
@@ -45,14 +45,14 @@
     return connection;
   }
 
-  /** Closes connections that have been idle since `time` or longer, in milliseconds of the steady clock. */
+  /** Closes connections that have been idle since `time` or earlier, in milliseconds of the steady clock. */
   closeIdleSince(time: number): void {
     const suspect = this.#idle.filter(({ idleSince }) => idleSince <= time);
     this.#idle = this.#idle.filter(({ idleSince }) => idleSince > time);
     for (const connection of suspect) this.#discard(connection);
   }
 
-  /** Idle connections close at once; requests in flight end first. */
+  /** Closes idle connections at once and the others when their requests have ended. */
   async close(): Promise<void> {
     this.#isClosed = true;
     await Promise.all([...this.#all].map((connection) => connection.close()));
@@ -86,7 +86,7 @@
     void connection.close().catch(() => {});
   }
 
-  /** All listeners of an error run before the next tick. */
+  /** Sets the flag until the next tick; by then, all listeners of the error have run. */
   #noteInterruption(): void {
     this.#isInterrupted = true;
     process.nextTick(() => {
