--- a/src/forwarding/direct-permits.ts
+++ b/src/forwarding/direct-permits.ts
@@ -46,7 +46,7 @@
   tables: WatchedTables;
   clock: StoreClock;
   limits: BackEndLimits;
-  /** Entries that send requests, this one among them. */
+  /** Number of entries that send requests, including this one. */
   entryCount: () => number;
   random: Random;
   log: Log;
--- a/src/forwarding/version-expiry-figures.ts
+++ b/src/forwarding/version-expiry-figures.ts
@@ -1,11 +1,11 @@
-/** What on-call needs to see of versions that expire: requests withdrawn in time, and those that began too late. */
+/** Metrics on the expiry of versions for operators: requests that were withdrawn in time, and answers that started too late. */
 import type { Metrics } from '../observability/metrics.js';
 
-/** The figures of one process. */
+/** Version expiry counters of one process. */
 export class VersionExpiryFigures {
-  /** Requests taken back from back ends whose version was about to expire. */
+  /** Requests withdrawn from back ends whose version was about to expire. */
   withdrawn = 0;
-  /** Answers that began on a version after it had expired, as seen here: their first bytes are some ms under way. */
+  /** Answers whose first bytes arrived after their version had expired. They were sent a few milliseconds earlier. */
   begunLate = 0;
 
   constructor(metrics: Metrics) {
