--- a/src/forwarding/attempt-watch.ts
+++ b/src/forwarding/attempt-watch.ts
@@ -54,9 +54,9 @@
         attempt.fail('no connection in time');
       return;
     }
-    if (use.hasBegun && this.#request.isCallerBlocked()) return use.noteCallerBlocks(now);
+    if (use.hasBegun && this.#request.isCallerBlocked()) return use.noteBackPressure(now);
     const silence = this.#silence(use, now, standstills);
-    if (silence === 'connection') use.suspectConnections(this.#components.backEnds);
+    if (silence === 'connection') use.suspectIdleConnections(this.#components.backEnds);
     if (silence === 'none' || use.isSilent || !this.#request.maySendAgain()) return;
     this.#noteSilence(use, silence, now, standstills);
   }
@@ -64,7 +64,7 @@
   /** The time of the request is over: records a back end that has answered nothing. */
   noteTimeout(use: BackEndUse): void {
     const { backEnds } = this.#components;
-    if (use.attempt.isOnSilentConnection) use.suspectConnections(backEnds);
+    if (use.attempt.isOnSilentConnection) use.suspectIdleConnections(backEnds);
     const outcome = outcomeAtTimeout(use);
     if (outcome !== undefined) this.#noteHealth(use.row, outcome, performance.now());
   }
@@ -114,7 +114,7 @@
       if (isFirstSilence) this.#noteHealth(row, 'silent', now);
       return;
     }
-    use.suspectConnections(backEnds);
+    use.suspectIdleConnections(backEnds);
     if (silence === 'backEndOrConnection') this.#noteHealth(row, 'silentConnection', now);
     this.#request.onSilentConnection(row);
   }
--- a/src/forwarding/back-end-connection.ts
+++ b/src/forwarding/back-end-connection.ts
@@ -7,11 +7,11 @@
 
 /** Time for which an idle connection is kept if the back end does not specify one, and its upper bound, in milliseconds. */
 const IDLE_TIME = 20_000;
-const LONGEST_IDLE_TIME = 60_000;
+const MAX_IDLE_TIME = 60_000;
 /** Timeout of the client library for opening a connection, in milliseconds; requests time out earlier. */
-const CONNECT_LIMIT = 1_500;
+const CONNECT_TIMEOUT = 1_500;
 
-const connector = buildConnector({ timeout: CONNECT_LIMIT });
+const connector = buildConnector({ timeout: CONNECT_TIMEOUT });
 
 /** Callbacks for the state changes of a connection. */
 export interface BackEndConnectionListener {
@@ -29,7 +29,7 @@
   readonly #listener: BackEndConnectionListener;
   #socket: Socket | undefined;
   #requests = 0;
-  #bytesBefore = 0;
+  #bytesReadBefore = 0;
   #bytesSentBefore = 0;
   #idleSince = Number.NEGATIVE_INFINITY;
 
@@ -39,7 +39,7 @@
     this.#client = new Client(`http://${address}`, {
       pipelining: 1,
       keepAliveTimeout: IDLE_TIME,
-      keepAliveMaxTimeout: LONGEST_IDLE_TIME,
+      keepAliveMaxTimeout: MAX_IDLE_TIME,
       headersTimeout: 0,
       bodyTimeout: 0,
       connect: (options, callback) =>
@@ -62,13 +62,15 @@
 
   /** Whether the connection was used before the latest request and nothing has been received since that was sent. */
   get isSilent(): boolean {
-    return this.#requests > 1 && this.#socket !== undefined && this.#socket.bytesRead === this.#bytesBefore;
+    return (
+      this.#requests > 1 && this.#socket !== undefined && this.#socket.bytesRead === this.#bytesReadBefore
+    );
   }
 
   /** Sends a request. No other request may be in progress. */
   dispatch(options: Dispatcher.DispatchOptions, handler: Dispatcher.DispatchHandler): void {
     this.#requests++;
-    this.#bytesBefore = this.#socket?.bytesRead ?? 0;
+    this.#bytesReadBefore = this.#socket?.bytesRead ?? 0;
     this.#bytesSentBefore = this.#socket?.bytesWritten ?? 0;
     this.#client.dispatch(options, handler);
     // A request that the library rejects ends at once, without an event of the connection.
--- a/src/forwarding/back-end-connections.ts
+++ b/src/forwarding/back-end-connections.ts
@@ -6,7 +6,7 @@
 import { BackEndConnection } from './back-end-connection.js';
 
 /** Maximum number of connections. The number of requests in flight is limited separately. */
-const MOST_CONNECTIONS = 128;
+const MAX_CONNECTIONS = 128;
 
 /** The connections to one back end. */
 export class BackEndConnections {
@@ -16,15 +16,15 @@
   #idle: BackEndConnection[] = [];
   #isInterrupted = false;
   #isClosed = false;
-  readonly #mostKept: () => number;
+  readonly #maxKept: () => number;
 
   /**
    * @param address - `host:port`
-   * @param mostKept - maximum number of connections above which one that becomes idle is closed; called each time
+   * @param maxKept - maximum number of connections above which one that becomes idle is closed; called each time
    */
-  constructor(address: string, mostKept: () => number = () => MOST_CONNECTIONS) {
+  constructor(address: string, maxKept: () => number = () => MAX_CONNECTIONS) {
     this.#address = address;
-    this.#mostKept = mostKept;
+    this.#maxKept = maxKept;
   }
 
   /** Whether the library is handling the error of a connection: an answer that ends now is incomplete. */
@@ -64,7 +64,7 @@
   }
 
   #open(): BackEndConnection | undefined {
-    if (this.#isClosed || this.#all.size >= MOST_CONNECTIONS) return undefined;
+    if (this.#isClosed || this.#all.size >= MAX_CONNECTIONS) return undefined;
     const connection = new BackEndConnection(this.#address, {
       onIdle: (idle) => this.#keep(idle),
       onClosed: (closed) => this.#discard(closed),
@@ -76,7 +76,7 @@
 
   #keep(connection: BackEndConnection): void {
     if (!this.#all.has(connection) || this.#idle.includes(connection)) return;
-    if (this.#all.size > this.#mostKept()) this.#discard(connection);
+    if (this.#all.size > this.#maxKept()) this.#discard(connection);
     else this.#idle.push(connection);
   }
 
--- a/src/forwarding/back-end-health.ts
+++ b/src/forwarding/back-end-health.ts
@@ -65,7 +65,7 @@
   }
 
   /** Its agent has reported another version. */
-  noteNews(): void {
+  noteVersionReport(): void {
     this.#pausedUntil = 0;
   }
 
--- a/src/forwarding/back-end-table.ts
+++ b/src/forwarding/back-end-table.ts
@@ -148,7 +148,7 @@
   applyReport(address: string, news: EngineNews): void {
     for (const row of this.#rowsByAddress.get(address) ?? []) {
       if (!isSameStart(row.record.start, news.start)) continue;
-      if (row.news?.version !== news.version) row.health.noteNews();
+      if (row.news?.version !== news.version) row.health.noteVersionReport();
       row.news = news;
       if (news.slotAddress !== (row.agent?.address ?? ''))
         row.agent = news.slotAddress === '' ? undefined : new SlotAgent(news.slotAddress);
--- a/src/forwarding/back-end-use.ts
+++ b/src/forwarding/back-end-use.ts
@@ -40,11 +40,11 @@
   readonly #promptTokens: number;
   readonly #answerTokens: number;
   /** Whether the prompt tokens no longer count: the back end has read the prompt, or the attempt has ended. */
-  #isRead = false;
+  #isPromptRead = false;
   #answeredAt: number | undefined;
   #firstAnswerAfter: number | undefined;
   #progressAt: number;
-  #hasSuspectedConnections = false;
+  #hasSuspectedIdleConnections = false;
   #isSilent = false;
   #hasBeenSilent = false;
 
@@ -106,7 +106,7 @@
   /** A part of the answer has been received, so the back end has read the prompt. */
   notePart(): void {
     this.#noteProgress();
-    this.noteRead();
+    this.notePromptRead();
   }
 
   /** True after the first `noteSilence`. */
@@ -121,14 +121,14 @@
   }
 
   /** The caller does not read the answer. Back-pressure stops the back end, so no part of the answer is due at `now`. */
-  noteCallerBlocks(now: number): void {
+  noteBackPressure(now: number): void {
     this.#progressAt = now;
   }
 
   /** The back end has read the prompt, or will no longer do so. */
-  noteRead(): void {
-    if (this.#isRead) return;
-    this.#isRead = true;
+  notePromptRead(): void {
+    if (this.#isPromptRead) return;
+    this.#isPromptRead = true;
     this.row.pendingPromptTokens -= this.#promptTokens;
     if (this.#answeredAt === undefined) return;
     const now = performance.now();
@@ -137,16 +137,16 @@
   }
 
   /** Its kept connection is silent: idle connections that were last active before the request was sent are not used again. */
-  suspectConnections(table: BackEndTable): void {
-    if (this.#hasSuspectedConnections) return;
-    this.#hasSuspectedConnections = true;
+  suspectIdleConnections(table: BackEndTable): void {
+    if (this.#hasSuspectedIdleConnections) return;
+    this.#hasSuspectedIdleConnections = true;
     table.noteSilentConnection(this.row, this.attempt.startedAt);
   }
 
   /** Ends the attempt and releases its slot; returns its duration in milliseconds. */
   end(): number {
     this.claim?.release(this.attempt.sent);
-    this.noteRead();
+    this.notePromptRead();
     this.row.inFlight--;
     return performance.now() - this.attempt.startedAt;
   }
--- a/src/forwarding/forwarded-request.ts
+++ b/src/forwarding/forwarded-request.ts
@@ -430,7 +430,7 @@
   }
 
   #onEnd(use: BackEndUse): void {
-    use.noteRead();
+    use.notePromptRead();
     const { status } = use.answer;
     if (status >= INTERNAL_ERROR && !this.#answer.started && this.#tryAgainAfter(use, `status ${status}`))
       return;
--- a/src/forwarding/silence.ts
+++ b/src/forwarding/silence.ts
@@ -7,12 +7,12 @@
 /** A back end with an outstanding first answer is silent if nothing at all is received from it for this multiple of the route's objective. */
 const SILENT_OBJECTIVES = 2;
 /** Bounds of the resulting time, in milliseconds. */
-const SHORTEST_SILENCE = 350;
-const LONGEST_SILENCE = 1_200;
+const MIN_SILENCE = 350;
+const MAX_SILENCE = 1_200;
 /** A stream is silent if no event is received for this multiple of the route's longest pause. */
 const SILENT_PAUSES = 2;
 /** Lower bound of the resulting time, in milliseconds. */
-const SHORTEST_STREAM_SILENCE = 600;
+const MIN_STREAM_SILENCE = 600;
 /**
  * A kept connection is silent after this multiple of its back end's usual time to a first answer if the back end makes progress
  * with other requests meanwhile. The multiple exceeds the delay that a growing queue at the back end adds.
@@ -56,15 +56,15 @@
   const isBackEndSilent = now - awaited.backEndProgressAt > limit;
   if (!awaited.isOnSilentConnection) return isBackEndSilent ? 'backEnd' : 'none';
   if (isBackEndSilent) return 'backEndOrConnection';
-  return awaited.isOvertaken || waited > unusualWait(awaited) ? 'connection' : 'none';
+  return awaited.isOvertaken || waited > connectionSilenceLimit(awaited) ? 'connection' : 'none';
 }
 
 function silenceLimit({ route, isStreaming }: AwaitedAnswer): number {
-  if (isStreaming) return Math.max(SHORTEST_STREAM_SILENCE, SILENT_PAUSES * route.longestPause);
-  return Math.min(LONGEST_SILENCE, Math.max(SHORTEST_SILENCE, SILENT_OBJECTIVES * route.objective));
+  if (isStreaming) return Math.max(MIN_STREAM_SILENCE, SILENT_PAUSES * route.longestPause);
+  return Math.min(MAX_SILENCE, Math.max(MIN_SILENCE, SILENT_OBJECTIVES * route.objective));
 }
 
-function unusualWait({ usualFirstAnswer }: AwaitedAnswer): number {
+function connectionSilenceLimit({ usualFirstAnswer }: AwaitedAnswer): number {
   if (usualFirstAnswer === 0) return Number.POSITIVE_INFINITY;
-  return Math.max(LONGEST_SILENCE, SILENT_FIRST_ANSWERS * usualFirstAnswer);
+  return Math.max(MAX_SILENCE, SILENT_FIRST_ANSWERS * usualFirstAnswer);
 }
