--- a/test/forwarding/back-end-connections.test.ts
+++ b/test/forwarding/back-end-connections.test.ts
@@ -1,4 +1,4 @@
-/** The connections that are kept to one back end. */
+/** Tests the pool of connections to one back end. */
 import type { Dispatcher } from 'undici';
 import { afterEach, beforeEach, expect, it } from 'vitest';
 import { BackEndConnections } from '../../src/forwarding/back-end-connections.js';
@@ -6,7 +6,7 @@
 import { until } from '../support.js';
 import { reply, StandInBackEnd } from './stand-in-back-end.js';
 
-/** More than are allowed at a time. */
+/** More than the maximum number of connections. */
 const MANY = 130;
 
 let backEnd: StandInBackEnd;
@@ -24,7 +24,7 @@
   await Promise.all([proxy.stop(), backEnd.stop()]);
 });
 
-/** Sends a request; whether it was taken, and how it ended. */
+/** Sends a request. Returns whether a connection was available, and how the request ended. */
 function send(method = 'GET'): { taken: boolean; ended: Promise<'whole' | 'error'> } {
   let taken = false;
   const ended = new Promise<'whole' | 'error'>((resolve) => {
@@ -40,7 +40,7 @@
   return { taken, ended };
 }
 
-it('one that is free is used again, and one closed by the back end is not', async () => {
+it('an idle connection is reused, unless the back end has closed it', async () => {
   for (let count = 0; count < 3; count++) {
     expect(await send().ended).toBe('whole');
     await new Promise((resolve) => setImmediate(resolve));
@@ -53,7 +53,7 @@
   expect(proxy.accepted).toBe(2);
 });
 
-it('those that were idle at a time are closed, and those used since are kept', async () => {
+it('closeIdleSince closes connections that have been idle since the given time and keeps those used later', async () => {
   backEnd.answer((request, response, body) =>
     setTimeout(() => reply(200, 'whole')(request, response, body), 50),
   );
@@ -63,12 +63,12 @@
   expect(await send().ended).toBe('whole');
   await new Promise((resolve) => setTimeout(resolve, 20));
   connections.closeIdleSince(time);
-  await until(() => proxy.open === 1, 'the end of two');
+  await until(() => proxy.open === 1, 'two connections to close');
   expect(await send().ended).toBe('whole');
   expect(proxy.accepted).toBe(3);
 });
 
-it('one whose request is given up closes, and no other is opened in its place', async () => {
+it('the connection of an aborted request closes, and no new one is opened in its place', async () => {
   backEnd.answer(() => {});
   let giveUp: () => void = () => {};
   const handler = {
@@ -88,18 +88,18 @@
   expect(proxy.accepted).toBe(1);
 });
 
-it('requests that the library does not take use none up', async () => {
+it('requests that the client library rejects do not use up connections', async () => {
   for (let count = 0; count < MANY; count++) expect(await send('no method').ended).toBe('error');
   expect(await send().ended).toBe('whole');
 });
 
-it('there are no more than allowed', async () => {
+it('no more connections are opened than allowed', async () => {
   backEnd.answer(() => {});
   const sent = Array.from({ length: MANY }, () => send());
   expect(sent.filter(({ taken }) => taken).length).toBe(128);
 });
 
-it('connections that cannot be made use none up', async () => {
+it('failed connection attempts do not use up connections', async () => {
   await proxy.stop();
   for (let count = 0; count < MANY; count++) expect(await send().ended).toBe('error');
   expect(send().taken).toBe(true);
--- a/test/forwarding/foreign-back-ends.test.ts
+++ b/test/forwarding/foreign-back-ends.test.ts
@@ -1,4 +1,4 @@
-/** Back ends that another writer put on the list, or whose record is not believed any more. */
+/** Tests back ends whose records were written by another system, have become invalid, or name another service or address. */
 import { afterEach, beforeEach, describe, expect, it } from 'vitest';
 import { until } from '../support.js';
 import { ENGINE_CONFIGURATION, ENGINE_LAYERS } from './engine-configuration.js';
@@ -21,8 +21,8 @@
   await engine.stop();
 });
 
-describe('a back end of a service that the configuration does not name', () => {
-  it('is sent nothing, although a route leads there', async () => {
+describe('a back end of a service that the configuration does not declare', () => {
+  it('gets no requests, although a route targets the service', async () => {
     const [route] = ENGINE_CONFIGURATION.routes;
     const routes = [{ ...route, targets: [{ service: 'unnamed', weight: 1 }] }];
     const configuration = { ...ENGINE_CONFIGURATION, revision: 2, routes };
@@ -32,7 +32,7 @@
     expect(engine.requests).toHaveLength(0);
   });
 
-  it('does not take the place of one that is named, at the same address', async () => {
+  it('does not supersede a back end of a declared service at the same address', async () => {
     forwarding.list(
       ['one', engine, { ...LISTED, revision: 1 }],
       ['foreign', engine, { revision: 2, service: 'unnamed' }],
@@ -42,16 +42,16 @@
   });
 });
 
-describe('an engine that tells of more layers than its model has', () => {
-  it('is sent nothing', async () => {
+describe('an engine that states more layers than its model has', () => {
+  it('gets no requests', async () => {
     forwarding.list(['one', engine, { layers: { from: 0, end: ENGINE_LAYERS + 1, version: 1 } }]);
     expect((await forwarding.send('/write/')).status).toBe(503);
     expect(engine.requests).toHaveLength(0);
   });
 });
 
-describe('an engine whose record turns bad', () => {
-  it('ends the request that runs there, and is sent no other', async () => {
+describe('an engine whose record becomes invalid', () => {
+  it('completes its running request and gets no others', async () => {
     let finish = () => {};
     engine.answer((request, response) => {
       response.writeHead(200, { 'x-request': String(request.headers['x-request']) });
@@ -69,8 +69,8 @@
   });
 });
 
-describe('a back end whose record tells of another service or address', () => {
-  it('gets nothing more of its former service', async () => {
+describe('a back end whose record changes its service or address', () => {
+  it('gets no more requests of its previous service', async () => {
     const services = [
       ...ENGINE_CONFIGURATION.services,
       { name: 'plain', maxConnections: 0, engine: undefined },
@@ -84,7 +84,7 @@
     expect(engine.requests).toHaveLength(1);
   });
 
-  it('is called at its new address', async () => {
+  it('gets requests at its new address', async () => {
     const moved = await new StandInBackEnd(reply(200, 'moved')).start();
     forwarding.list(['one', engine, LISTED]);
     expect((await forwarding.send('/write/')).body).toBe('served');
--- a/test/forwarding/silence.test.ts
+++ b/test/forwarding/silence.test.ts
@@ -1,4 +1,4 @@
-/** What an answer that has not come says of its back end and of its connection. */
+/** Tests whether a missing answer is attributed to its back end or to its connection. */
 import { describe, expect, it, vi } from 'vitest';
 import { BackEndHealth } from '../../src/forwarding/back-end-health.js';
 import {
@@ -26,17 +26,17 @@
   };
 }
 
-describe('an answer that has not come', () => {
-  it('says nothing before its time', () => {
+describe('a missing answer', () => {
+  it('is not silence before the limit', () => {
     expect(silenceOf(awaited({ isOvertaken: true }), SENT + LIMIT)).toBe('none');
   });
 
-  it('is the fault of the back end or of the kept connection where nothing comes from either', () => {
+  it('is attributed to the back end or the kept connection if nothing is received from either', () => {
     expect(silenceOf(awaited(), SENT + LIMIT + 1)).toBe('backEndOrConnection');
     expect(silenceOf(awaited({ isOnSilentConnection: false }), SENT + LIMIT + 1)).toBe('backEnd');
   });
 
-  it('is the fault of the connection where a request sent later was answered', () => {
+  it('is attributed to the connection if a request sent later has been answered', () => {
     const busy = { backEndProgressAt: SENT + LIMIT };
     expect(silenceOf(awaited({ ...busy, isOvertaken: true }), SENT + LIMIT + 1)).toBe('connection');
     expect(silenceOf(awaited(busy), SENT + LIMIT + 1)).toBe('none');
@@ -44,7 +44,7 @@
     expect(silenceOf(onNewOne, SENT + LIMIT + 1)).toBe('none');
   });
 
-  it('is the fault of the connection where it takes many times as long as the busy back end usually does', () => {
+  it('is attributed to the connection after several times the usual time to a first answer of a working back end', () => {
     const busy = awaited({ backEndProgressAt: SENT + 1_900, usualFirstAnswer: 450 });
     expect(silenceOf(busy, SENT + 1_750)).toBe('none');
     expect(silenceOf(busy, SENT + 1_850)).toBe('connection');
@@ -52,7 +52,7 @@
     expect(silenceOf({ ...busy, usualFirstAnswer: 100 }, SENT + 1_250)).toBe('connection');
   });
 
-  it('is the fault of the back end where the stream stands still', () => {
+  it('is attributed to the back end if a stream has begun', () => {
     const streaming = awaited({
       isStreaming: true,
       isOnSilentConnection: false,
@@ -64,7 +64,7 @@
 });
 
 describe('a request is overtaken', () => {
-  it('by one sent later that is no more urgent', () => {
+  it('by an answered request that was sent later and is not more urgent', () => {
     const row = { answeredSends: new Map() } as BackEndRow;
     noteOvertaking(row, 5, 200);
     noteOvertaking(row, 5, 100);
@@ -76,7 +76,7 @@
 });
 
 describe('a back end in doubt', () => {
-  it('is tried by one request of any kind, and serves again once it has answered', () => {
+  it('is probed by a single request of any kind, and takes requests again after an answer', () => {
     const health = new BackEndHealth();
     health.note('silentConnection', 0, 0);
     expect(health.admits(1, false)).toBe(true);
@@ -86,7 +86,7 @@
     expect(health.admits(1, false)).toBe(true);
   });
 
-  it('is left out where the one that tries it meets silence too', () => {
+  it('is suspended if the probe is not answered either', () => {
     const health = new BackEndHealth();
     health.note('silentConnection', 0, 0);
     health.noteSent();
@@ -94,7 +94,7 @@
     expect(health.admits(401, true)).toBe(false);
   });
 
-  it('is tried by another where the first says nothing of it', () => {
+  it('is probed again if the first probe gives no result', () => {
     const health = new BackEndHealth();
     health.note('silentConnection', 0, 0);
     health.noteSent();
@@ -103,7 +103,7 @@
   });
 });
 
-describe('connections that went silent', () => {
+describe('connections found silent', () => {
   const record = (id: string) => ({
     id,
     service: 's',
@@ -115,7 +115,7 @@
     revision: 1,
   });
 
-  it('to one back end say nothing of others, and to two of all', () => {
+  it('at one back end do not affect others, but at two back ends affect all', () => {
     const table = new BackEndTable();
     table.apply(['one', 'two', 'three'].map((id) => ({ type: 'changed', record: record(id) })));
     const [one, two, three] = [...table.rows.values()];
--- a/test/forwarding/silent-connections.test.ts
+++ b/test/forwarding/silent-connections.test.ts
@@ -1,4 +1,4 @@
-/** Kept connections to back ends that go silent for good, without a reset, while new ones work. */
+/** Tests kept connections that die without being closed or reset while new connections to the back end work. */
 import { afterEach, beforeEach, describe, expect, it } from 'vitest';
 import type { FleetConfiguration } from '../../src/fleet/configuration.js';
 import { SilentProxy } from '../silent-proxy.js';
@@ -7,9 +7,9 @@
 import { routeNamed } from './routes.js';
 import { reply, StandInBackEnd } from './stand-in-back-end.js';
 
-/** Time between two requests that keep the back end busy, in milliseconds. */
+/** Interval of the requests that keep the back end busy, in milliseconds. */
 const BUSY_INTERVAL = 40;
-/** A request whose connection is silent must have its answer after this at the latest, in milliseconds. */
+/** Time within which a request on a silent connection must be answered, in milliseconds. */
 const NOTICED_WITHIN = 1_500;
 
 const CONFIGURATION: FleetConfiguration = {
@@ -39,7 +39,7 @@
   await Promise.all([proxy.stop(), backEnd.stop()]);
 });
 
-/** Leaves `count` kept connections behind. */
+/** Opens `count` connections and leaves them idle. */
 async function keepConnections(count: number): Promise<void> {
   backEnd.answer((request, response, body) => setTimeout(() => answer(request, response, body), 80));
   await Promise.all(Array.from({ length: count }, () => forwarding.send('/read/')));
@@ -47,14 +47,14 @@
   backEnd.answer(answer);
 }
 
-/** Time until the answer, in milliseconds, with the answer. */
+/** Returns the answer and the time it took, in milliseconds. */
 async function timed(answering: Promise<Answer>): Promise<{ answer: Answer; took: number }> {
   const sentAt = performance.now();
   return { answer: await answering, took: performance.now() - sentAt };
 }
 
-describe('a kept connection that went silent', () => {
-  it('is given up where the back end answers requests that were sent later', async () => {
+describe('a kept connection that has gone silent', () => {
+  it('is abandoned if the back end answers requests that were sent later', async () => {
     await keepConnections(1);
     proxy.silence();
     const waiting = timed(forwarding.send('/read/'));
@@ -71,7 +71,7 @@
     expect(took).toBeLessThan(NOTICED_WITHIN);
   });
 
-  it('costs a request no back end: the same one is asked on a new connection', async () => {
+  it('does not exclude the back end: the request is sent there again on a new connection', async () => {
     await keepConnections(1);
     proxy.silence();
     const { answer: got, took } = await timed(forwarding.send('/read/'));
@@ -79,7 +79,7 @@
     expect(took).toBeLessThan(NOTICED_WITHIN);
   });
 
-  it('makes the others suspect that were idle meanwhile: none of them is used again', async () => {
+  it('makes the other connections that were idle at that time suspect, and none of them is used again', async () => {
     await keepConnections(6);
     proxy.silence();
     expect((await forwarding.send('/read/')).status).toBe(200);
@@ -90,7 +90,7 @@
     }
   });
 
-  it('is not used again after a request that may run once only has timed out on it, nor are the others', async () => {
+  it('is not used again after a non-repeatable request has timed out on it, and neither are the others', async () => {
     await keepConnections(4);
     proxy.silence();
     expect((await forwarding.send('/start/')).status).toBe(504);
@@ -99,20 +99,20 @@
   });
 });
 
-describe('a back end that is left out', () => {
-  it('is tried again after the request that tried it was left by its caller', async () => {
+describe('a suspended back end', () => {
+  it('is probed again if the caller of the probing request leaves', async () => {
     backEnd.answer(() => {});
     const silences = Array.from({ length: 3 }, () => forwarding.send('/read/').catch(() => undefined));
     await Promise.all(silences);
     await until(
       () => forwarding.backEnds.rows.get('one')!.health.admits(performance.now(), true),
-      'the trial',
+      'the end of the suspension',
     );
     const seen = backEnd.requests.length;
     const trial = forwarding.open('/read/');
-    await until(() => backEnd.requests.length > seen, 'the trial reaches the back end');
+    await until(() => backEnd.requests.length > seen, 'the probe to reach the back end');
     trial.destroy();
-    await until(() => forwarding.backEnds.rows.get('one')!.inFlight === 0, 'the trial has ended');
+    await until(() => forwarding.backEnds.rows.get('one')!.inFlight === 0, 'the probe to end');
     backEnd.answer(answer);
     expect((await forwarding.send('/read/')).status).toBe(200);
   });
