--- a/test/forwarding/slots.test.ts
+++ b/test/forwarding/slots.test.ts
@@ -1,4 +1,4 @@
-/** An entry's requests take the slots that agents give out, by datagrams as on machines of their own. */
+/** Tests that an entry's requests obtain slots from agents, which communicate by datagrams as on separate machines. */
 import { afterEach, beforeEach, expect, it } from 'vitest';
 import { freeAddress } from '../../bench/processes/child.js';
 import { STREAM_ROUTE } from '../../bench/simulation/stream-route.js';
@@ -47,7 +47,7 @@
 let engines: Engine[];
 let held: Array<() => void>;
 
-/** An engine that answers when the test says so, and its agent. */
+/** Starts an engine that holds its answers until `answerAll` or `held`, and its agent. */
 async function startEngine(): Promise<Engine> {
   const backEnd = await new StandInBackEnd((request, response, body) => {
     held.push(() => reply(200, events(1, 1), { 'x-version': '1' })(request, response, body));
@@ -114,26 +114,26 @@
   }
 });
 
-it('engines are filled to their slots, and one that comes free serves whoever waits', async () => {
+it('all slots of the engines are used, and a waiting request gets the next free slot', async () => {
   const answers = Array.from({ length: 2 * SLOTS + 1 }, () => forwarding.send('/write/a'));
   await until(() => requests() === 2 * SLOTS, 'all slots to be taken');
   expect(engines.map(({ backEnd }) => backEnd.requests.length)).toEqual([SLOTS, SLOTS]);
-  await until(() => forwarding.active === 2 * SLOTS + 1, 'the last one to wait');
+  await until(() => forwarding.active === 2 * SLOTS + 1, 'the last request to wait');
   held.shift()?.();
-  await until(() => requests() === 2 * SLOTS + 1, 'the one that waited');
+  await until(() => requests() === 2 * SLOTS + 1, 'the waiting request');
   answerAll();
   expect((await Promise.all(answers)).map(({ status }) => status)).toEqual(answers.map(() => 200));
-  await until(() => engines.every(({ agent }) => agent.figures.granted === 0), 'all slots to be given back');
+  await until(() => engines.every(({ agent }) => agent.figures.granted === 0), 'all slots to be released');
 });
 
-it('a caller that leaves gives back its slot, and its place among those that wait', async () => {
+it('a caller that leaves releases its slot or its place in the queue', async () => {
   const left = Array.from({ length: 2 * SLOTS + 1 }, () => forwarding.open('/write/a'));
   await until(() => requests() === 2 * SLOTS, 'all slots to be taken');
   for (const one of left) one.destroy();
-  await until(() => engines.every(({ agent }) => agent.figures.granted === 0), 'all slots to be given back');
+  await until(() => engines.every(({ agent }) => agent.figures.granted === 0), 'all slots to be released');
 });
 
-it('an engine whose agent is silent is used all the same', async () => {
+it('an engine whose agent does not respond is used without slots', async () => {
   for (const { agent } of engines) await agent.stop();
   const answers = Array.from({ length: 3 }, () => forwarding.send('/write/a'));
   await until(() => requests() === 3, 'requests without slots');
@@ -141,7 +141,7 @@
   expect((await Promise.all(answers)).map(({ status }) => status)).toEqual([200, 200, 200]);
 });
 
-it('an engine is used all the same while its agent, that has just started, knows nothing of it', async () => {
+it('an engine is used without slots while its agent has just started and does not know its state', async () => {
   for (const [index, { agent, address }] of engines.entries()) {
     await agent.stop();
     engines[index].agent = new SlotServer(address, (await contextAt('agent')).context, silentLog);
@@ -153,8 +153,8 @@
   expect((await Promise.all(answers)).map(({ status }) => status)).toEqual([200, 200, 200]);
 });
 
-it('agents whose answers come while this process stands still are not taken for silent', async () => {
-  // It waits for 0.6 s: long enough for the queue of an engine, shorter than engines may be silent.
+it('agents whose answers arrive while this process is paused are not considered unresponsive', async () => {
+  // With this objective a request waits for a slot for 0.6 s: long enough for the queue of an engine, shorter than engines may be silent.
   const routes = CONFIGURATION.routes.map((route) => ({ ...route, objective: 1_200 }));
   const configuration = { ...CONFIGURATION, revision: 2, routes };
   forwarding.fleet.takeConfiguration({ document: Buffer.from(''), configuration });
@@ -164,11 +164,11 @@
   const ask = client.ask.bind(client);
   client.ask = (...question) => {
     const claim = ask(...question);
-    // Both agents of a request are asked before it stands still, for longer than agents may be silent, and less than it waits.
+    // The process is paused after both agents of a request have been asked, for longer than agents may be silent and for less than the request waits.
     if (++asked % 2 === 0) standStill(300);
     return claim;
   };
-  // An agent that left one question unanswered is asked again: the second one would show it.
+  // An agent is still asked after one unanswered request, so only the second request shows whether it is considered unresponsive.
   expect((await forwarding.send('/write/a')).status).toBe(503);
   expect((await forwarding.send('/write/a')).status).toBe(503);
   expect(requests()).toBe(2 * SLOTS);
@@ -176,32 +176,32 @@
   await Promise.all(taken);
 });
 
-it('a request that waits at an engine that begins to switch goes to another', async () => {
+it('a request that waits at an engine that begins to switch is served by another', async () => {
   const [first, second] = engines;
   tell(second, true);
   const answers = Array.from({ length: SLOTS + 1 }, () => forwarding.send('/write/a'));
-  await until(() => first.backEnd.requests.length === SLOTS, 'the slots of the first');
+  await until(() => first.backEnd.requests.length === SLOTS, 'the slots of the first engine');
   tell(second);
   tell(first, true);
   first.agent.observe({ isServing: false, load: SLOTS });
-  await until(() => second.backEnd.requests.length === 1, 'the one that waited, at the other');
+  await until(() => second.backEnd.requests.length === 1, 'the waiting request at the other engine');
   answerAll();
   expect((await Promise.all(answers)).map(({ status }) => status)).toEqual(answers.map(() => 200));
 });
 
-it('a first request is not held on by agents that refuse it again and again', async () => {
+it('a first request is not held while agents refuse it repeatedly', async () => {
   const reasons: unknown[] = [];
   forwarding.log.info = (message, fields) => {
     if (message === 'ended') reasons.push((fields as { reason?: string }).reason);
   };
-  // They take nothing, and the news of that have not come.
+  // The engines take no requests, and the entry has not been told.
   for (const { agent } of engines) agent.observe({ isServing: false, load: 0 });
   expect((await forwarding.send('/write/a')).status).toBe(503);
-  // It was given up, and did not wait until its time was over.
+  // The request was refused for lack of a back end instead of waiting until its deadline.
   expect(reasons).toEqual(['no back end']);
 });
 
-it('a slot of an engine that has gone from the list meanwhile is not used', async () => {
+it('a slot is not used if its engine has been removed from the list in the meantime', async () => {
   const asked: SlotAnswers[] = [];
   const other = new ForwardingHarness('engines');
   other.slots = {
@@ -222,8 +222,8 @@
   await other.stop();
 });
 
-it('a request that gets no slot in its time is refused, and told when to come back', async () => {
-  // It waits for 0.2 s: the engines, which do not answer here, are not taken for silent before 0.8 s.
+it('a request that gets no slot in time is refused with a retry-after header', async () => {
+  // With this objective it waits for 0.2 s; the engines, which do not answer here, are not considered silent before 0.8 s.
   const routes = CONFIGURATION.routes.map((route) => ({ ...route, objective: 400 }));
   const configuration = { ...CONFIGURATION, revision: 2, routes };
   forwarding.fleet.takeConfiguration({ document: Buffer.from(''), configuration });
--- a/test/forwarding/version-expiry.test.ts
+++ b/test/forwarding/version-expiry.test.ts
@@ -1,4 +1,4 @@
-/** Requests at engines whose version expires: none may begin there from then on. */
+/** Tests that no request starts at an engine after the expiry of its version. */
 import { afterEach, beforeEach, describe, expect, it } from 'vitest';
 import { STREAM_ROUTE } from '../../bench/simulation/stream-route.js';
 import type { FleetConfiguration } from '../../src/fleet/configuration.js';
@@ -15,10 +15,10 @@
 let engine: StandInBackEnd;
 let next: StandInBackEnd;
 let forwarding: ForwardingHarness;
-/** Answers of the agent that was asked for a slot last. */
+/** Callbacks of the latest request for a slot. */
 let asked: SlotAnswers | undefined;
 
-/** A newer configuration with `changes` comes into force. */
+/** Applies a newer configuration with `changes`. */
 function configure(changes: Partial<FleetConfiguration>): void {
   const configuration = { ...ENGINE_CONFIGURATION, revision: 2, ...changes };
   forwarding.fleet.takeConfiguration({ document: Buffer.from(''), configuration });
@@ -46,11 +46,11 @@
   await next.stop();
 });
 
-describe('figures of versions that expire', () => {
-  it('tell of a request that was taken back', async () => {
+describe('the version expiry metrics', () => {
+  it('count a withdrawn request', async () => {
     forwarding.expireIn(1_000);
     const answer = forwarding.send('/write/');
-    await until(() => engine.requests.length === 1, 'the request there');
+    await until(() => engine.requests.length === 1, 'the request at the engine');
     forwarding.list(['one', engine, LISTED], ['two', next, LISTED_NEXT]);
     expect(await answer).toMatchObject({ status: 200, body: 'served by the next' });
     const text = await forwarding.metrics.text();
@@ -58,7 +58,7 @@
     expect(text).toMatch(/thistleway_version_late_begins\{[^}]*\} 0/);
   });
 
-  it('tell of an answer on a version that had expired, as of an engine that holds another one than it told', async () => {
+  it('count an answer on an expired version, from an engine that holds a different version than reported', async () => {
     engine.answer(reply(200, 'late', { 'x-version': '1' }));
     forwarding.list(['one', engine, LISTED_NEXT]);
     forwarding.tell(engine, { version: 2 });
@@ -68,66 +68,67 @@
   });
 });
 
-describe('a request is taken back by what it was sent for, where it waits at an engine', () => {
+describe('a request is withdrawn according to the engine and version assumed when it was sent, if it waits at an engine', () => {
   const [service] = ENGINE_CONFIGURATION.services;
-  /** Sends a request, lets `happen` once it waits at the engine, and resolves when nothing waits there any more. */
+  /** Sends a request, calls `happen` once it waits at the engine, and expects the request to be withdrawn. */
   async function withdrawnThough(happen: () => void): Promise<void> {
     forwarding.expireIn(1_000);
     const answer = forwarding.send('/write/');
-    await until(() => engine.open === 1, 'the request there');
+    await until(() => engine.open === 1, 'the request at the engine');
     happen();
     expect((await answer).status).toBe(502);
     expect(await forwarding.metrics.text()).toMatch(/thistleway_version_withdrawals\{[^}]*\} 1/);
-    await until(() => engine.open === 0, 'no request there');
+    await until(() => engine.open === 0, 'the withdrawal');
   }
-  it('whose service has left the configuration', () => withdrawnThough(() => configure({ services: [] })));
+  it('whose service was removed from the configuration', () =>
+    withdrawnThough(() => configure({ services: [] })));
 
-  it('whose service is no service of engines any more', () =>
+  it('whose service no longer declares engines', () =>
     withdrawnThough(() => configure({ services: [{ ...service, engine: undefined }] })));
 
-  it('whose model has left the configuration', () =>
+  it('whose model was removed from the configuration', () =>
     withdrawnThough(() =>
       configure({ services: [{ ...service, engine: { ...service.engine!, models: [{ name: 'other' }] } }] }),
     ));
 
-  it('whose model has got more layers', () =>
+  it('whose model now has more layers', () =>
     withdrawnThough(() => {
       configure({ services: [{ ...service, engine: { ...service.engine!, layers: 2 * ENGINE_LAYERS } }] });
       forwarding.tell(engine, { version: 0 });
     }));
 
-  it('that tells that it holds no version', () =>
+  it('that reports that it holds no version', () =>
     withdrawnThough(() => forwarding.tell(engine, { version: 0 })));
 
-  it('that told so and has left the list since', () =>
+  it('that reported so and has since been removed from the list', () =>
     withdrawnThough(() => {
       forwarding.tell(engine, { version: 0 });
       forwarding.list(['two', next, { ...LISTED_NEXT, leaving: true }]);
     }));
 
-  it('but not where it has gone over to the next version: it begins on that one', async () => {
-    // It is not given up for its silence, but at its time-out, 0.2 s after the version has expired.
+  it('but not if the engine has switched to the next version, on which the request starts', async () => {
+    // The request is not aborted for silence; it reaches its timeout 0.2 s after the version has expired.
     configure({ routes: [{ ...STREAM_ROUTE, repeatability: 'never', timeout: 1_200 }] });
     forwarding.expireIn(1_000);
     const answer = forwarding.send('/write/');
-    await until(() => engine.open === 1, 'the request there');
+    await until(() => engine.open === 1, 'the request at the engine');
     forwarding.tell(engine, { version: 2 });
     expect((await answer).status).toBe(504);
     expect(await forwarding.metrics.text()).toMatch(/thistleway_version_withdrawals\{[^}]*\} 0/);
   });
 });
 
-describe('a request that was taken back', () => {
+describe('a withdrawn request', () => {
   const [service] = ENGINE_CONFIGURATION.services;
   it.each([
-    ['its model has left the configuration', { ...service.engine!, models: [{ name: 'other' }] }],
-    ['its service is no service of engines any more', undefined],
-  ])('does not go to another engine on the same version, though %s', async (_change, declared) => {
+    ['its model was removed from the configuration', { ...service.engine!, models: [{ name: 'other' }] }],
+    ['its service no longer declares engines', undefined],
+  ])('is not sent to another engine with the same version, although %s', async (_change, declared) => {
     const other = await new StandInBackEnd(reply(200, 'late', { 'x-version': '1' })).start();
     try {
       forwarding.expireIn(1_000);
       const answer = forwarding.send('/write/');
-      await until(() => engine.open === 1, 'the request there');
+      await until(() => engine.open === 1, 'the request at the engine');
       configure({ services: [{ ...service, engine: declared }] });
       forwarding.list(['one', engine, LISTED], ['two', other, LISTED]);
       forwarding.tell(other, { version: 1 });
@@ -140,10 +141,10 @@
 });
 
 describe('a request that waits for a slot', () => {
-  it('does not go to an engine whose version has expired, though its service has left the configuration', async () => {
+  it('is not sent to an engine whose version has expired, although its service was removed from the configuration', async () => {
     forwarding.tell(engine, { version: 1, slotAddress: '127.0.0.1:1' });
     const answer = forwarding.send('/write/');
-    await until(() => asked !== undefined, 'an agent asked');
+    await until(() => asked !== undefined, 'a request for a slot');
     configure({ services: [] });
     forwarding.expireIn(0);
     asked!.onGranted();
