--- a/test/forwarding/back-end-connections.test.ts
+++ b/test/forwarding/back-end-connections.test.ts
@@ -7,7 +7,7 @@
 import { reply, StandInBackEnd } from './stand-in-back-end.js';
 
 /** More than the maximum number of connections. */
-const MANY = 130;
+const TOO_MANY = 130;
 
 let backEnd: StandInBackEnd;
 let proxy: SilentProxy;
@@ -70,10 +70,10 @@
 
 it('the connection of an aborted request closes, and no new one is opened in its place', async () => {
   backEnd.answer(() => {});
-  let giveUp: () => void = () => {};
+  let abort: () => void = () => {};
   const handler = {
     onRequestStart: (controller: Dispatcher.DispatchController) => {
-      giveUp = () => controller.abort(new Error('given up'));
+      abort = () => controller.abort(new Error('given up'));
     },
     onResponseStart: () => {},
     onResponseData: () => {},
@@ -82,25 +82,25 @@
   };
   connections.dispatch({ method: 'GET', path: '/', headers: [] }, handler);
   await until(() => backEnd.requests.length === 1, 'the request');
-  giveUp();
+  abort();
   await until(() => proxy.open === 0, 'the end of the connection');
   await new Promise((resolve) => setTimeout(resolve, 200));
   expect(proxy.accepted).toBe(1);
 });
 
 it('requests that the client library rejects do not use up connections', async () => {
-  for (let count = 0; count < MANY; count++) expect(await send('no method').ended).toBe('error');
+  for (let count = 0; count < TOO_MANY; count++) expect(await send('no method').ended).toBe('error');
   expect(await send().ended).toBe('whole');
 });
 
 it('no more connections are opened than allowed', async () => {
   backEnd.answer(() => {});
-  const sent = Array.from({ length: MANY }, () => send());
+  const sent = Array.from({ length: TOO_MANY }, () => send());
   expect(sent.filter(({ taken }) => taken).length).toBe(128);
 });
 
 it('failed connection attempts do not use up connections', async () => {
   await proxy.stop();
-  for (let count = 0; count < MANY; count++) expect(await send().ended).toBe('error');
+  for (let count = 0; count < TOO_MANY; count++) expect(await send().ended).toBe('error');
   expect(send().taken).toBe(true);
 });
--- a/test/forwarding/deadly-content-orders.test.ts
+++ b/test/forwarding/deadly-content-orders.test.ts
@@ -19,29 +19,29 @@
 
 const ENTRIES = 3;
 const CONTENT = ['by key', 'by tenant'];
-const THIRD = 3;
+const THIRD_CRASH = 3;
 /** Total number of sends allowed after the contact time has passed since the third crash. */
-const MOST_RETRIES = 3;
+const MAX_RETRIES = 3;
 /** The contact time, in milliseconds. */
-const CONTACT = 3_000;
+const CONTACT_TIME = 3_000;
 /** Time within which a crash is detected and written to the store, in milliseconds. */
-const SETTLE = 60;
+const SETTLE_TIME = 60;
 /** Time after which the list shows the end of a back end, in milliseconds. */
 const LIST_DELAY = 4_500;
 
 type Step =
-  | { type: 'send'; entry: number; isSeen: boolean }
+  | { type: 'send'; entry: number; isDetected: boolean }
   | { type: 'kill' | 'cut'; entry: number }
   | { type: 'killAll' | 'nextGeneration' | 'copy' | 'olderCopy' | 'storeAway' }
   | { type: 'wait'; milliseconds: number };
 
 const entry = fc.integer({ min: 0, max: ENTRIES - 1 });
-const send = fc.record({ type: fc.constant('send' as const), entry, isSeen: fc.boolean() });
+const send = fc.record({ type: fc.constant('send' as const), entry, isDetected: fc.boolean() });
 const wait = fc.record({
   type: fc.constant('wait' as const),
   milliseconds: fc.constantFrom(100, 700, 4_000, 11_000),
 });
-const trouble: fc.Arbitrary<Step> = fc.oneof(
+const disturbance: fc.Arbitrary<Step> = fc.oneof(
   fc.record({ type: fc.constantFrom('kill' as const, 'cut' as const), entry }),
   fc.record({
     type: fc.constantFrom('killAll' as const, 'copy' as const, 'olderCopy' as const, 'storeAway' as const),
@@ -51,25 +51,25 @@
 const step: fc.Arbitrary<Step> = fc.oneof(
   { weight: 6, arbitrary: send },
   { weight: 2, arbitrary: wait },
-  { weight: 2, arbitrary: trouble },
+  { weight: 2, arbitrary: disturbance },
   { weight: 2, arbitrary: nextGeneration },
 );
 
-interface RunningGuard {
+interface SimulatedEntry {
   guard: PoisonGuard;
   records: QuarantineRecords;
   /** Time of its last start or cut. */
-  troubledUntil: number;
+  disturbedUntil: number;
   isCut: boolean;
 }
 
 /** Simulates entries, their store, and back ends that one content crashes. */
-class World {
+class QuarantineSimulation {
   readonly store = new MemoryStore();
-  readonly entries: RunningGuard[] = [];
+  readonly entries: SimulatedEntry[] = [];
   readonly #endedAt = new Map<string, number>();
   #copy: StoreCopy | undefined;
-  #storeTroubledUntil = Number.NEGATIVE_INFINITY;
+  #storeDisturbedUntil = Number.NEGATIVE_INFINITY;
   #crashes: number[] = [];
   retries = 0;
 
@@ -78,14 +78,14 @@
   }
 
   async play(one: Step): Promise<void> {
-    if (one.type === 'send') await this.#send(this.entries[one.entry], one.isSeen);
+    if (one.type === 'send') await this.#send(this.entries[one.entry], one.isDetected);
     if (one.type === 'kill') this.#kill(one.entry);
     if (one.type === 'killAll' || one.type === 'nextGeneration') this.#killAll();
-    if (one.type === 'nextGeneration') await vi.advanceTimersByTimeAsync(2 * CONTACT);
+    if (one.type === 'nextGeneration') await vi.advanceTimersByTimeAsync(2 * CONTACT_TIME);
     if (one.type === 'cut') await this.#cut(this.entries[one.entry]);
     if (one.type === 'copy') this.#copy = this.store.copy();
-    if (one.type === 'olderCopy') this.#comeBack();
-    if (one.type === 'storeAway') await this.#leaveStoreAway();
+    if (one.type === 'olderCopy') this.#restoreStore();
+    if (one.type === 'storeAway') await this.#interruptStore();
     if (one.type === 'wait') await vi.advanceTimersByTimeAsync(one.milliseconds);
   }
 
@@ -96,7 +96,7 @@
     }
   }
 
-  #start(index: number): RunningGuard {
+  #start(index: number): SimulatedEntry {
     const random = seededRandom(index);
     const records = new QuarantineRecords({
       tables: this.store,
@@ -114,7 +114,7 @@
       records,
       call: async (address) => (address === 'seen' ? 'refused' : 'silent'),
     });
-    const running: RunningGuard = { guard, records, troubledUntil: performance.now(), isCut: false };
+    const running: SimulatedEntry = { guard, records, disturbedUntil: performance.now(), isCut: false };
     guard.onNews = (news) => this.#pass(running, news);
     void records.start();
     for (const other of this.entries)
@@ -122,7 +122,7 @@
     return running;
   }
 
-  #pass(from: RunningGuard, news: PoisonNews): void {
+  #pass(from: SimulatedEntry, news: PoisonNews): void {
     if (from.isCut || !this.entries.includes(from)) return;
     for (const other of this.entries)
       if (other !== from && !other.isCut) other.guard.takeNews(structuredClone(news));
@@ -142,11 +142,11 @@
     for (let index = 0; index < ENTRIES; index++) this.#kill(index);
   }
 
-  async #cut(running: RunningGuard): Promise<void> {
+  async #cut(running: SimulatedEntry): Promise<void> {
     running.isCut = true;
     await vi.advanceTimersByTimeAsync(2_000);
     running.isCut = false;
-    running.troubledUntil = performance.now();
+    running.disturbedUntil = performance.now();
     // Its connections are reopened, and both sides send all of their news.
     for (const other of this.entries) {
       if (other === running || other.isCut) continue;
@@ -155,40 +155,40 @@
     }
   }
 
-  #comeBack(): void {
+  #restoreStore(): void {
     if (this.#copy === undefined) return;
     this.store.restore(this.#copy);
-    this.#storeTroubledUntil = performance.now();
+    this.#storeDisturbedUntil = performance.now();
     for (const { records } of this.entries) records.noteOlderCopy();
   }
 
-  async #leaveStoreAway(): Promise<void> {
+  async #interruptStore(): Promise<void> {
     this.store.faults.down = true;
     await vi.advanceTimersByTimeAsync(3_000);
     this.store.faults.down = false;
-    this.#storeTroubledUntil = performance.now();
+    this.#storeDisturbedUntil = performance.now();
   }
 
-  async #send(running: RunningGuard, isSeen: boolean): Promise<void> {
+  async #send(running: SimulatedEntry, isDetected: boolean): Promise<void> {
     const { guard } = running;
     const asked = guard.hasSuspects ? guard.admit(CONTENT, 'service') : Promise.resolve({ type: 'allowed' });
     await vi.advanceTimersByTimeAsync(1);
     if ((await asked).type === 'quarantined') return;
-    this.#count(running);
+    this.#countRetry(running);
     const id = `back end ${this.#endedAt.size}`;
     this.#endedAt.set(id, performance.now());
     this.#crashes.push(performance.now());
-    const record = { id, start: undefined, address: isSeen ? 'seen' : 'unseen' };
+    const record = { id, start: undefined, address: isDetected ? 'seen' : 'unseen' };
     const row = { record, health: { noteCrashed: () => {} } } as unknown as BackEndRow;
     guard.noteBroken({ row, fingerprints: CONTENT });
-    await vi.advanceTimersByTimeAsync(isSeen ? SETTLE : 2 * LIST_DELAY);
+    await vi.advanceTimersByTimeAsync(isDetected ? SETTLE_TIME : 2 * LIST_DELAY);
   }
 
-  #count(running: RunningGuard): void {
+  #countRetry(running: SimulatedEntry): void {
     const now = performance.now();
-    const third = this.#crashes[THIRD - 1];
-    const troubled = Math.max(running.troubledUntil, this.#storeTroubledUntil);
-    if (third !== undefined && now - third > CONTACT && now - troubled >= CONTACT) this.retries++;
+    const third = this.#crashes[THIRD_CRASH - 1];
+    const disturbed = Math.max(running.disturbedUntil, this.#storeDisturbedUntil);
+    if (third !== undefined && now - third > CONTACT_TIME && now - disturbed >= CONTACT_TIME) this.retries++;
   }
 }
 
@@ -204,10 +204,10 @@
   it('is sent at most three more times, whatever the order of restarts, lost state and news', async () => {
     await fc.assert(
       fc.asyncProperty(fc.array(step, { minLength: 30, maxLength: 80 }), async (steps) => {
-        const world = new World();
-        for (const one of steps) await world.play(one);
-        await world.stop();
-        expect(world.retries).toBeLessThanOrEqual(MOST_RETRIES);
+        const simulation = new QuarantineSimulation();
+        for (const one of steps) await simulation.play(one);
+        await simulation.stop();
+        expect(simulation.retries).toBeLessThanOrEqual(MAX_RETRIES);
       }),
       { seed: 36, numRuns: 400 },
     );
--- a/test/forwarding/deadly-content.test.ts
+++ b/test/forwarding/deadly-content.test.ts
@@ -12,14 +12,14 @@
 import { reply, StandInBackEnd } from './stand-in-back-end.js';
 
 /** Maximum number of crashes in total: three, and three more sends. */
-const MOST_ENDED = 6;
+const MAX_CRASHES = 6;
 const SENDS = 10;
 /** Crashes within this time of one another count as one wave, in milliseconds. */
-const SAME_MOMENT = 60;
+const WAVE_TIME = 60;
 
 const SERVICES = [{ name: 'billing', maxConnections: 0, engine: undefined }];
 /** Time within which an entry notices that a back end is no longer listed, in milliseconds. */
-const LOOK = 400;
+const CHECK_TIME = 400;
 
 let forwarding: ForwardingHarness;
 let backEnds: StandInBackEnd[];
@@ -51,9 +51,9 @@
     for (let sent = 0; sent < SENDS; sent++) {
       forwarding.list(['engine', backEnd, { start: sent + 1 }]);
       await forwarding.send('/once/', { method: 'POST', body: 'deadly' });
-      await pause(2 * SAME_MOMENT);
+      await pause(2 * WAVE_TIME);
     }
-    expect(ended).toBeLessThanOrEqual(MOST_ENDED);
+    expect(ended).toBeLessThanOrEqual(MAX_CRASHES);
   });
 
   it('is sent at most three more times after the third crash if each caller leaves before the crash', async () => {
@@ -78,9 +78,9 @@
       await until(() => forwarding.active === 1, 'the request to end');
       await backEnd.stop();
       await other;
-      await pause(2 * SAME_MOMENT);
+      await pause(2 * WAVE_TIME);
     }
-    expect(ended).toBeLessThanOrEqual(MOST_ENDED);
+    expect(ended).toBeLessThanOrEqual(MAX_CRASHES);
   });
 
   it('is sent at most three more times after the third crash if no other request runs and each caller leaves before the crash', async () => {
@@ -100,9 +100,9 @@
       await backEnd.stop();
       // Its record in the list expires.
       forwarding.list();
-      await pause(LOOK);
+      await pause(CHECK_TIME);
     }
-    expect(ended).toBeLessThanOrEqual(MOST_ENDED);
+    expect(ended).toBeLessThanOrEqual(MAX_CRASHES);
   });
 });
 
@@ -116,9 +116,9 @@
       forwarding.list([`b${index}`, backEnd]);
       const headers = { 'x-tokens': `10,${index}` };
       await forwarding.send('/once/', { method: 'POST', body: 'deadly', headers });
-      await pause(2 * SAME_MOMENT);
+      await pause(2 * WAVE_TIME);
     }
-    expect(ended).toBeLessThanOrEqual(MOST_ENDED);
+    expect(ended).toBeLessThanOrEqual(MAX_CRASHES);
   });
 
   /** A tenant may replace its keys, and a key may pass to another tenant. */
@@ -148,9 +148,9 @@
         forwarding.fleet.takeConfiguration({ document: Buffer.from(''), configuration });
         forwarding.list([`b${index}`, backEnd]);
         await forwarding.send('/once/', { method: 'POST', body: 'deadly', headers: { 'x-key': key } });
-        await pause(2 * SAME_MOMENT);
+        await pause(2 * WAVE_TIME);
       }
-      expect(ended).toBeLessThanOrEqual(MOST_ENDED);
+      expect(ended).toBeLessThanOrEqual(MAX_CRASHES);
     },
   );
 });
--- a/test/forwarding/poison-request.test.ts
+++ b/test/forwarding/poison-request.test.ts
@@ -16,10 +16,10 @@
 import { reply, StandInBackEnd } from './stand-in-back-end.js';
 
 /** Maximum number of crashes by one content: two identify it, and one more request may already have been sent. */
-const MOST_ENDED = 3;
+const MAX_CRASHES = 3;
 const BACK_ENDS = 8;
 /** Crashes within this time of one another count as one wave, in milliseconds. */
-const SAME_MOMENT = 60;
+const WAVE_TIME = 60;
 
 let backEnds: StandInBackEnd[];
 let ended: number;
@@ -66,7 +66,7 @@
 it('is not sent to further back ends after it has crashed two', async () => {
   const answers: number[] = [];
   for (let caller = 0; caller < 6; caller++) answers.push((await send('/again/', 'deadly')).status);
-  expect(ended).toBeLessThanOrEqual(MOST_ENDED);
+  expect(ended).toBeLessThanOrEqual(MAX_CRASHES);
   // The first request may have run. Later ones are refused at once with a status that shows that they have not run.
   expect(answers[0]).toBe(502);
   expect(answers.slice(2)).toEqual([503, 503, 503, 503]);
@@ -119,7 +119,7 @@
   expect(reasons).toContain('quarantined');
 });
 
-it('does not include requests whose connections broke without a crash', async () => {
+it('quarantine does not apply to a request whose connections break without a crash', async () => {
   const [backEnd] = backEnds;
   forwarding.list(['one', backEnd]);
   backEnd.answer((request) => request.socket.destroy());
@@ -146,7 +146,7 @@
   forwarding.list(['first', first]);
   expect((await send('/once/', 'deadly')).status).toBe(502);
   // The first crash must not be part of the same wave.
-  await pause(2 * SAME_MOMENT);
+  await pause(2 * WAVE_TIME);
   third.answer(() => void untilSecondEnds.then(() => setTimeout(() => void third.stop(), 20)));
   // The content at the back end that is about to crash, and another request there whose connection breaks with it.
   forwarding.list(['third', third]);
--- a/test/forwarding/quarantine-records.test.ts
+++ b/test/forwarding/quarantine-records.test.ts
@@ -46,7 +46,7 @@
     new AbortController().signal,
   );
 
-const crashesTold = ({ states }: Started) =>
+const crashesRead = ({ states }: Started) =>
   states.flatMap(({ crashes }) => crashes.map(({ backEnd }) => backEnd));
 
 const note = ({ records }: Started, backEnd: string, suspects = ['deadly']) =>
@@ -66,7 +66,7 @@
   await untilStored(store, 'one', 1);
   await one.records.stop();
   const [same, other] = [await start(store, 'one'), await start(store, 'two')];
-  await until(() => crashesTold(same).length > 0 && crashesTold(other).length > 0, 'the crash');
+  await until(() => crashesRead(same).length > 0 && crashesRead(other).length > 0, 'the crash');
   note(same, 'b2');
   await untilStored(store, 'one', 2);
 });
@@ -117,7 +117,7 @@
   await put(store, 'crashes/five', JSON.stringify([{ backEnd: 'b1', at: 0, suspects: ['deadly'] }]));
   const one = await start(store, 'one');
   await until(() => one.states.length > 0, 'a reading');
-  expect(crashesTold(one)).toEqual(['b1']);
+  expect(crashesRead(one)).toEqual(['b1']);
 });
 
 it('an entry’s row is limited in size, and crashes with quarantined contents are dropped last', async () => {
@@ -140,10 +140,10 @@
 it('a trial is claimed only once and by one entry', async () => {
   const store = new MemoryStore();
   const [one, two] = [await start(store, 'one'), await start(store, 'two')];
-  const none = new Map([['deadly', 0]]);
-  const claims = await Promise.all([one.records.claimTrial(none), two.records.claimTrial(none)]);
+  const noTrials = new Map([['deadly', 0]]);
+  const claims = await Promise.all([one.records.claimTrial(noTrials), two.records.claimTrial(noTrials)]);
   expect(claims.map(({ type }) => type).sort()).toEqual(['claimed', 'taken']);
-  const late = await two.records.claimTrial(none);
+  const late = await two.records.claimTrial(noTrials);
   expect(late).toEqual({ type: 'taken', trials: new Map([['deadly', 1]]) });
   const next = await start(store, 'three');
   await until(() => next.states.length > 0, 'a reading');
--- a/test/forwarding/silent-connections.test.ts
+++ b/test/forwarding/silent-connections.test.ts
@@ -10,7 +10,7 @@
 /** Interval of the requests that keep the back end busy, in milliseconds. */
 const BUSY_INTERVAL = 40;
 /** Time within which a request on a silent connection must be answered, in milliseconds. */
-const NOTICED_WITHIN = 1_500;
+const DETECTION_TIME = 1_500;
 
 const CONFIGURATION: FleetConfiguration = {
   revision: 1,
@@ -68,7 +68,7 @@
     }
     const { answer: got, took } = await waiting;
     expect(got).toMatchObject({ status: 200, body: 'whole' });
-    expect(took).toBeLessThan(NOTICED_WITHIN);
+    expect(took).toBeLessThan(DETECTION_TIME);
   });
 
   it('does not exclude the back end: the request is sent there again on a new connection', async () => {
@@ -76,7 +76,7 @@
     proxy.silence();
     const { answer: got, took } = await timed(forwarding.send('/read/'));
     expect(got).toMatchObject({ status: 200, body: 'whole' });
-    expect(took).toBeLessThan(NOTICED_WITHIN);
+    expect(took).toBeLessThan(DETECTION_TIME);
   });
 
   it('makes the other connections that were idle at that time suspect, and none of them is used again', async () => {
@@ -86,7 +86,7 @@
     const afterwards = await Promise.all(Array.from({ length: 5 }, () => timed(forwarding.send('/read/'))));
     for (const { answer: got, took } of afterwards) {
       expect(got.status).toBe(200);
-      expect(took).toBeLessThan(NOTICED_WITHIN / 4);
+      expect(took).toBeLessThan(DETECTION_TIME / 4);
     }
   });
 
--- a/test/forwarding/slots.test.ts
+++ b/test/forwarding/slots.test.ts
@@ -59,7 +59,7 @@
   return { backEnd, agent, address };
 }
 
-function tell({ backEnd, address }: Engine, isSwitching = false, entry = forwarding): void {
+function report({ backEnd, address }: Engine, isSwitching = false, entry = forwarding): void {
   const reportedAt = performance.now();
   const switchAt = Number.POSITIVE_INFINITY;
   entry.backEnds.applyReport(backEnd.address, {
@@ -101,7 +101,7 @@
   forwarding.log = { ...silentLog };
   await forwarding.start(CONFIGURATION);
   list(forwarding);
-  for (const engine of engines) tell(engine);
+  for (const engine of engines) report(engine);
 });
 
 afterEach(async () => {
@@ -178,11 +178,11 @@
 
 it('a request that waits at an engine that begins to switch is served by another', async () => {
   const [first, second] = engines;
-  tell(second, true);
+  report(second, true);
   const answers = Array.from({ length: SLOTS + 1 }, () => forwarding.send('/write/a'));
   await until(() => first.backEnd.requests.length === SLOTS, 'the slots of the first engine');
-  tell(second);
-  tell(first, true);
+  report(second);
+  report(first, true);
   first.agent.observe({ isServing: false, load: SLOTS });
   await until(() => second.backEnd.requests.length === 1, 'the waiting request at the other engine');
   answerAll();
@@ -212,7 +212,7 @@
   };
   await other.start(CONFIGURATION);
   list(other);
-  for (const engine of engines) tell(engine, false, other);
+  for (const engine of engines) report(engine, false, other);
   const sent = other.send('/write/a');
   await until(() => asked.length === 2, 'both engines to be asked');
   other.list();
--- a/test/forwarding/version-expiry.test.ts
+++ b/test/forwarding/version-expiry.test.ts
@@ -70,38 +70,38 @@
 
 describe('a request is withdrawn according to the engine and version assumed when it was sent, if it waits at an engine', () => {
   const [service] = ENGINE_CONFIGURATION.services;
-  /** Sends a request, calls `happen` once it waits at the engine, and expects the request to be withdrawn. */
-  async function withdrawnThough(happen: () => void): Promise<void> {
+  /** Sends a request, calls `change` once it waits at the engine, and expects the request to be withdrawn. */
+  async function expectWithdrawal(change: () => void): Promise<void> {
     forwarding.expireIn(1_000);
     const answer = forwarding.send('/write/');
     await until(() => engine.open === 1, 'the request at the engine');
-    happen();
+    change();
     expect((await answer).status).toBe(502);
     expect(await forwarding.metrics.text()).toMatch(/thistleway_version_withdrawals\{[^}]*\} 1/);
     await until(() => engine.open === 0, 'the withdrawal');
   }
   it('whose service was removed from the configuration', () =>
-    withdrawnThough(() => configure({ services: [] })));
+    expectWithdrawal(() => configure({ services: [] })));
 
   it('whose service no longer declares engines', () =>
-    withdrawnThough(() => configure({ services: [{ ...service, engine: undefined }] })));
+    expectWithdrawal(() => configure({ services: [{ ...service, engine: undefined }] })));
 
   it('whose model was removed from the configuration', () =>
-    withdrawnThough(() =>
+    expectWithdrawal(() =>
       configure({ services: [{ ...service, engine: { ...service.engine!, models: [{ name: 'other' }] } }] }),
     ));
 
   it('whose model now has more layers', () =>
-    withdrawnThough(() => {
+    expectWithdrawal(() => {
       configure({ services: [{ ...service, engine: { ...service.engine!, layers: 2 * ENGINE_LAYERS } }] });
       forwarding.tell(engine, { version: 0 });
     }));
 
   it('that reports that it holds no version', () =>
-    withdrawnThough(() => forwarding.tell(engine, { version: 0 })));
+    expectWithdrawal(() => forwarding.tell(engine, { version: 0 })));
 
   it('that reported so and has since been removed from the list', () =>
-    withdrawnThough(() => {
+    expectWithdrawal(() => {
       forwarding.tell(engine, { version: 0 });
       forwarding.list(['two', next, { ...LISTED_NEXT, leaving: true }]);
     }));
