--- a/src/forwarding/back-end-connection.ts
+++ b/src/forwarding/back-end-connection.ts
@@ -1,6 +1,7 @@
 /**
- * One connection to a back end, for one request at a time. It tracks whether anything was received since the latest request was
- * sent, because a kept connection may be dead without having been closed or reset, while new connections work.
+ * One connection to a back end, for one request at a time. It tracks whether anything was received since the latest
+ * request was sent, because a kept connection may be dead without having been closed or reset, while new connections
+ * work.
  */
 import type { Socket } from 'node:net';
 import { buildConnector, Client, type Dispatcher } from 'undici';
@@ -91,9 +92,9 @@
   }
 
   /**
-   * If the request was sent, it has ended or was aborted. The client is then destroyed: after an abort, the library would otherwise
-   * open a new connection before it finds that there is nothing left to send. A request that was not sent yet is sent by the library
-   * on a new connection.
+   * If the request was sent, it has ended or was aborted. The client is then destroyed: after an abort, the library
+   * would otherwise open a new connection before it finds that there is nothing left to send. A request that was not
+   * sent yet is sent by the library on a new connection.
    */
   #onDisconnected(): void {
     const isSent = this.#socket !== undefined && this.#socket.bytesWritten > this.#bytesSentBefore;
--- a/src/forwarding/back-end-connections.ts
+++ b/src/forwarding/back-end-connections.ts
@@ -1,6 +1,7 @@
 /**
- * Connections to one back end. If a connection is reset, the client library wrongly reports an answer without a length as
- * complete. `isInterrupted` therefore shows, while the library reports the end of an answer, whether a connection has just failed.
+ * Connections to one back end. If a connection is reset, the client library wrongly reports an answer without a
+ * length as complete. `isInterrupted` therefore shows, while the library reports the end of an answer, whether a
+ * connection has just failed.
  */
 import type { Dispatcher } from 'undici';
 import { BackEndConnection } from './back-end-connection.js';
@@ -12,7 +13,10 @@
 export class BackEndConnections {
   readonly #address: string;
   readonly #all = new Set<BackEndConnection>();
-  /** Idle connections, the most recently used last. That one is used first, so that surplus connections reach their idle timeout. */
+  /**
+   * Idle connections, the most recently used last. That one is used first, so that surplus connections reach their
+   * idle timeout.
+   */
   #idle: BackEndConnection[] = [];
   #isInterrupted = false;
   #isClosed = false;
@@ -33,8 +37,8 @@
   }
 
   /**
-   * Sends a request over an idle or new connection and returns the connection. Returns undefined without calling the handler if no
-   * more connections are allowed.
+   * Sends a request over an idle or new connection and returns the connection. Returns undefined without calling the
+   * handler if no more connections are allowed.
    */
   dispatch(
     options: Dispatcher.DispatchOptions,
--- a/src/forwarding/back-end-health.ts
+++ b/src/forwarding/back-end-health.ts
@@ -1,6 +1,7 @@
 /**
- * Tracks the health of one back end by the outcomes of its requests. A back end that fails much more often than its peers, or does
- * not answer at all, is suspended for a time that doubles. It is then probed with a single repeatable request.
+ * Tracks the health of one back end by the outcomes of its requests. A back end that fails much more often than its
+ * peers, or does not answer at all, is suspended for a time that doubles. It is then probed with a single repeatable
+ * request.
  */
 
 /** The outcome of a request, as far as it concerns the health of the back end. */
@@ -29,7 +30,10 @@
 const LONGEST_SUSPENSION = 6_000;
 /** Time without requests after a refusal because of overload, in milliseconds. */
 const OVERLOAD_PAUSE = 120;
-/** Time without requests after a misdirected one, in milliseconds; a report of another version ends it. The known state of the back end was wrong. */
+/**
+ * Time without requests after a misdirected one, in milliseconds; a report of another version ends it. The known
+ * state of the back end was wrong.
+ */
 const MISDIRECTED_PAUSE = 1_000;
 
 /** The health of one back end as observed by this process. */
@@ -53,9 +57,9 @@
   }
 
   /**
-   * Whether a request may be sent now. Only a repeatable request may probe a suspended back end. A back end in doubt, after a silent
-   * connection, may be probed by any request: it uses a new connection, which fails before the request is sent if the back end is
-   * unreachable.
+   * Whether a request may be sent now. Only a repeatable request may probe a suspended back end. A back end in doubt,
+   * after a silent connection, may be probed by any request: it uses a new connection, which fails before the request
+   * is sent if the back end is unreachable.
    */
   admits(now: number, isRepeatable: boolean): boolean {
     if (now < this.#pausedUntil) return false;
@@ -84,7 +88,10 @@
     this.#isProbed = false;
   }
 
-  /** Its process has ended. The back end is suspended until it is listed as restarted or a repeatable request has probed it successfully. */
+  /**
+   * Its process has ended. The back end is suspended until it is listed as restarted or a repeatable request has
+   * probed it successfully.
+   */
   noteCrashed(now: number): void {
     this.#silences = SILENCES_TO_SUSPEND;
     this.#suspend(now);
--- a/src/forwarding/back-end-selector.ts
+++ b/src/forwarding/back-end-selector.ts
@@ -29,21 +29,27 @@
 const DEFAULT_DURATION = 100;
 const DEFAULT_ENGINE_DURATION = 800;
 /**
- * A request must start before the version of its back end expires. The back end gets no new requests for a margin before the
- * expiry: this constant, in milliseconds, plus a multiple of the usual time to the first answer or of the wait for a slot,
- * whichever is longer. The margin is kept small so that it excludes few engines: 0.9 s plus the longest wait excluded engines
- * that could still have served (docs/design/decisions.md).
+ * A request must start before the version of its back end expires. The back end gets no new requests for a margin
+ * before the expiry: this constant, in milliseconds, plus a multiple of the usual time to the first answer or of the
+ * wait for a slot, whichever is longer. The margin is kept small so that it excludes few engines: 0.9 s plus the
+ * longest wait excluded engines that could still have served (docs/design/decisions.md).
  */
 const EXPIRY_MARGIN = 600;
 const EXPIRY_MARGIN_WAITS = 1.5;
 /**
- * Share of a back end's slots that requests which cannot meet their objective may use. The rest is reserved for requests that
- * can. Half this share did not help those and refused more of the others (docs/design/decisions.md).
+ * Share of a back end's slots that requests which cannot meet their objective may use. The rest is reserved for
+ * requests that can. Half this share did not help those and refused more of the others (docs/design/decisions.md).
  */
 const LATE_REQUEST_SHARE = 0.75;
-/** Share of the slots assumed to be in use by requests of other entries that are not reported yet; reports take 150 to 450 ms. */
+/**
+ * Share of the slots assumed to be in use by requests of other entries that are not reported yet; reports take 150 to
+ * 450 ms.
+ */
 const UNREPORTED_LOAD_SHARE = 0.25;
-/** Additional wait assumed if the agent has not reported the engine's load, in milliseconds: about the time to drain a full queue. */
+/**
+ * Additional wait assumed if the agent has not reported the engine's load, in milliseconds: about the time to drain a
+ * full queue.
+ */
 const UNKNOWN_LOAD_MARGIN = 1_600;
 /**
  * A request that has not started this long before the version expires is withdrawn, in milliseconds. The close of a
@@ -56,9 +62,15 @@
 /** Usual time from the order to switch to a version until the engine takes requests on it, in milliseconds. */
 const SWITCH_TIME = 400;
 
-/** Time after its start within which an entry receives the first reports on its engines, in milliseconds: 0.5 to 0.9 s were measured. */
+/**
+ * Time after its start within which an entry receives the first reports on its engines, in milliseconds: 0.5 to 0.9 s
+ * were measured.
+ */
 const FIRST_REPORT_TIME = 1_500;
-/** Until then, time in which an unreported engine without weights is expected to serve, in milliseconds: a copy takes 3.5 to 4.3 s. */
+/**
+ * Until then, time in which an unreported engine without weights is expected to serve, in milliseconds: a copy takes
+ * 3.5 to 4.3 s.
+ */
 const FIRST_WEIGHTS_TIME = 4_000;
 
 /** Requirements of a request for its back end. */
@@ -112,7 +124,7 @@
   expectedWait: number;
   /** The version that the back end must hold; undefined if any is acceptable. */
   expectedVersion: number | undefined;
-  /** Number of eligible back ends. */
+  /** Number of back ends to choose from: those eligible or, with a slot, the agents that were asked. */
   choices: number;
 }
 
@@ -188,8 +200,9 @@
   }
 
   /**
-   * Whether a request tries to obtain a slot first. Always true if all eligible engines have responsive agents. Otherwise it is
-   * true with a probability equal to the share of such engines, so that an engine without an agent gets its share of requests.
+   * Whether a request tries to obtain a slot first. Always true if all eligible engines have responsive agents.
+   * Otherwise it is true with a probability equal to the share of such engines, so that an engine without an agent
+   * gets its share of requests.
    */
   shouldAcquireSlot(requirements: Requirements): boolean {
     const now = performance.now();
@@ -204,7 +217,10 @@
     return managed > 0 && (others === 0 || this.#random.below(managed + others) < managed);
   }
 
-  /** Whether `row` is eligible for a request that holds one of its slots; it may have been removed from the list since the slot was requested. */
+  /**
+   * Whether `row` is eligible for a request that holds one of its slots; it may have been removed from the list since
+   * the slot was requested.
+   */
   isEligibleWithSlot(row: BackEndRow, requirements: Requirements): boolean {
     if (this.#table.rows.get(row.record.id) !== row) return false;
     return this.#exclusion(row, { ...requirements, mayQueue: true }, performance.now()) === undefined;
@@ -235,7 +251,10 @@
     return this.#table.rows.get(id)?.agent?.isResponsive(now) === true;
   }
 
-  /** Whether a request may be sent to the back end without a slot now. A back end with a rate limit requires a permit in addition. */
+  /**
+   * Whether a request may be sent to the back end without a slot now. A back end with a rate limit requires a permit
+   * in addition.
+   */
   #maySendDirectly(id: string, now: number): boolean {
     return (
       !this.#hasResponsiveAgent(id, now) && this.#permits.mayClaim(this.#table.rows.get(id)!.record, now)
@@ -253,8 +272,8 @@
   }
 
   /**
-   * Interval between requests at the sum of the rate limits of all back ends of `service`, in milliseconds; 0 if any of them
-   * has no limit.
+   * Interval between requests at the sum of the rate limits of all back ends of `service`, in milliseconds; 0 if any
+   * of them has no limit.
    */
   requestInterval(service: string): number {
     const present = [...this.#table.ofService(service)].filter(({ record }) => !record.leaving);
@@ -264,8 +283,9 @@
   }
 
   /**
-   * Two random candidates, one of them in this entry's zone if there is one. Reports of other entries' load are older than the
-   * requests they describe; if every entry chose the least loaded engine of all, they would all choose the same one at once.
+   * Two random candidates, one of them in this entry's zone if there is one. Reports of other entries' load are older
+   * than the requests they describe; if every entry chose the least loaded engine of all, they would all choose the
+   * same one at once.
    */
   #sampleTwo(candidates: readonly Candidate[]): Candidate[] {
     if (candidates.length <= 2) return [...candidates];
@@ -279,8 +299,8 @@
   }
 
   /**
-   * Expected time until an engine of `service` takes requests, in milliseconds. Infinite if no engine is expected to; undefined
-   * if some serve now, but not every request can be placed.
+   * Expected time until an engine of `service` takes requests, in milliseconds. Infinite if no engine is expected to;
+   * undefined if some serve now, but not every request can be placed.
    */
   timeToCapacity(service: string): number | undefined {
     const now = performance.now();
@@ -312,9 +332,9 @@
   }
 
   /**
-   * Whether a request that has not started at `row` must be withdrawn because the version there is about to expire. Later
-   * information does not cancel this: neither a configuration that lacks the engine or its model nor a report that the engine
-   * holds no version proves that the engine will not start the request.
+   * Whether a request that has not started at `row` must be withdrawn because the version there is about to expire.
+   * Later information does not cancel this: neither a configuration that lacks the engine or its model nor a report
+   * that the engine holds no version proves that the engine will not start the request.
    */
   mustWithdraw(row: BackEndRow, assumed: AssumedEngine, now: number): boolean {
     if (this.#isAboutToExpire(row, assumed.engine, assumed, now)) return true;
@@ -343,8 +363,8 @@
   }
 
   /**
-   * The engines of a request's service, as declared in the current configuration. If that no longer declares any, as declared
-   * when the request was admitted.
+   * The engines of a request's service, as declared in the current configuration. If that no longer declares any, as
+   * declared when the request was admitted.
    */
   #engineOf({ service, engine }: Requirements): EngineShape | undefined {
     return this.#fleet.routes?.service(service)?.engine ?? engine;
--- a/src/forwarding/back-end-table.ts
+++ b/src/forwarding/back-end-table.ts
@@ -1,7 +1,7 @@
 /**
- * The known back ends: their records in the list, the reports of their agents, the requests in flight from this and other
- * entries, and the outcomes of requests. A row exists as long as its record and describes one start of a back end. A back end
- * that restarts gets a new row, and reports on its previous start are ignored.
+ * The known back ends: their records in the list, the reports of their agents, the requests in flight from this and
+ * other entries, and the outcomes of requests. A row exists as long as its record and describes one start of a back
+ * end. A back end that restarts gets a new row, and reports on its previous start are ignored.
  */
 import type { BackEndChange } from '../fleet/back-end-list.js';
 import { type BackEndIdentity, isSameStart } from '../model/back-end-identity.js';
@@ -42,7 +42,10 @@
   load: number;
   /** When the report was received, in milliseconds of the steady clock. */
   reportedAt: number;
-  /** When the engine is to be ordered to switch, in milliseconds of the steady clock; infinite if no switch is scheduled. */
+  /**
+   * When the engine is to be ordered to switch, in milliseconds of the steady clock; infinite if no switch is
+   * scheduled.
+   */
   switchAt: number;
 }
 
@@ -63,7 +66,10 @@
   firstAnswerTime: number;
   /** Moving average of the duration of a request, in milliseconds; 0 before the first. */
   duration: number;
-  /** Moving average of the duration of a request per token that its answer may have, in milliseconds; 0 before the first. */
+  /**
+   * Moving average of the duration of a request per token that its answer may have, in milliseconds; 0 before the
+   * first.
+   */
   timePerToken: number;
   /** When any part of an answer was last received, in milliseconds of the steady clock. */
   progressAt: number;
@@ -79,7 +85,10 @@
 export class BackEndTable {
   readonly rows = new Map<string, BackEndRow>();
   readonly #rowsByService = new Map<string, Set<BackEndRow>>();
-  /** The rows of each address: a back end that restarts there under another id has a second row until its earlier record expires. */
+  /**
+   * The rows of each address: a back end that restarts there under another id has a second row until its earlier
+   * record expires.
+   */
   readonly #rowsByAddress = new Map<string, Set<BackEndRow>>();
   readonly #holds = new Map<string, HoldRecord>();
   readonly #forecasts = new Map<string, CapacityForecast>();
@@ -106,10 +115,11 @@
   }
 
   /**
-   * Whether another back end has since started at the address of `row`. The back end of `row` no longer exists then, although its
-   * record expires only after three missed heartbeats. After a power failure, nine entries sent 290 requests to such rows within
-   * the first second, which exhausted the retry budget.
-   * @param isConfigured - whether the configuration declares a service; records of undeclared services supersede no others
+   * Whether another back end has since started at the address of `row`. The back end of `row` no longer exists then,
+   * although its record expires only after three missed heartbeats. After a power failure, nine entries sent 290
+   * requests to such rows within the first second, which exhausted the retry budget.
+   * @param isConfigured - whether the configuration declares a service; records of undeclared services supersede no
+   * others
    */
   isSuperseded({ record }: BackEndRow, isConfigured: (service: string) => boolean): boolean {
     const rows = this.#rowsByAddress.get(record.address);
@@ -119,7 +129,10 @@
     );
   }
 
-  /** Whether this start of a back end has ended without notice: it is no longer listed, or another back end listens at its address. */
+  /**
+   * Whether this start of a back end has ended without notice: it is no longer listed, or another back end listens at
+   * its address.
+   */
   hasEnded(row: BackEndRow): boolean {
     const { id, address, revision, leaving } = row.record;
     if (leaving) return false;
@@ -135,8 +148,8 @@
   }
 
   /**
-   * The row that a report on `address` with this start refers to: the row of that start, or else the row with the latest record,
-   * as the back end has restarted; undefined if none is listed there.
+   * The row that a report on `address` with this start refers to: the row of that start, or else the row with the
+   * latest record, as the back end has restarted; undefined if none is listed there.
    */
   rowAt(address: string, start: BackEndIdentity['start']): BackEndRow | undefined {
     const rows = [...(this.#rowsByAddress.get(address) ?? [])];
@@ -174,9 +187,9 @@
   }
 
   /**
-   * Handles a kept connection to `row` that has been silent since `since`: idle connections that were last active before then are
-   * closed, as they may be silent too. If another back end's connection was found silent shortly before, this applies to the
-   * connections to all back ends.
+   * Handles a kept connection to `row` that has been silent since `since`: idle connections that were last active
+   * before then are closed, as they may be silent too. If another back end's connection was found silent shortly
+   * before, this applies to the connections to all back ends.
    */
   noteSilentConnection(row: BackEndRow, since: number): void {
     const now = performance.now();
@@ -224,7 +237,10 @@
     addTo(this.#rowsByAddress, record.address, row);
   }
 
-  /** Removes the row of a back end that another one has replaced under the same id; its requests in flight no longer count. */
+  /**
+   * Removes the row of a back end that another one has replaced under the same id; its requests in flight no longer
+   * count.
+   */
   #removePrevious({ record }: BackEndRow): void {
     this.#remove(record.id);
     if (this.#lastSilentConnection?.id === record.id) this.#lastSilentConnection = undefined;
@@ -241,8 +257,8 @@
 }
 
 /**
- * Whether the state kept for one record is valid for the other. A restart discards all state, existing connections lead to the
- * previous address, and requests for one service must not run at another.
+ * Whether the state kept for one record is valid for the other. A restart discards all state, existing connections
+ * lead to the previous address, and requests for one service must not run at another.
  */
 function isSameBackEnd(one: BackEndRecord, other: BackEndRecord): boolean {
   const isAtSamePlace = one.service === other.service && one.address === other.address;
@@ -279,9 +295,9 @@
 }
 
 /**
- * The version of which `row` holds all layers, or 0 if none: the version that its agent has recently read from the engine, or
- * else the later of the listed and the reported one. The list still names the version of an engine that has lost its weights
- * until the record expires.
+ * The version of which `row` holds all layers, or 0 if none: the version that its agent has recently read from the
+ * engine, or else the later of the listed and the reported one. The list still names the version of an engine that
+ * has lost its weights until the record expires.
  */
 export function completeVersion(
   { record, news }: BackEndRow,
@@ -293,7 +309,10 @@
   return Math.max(listed, news?.version ?? 0);
 }
 
-/** An engine that states more layers than the model has holds a different model. A layer count of 0 is unknown and not checked. */
+/**
+ * An engine that states more layers than the model has holds a different model. A layer count of 0 is unknown and not
+ * checked.
+ */
 function isComplete(layers: HeldLayers | undefined, layerCount: number): boolean {
   if (layers === undefined || layers.from !== 0) return false;
   return layerCount === 0 || layers.end === layerCount;
--- a/src/forwarding/back-end-use.ts
+++ b/src/forwarding/back-end-use.ts
@@ -1,6 +1,6 @@
 /**
- * Accounts for one attempt in the row of its back end: requests in flight, prompt tokens that are not read yet, the time of the
- * last progress, and moving averages of answer times. Times are in milliseconds of the steady clock.
+ * Accounts for one attempt in the row of its back end: requests in flight, prompt tokens that are not read yet, the
+ * time of the last progress, and moving averages of answer times. Times are in milliseconds of the steady clock.
  */
 import type { Attempt } from './attempt.js';
 import type { AttemptAnswer } from './attempt-answer.js';
@@ -136,7 +136,10 @@
     noteFirstAnswer(this.row, this.#firstAnswerAfter, now);
   }
 
-  /** Its kept connection is silent: idle connections that were last active before the request was sent are not used again. */
+  /**
+   * Its kept connection is silent: idle connections that were last active before the request was sent are not used
+   * again.
+   */
   suspectIdleConnections(table: BackEndTable): void {
     if (this.#hasSuspectedIdleConnections) return;
     this.#hasSuspectedIdleConnections = true;
--- a/src/forwarding/crash-detector.ts
+++ b/src/forwarding/crash-detector.ts
@@ -1,8 +1,9 @@
 /**
- * Distinguishes the crash of a back end from connections that break while it is running. When the first connection breaks, a new
- * connection to the back end is opened as a probe. If the process has ended, its machine refuses the connection. If the connection
- * is accepted, the back end is running or has restarted. If there is no answer, the machine is unreachable or without power, or
- * the probe was lost. If that start of the back end is found to have ended shortly afterwards, it counts as a crash as well.
+ * Distinguishes the crash of a back end from connections that break while it is running. When the first connection
+ * breaks, a new connection to the back end is opened as a probe. If the process has ended, its machine refuses the
+ * connection. If the connection is accepted, the back end is running or has restarted. If there is no answer, the
+ * machine is unreachable or without power, or the probe was lost. If that start of the back end is found to have
+ * ended shortly afterwards, it counts as a crash as well.
  */
 import { connect as connectSocket } from 'node:net';
 import { type BackEndIdentity, isSameStart } from '../model/back-end-identity.js';
@@ -12,12 +13,15 @@
 
 /** Timeout of a probe, in milliseconds: longer than the retransmission of a lost packet. */
 const PROBE_TIMEOUT = 400;
-/** Connections that break within this time of the first one belong to the same crash, in milliseconds: 15 ms were measured. */
+/**
+ * Connections that break within this time of the first one belong to the same crash, in milliseconds: 15 ms were
+ * measured.
+ */
 const SAME_CRASH_TIME = 500;
 
 /**
- * Maximum time from a broken connection or an aborted request until the end of the back end is known, in milliseconds: its record
- * in the list expires after three heartbeats, and the list is read shortly afterwards.
+ * Maximum time from a broken connection or an aborted request until the end of the back end is known, in
+ * milliseconds: its record in the list expires after three heartbeats, and the list is read shortly afterwards.
  */
 const END_DETECTION_TIME = 8_000;
 /** Interval of the checks whether back ends with broken connections have ended, in milliseconds. */
@@ -42,7 +46,10 @@
   calls: Record<ProbeResult, number>;
   /** Called with each crash, and again with further suspects of it as they become known. */
   onCrash: (crash: BackEndCrash) => void;
-  /** Whether this start of a back end has ended without notice: it is no longer listed, or another back end listens at its address. */
+  /**
+   * Whether this start of a back end has ended without notice: it is no longer listed, or another back end listens at
+   * its address.
+   */
   hasEnded: (row: BackEndRow) => boolean;
   log: Log;
   /** Probes `host:port`: opens a connection and closes it again. */
@@ -120,7 +127,10 @@
     while (this.#givenUp.length > 0 && now - this.#givenUp[0].at > END_DETECTION_TIME) this.#givenUp.shift();
   }
 
-  /** Checks whether back ends have ended. The list may show this late, or may have shown it while this process was paused. */
+  /**
+   * Checks whether back ends have ended. The list may show this late, or may have shown it while this process was
+   * paused.
+   */
   #checkEnded(): void {
     const now = performance.now();
     for (const [key, broken] of this.#broken) {
--- a/src/forwarding/poison-guard.ts
+++ b/src/forwarding/poison-guard.ts
@@ -1,7 +1,7 @@
 /**
- * Stops forwarding requests that crash back ends (poison requests). Collects the crashes that this entry detects and those that
- * other entries report, and applies the resulting decisions to new, waiting and sent requests. The decision rules are in
- * `systems/poison-requests.ts`.
+ * Stops forwarding requests that crash back ends (poison requests). Collects the crashes that this entry detects and
+ * those that other entries report, and applies the resulting decisions to new, waiting and sent requests. The
+ * decision rules are in `systems/poison-requests.ts`.
  */
 import type { Log } from '../observability/log.js';
 import type { Metrics } from '../observability/metrics.js';
@@ -113,7 +113,10 @@
     return this.#decide(fingerprints, performance.now()).type === 'allowed';
   }
 
-  /** Time until a request with this content may be sent as a trial from here, in milliseconds; 0 if it is not in quarantine. */
+  /**
+   * Retry delay for callers with this content, in milliseconds: the time until this entry may send it as a trial, if
+   * another trial is allowed; 0 if it is not in quarantine.
+   */
   retryAfter(fingerprints: readonly Fingerprint[]): number {
     const decision = this.#decide(fingerprints, performance.now());
     return decision.type === 'quarantined' ? decision.retryAfter : 0;
@@ -223,9 +226,9 @@
   }
 
   /**
-   * Adds aborted requests that may still have been running at the back end to the suspects of its crash. Without them, a content
-   * was not counted for a crash that it had caused; another crash at the same moment was then classified as part of a wave, which
-   * ended the quarantine of the content.
+   * Adds aborted requests that may still have been running at the back end to the suspects of its crash. Without
+   * them, a content was not counted for a crash that it had caused; another crash at the same moment was then
+   * classified as part of a wave, which ended the quarantine of the content.
    */
   #addGivenUp({ backEnd, start, at }: BackEndCrash): void {
     const suspects = this.#detector.removeGivenUp({ id: backEnd, start });
--- a/src/forwarding/quarantine-records.ts
+++ b/src/forwarding/quarantine-records.ts
@@ -1,12 +1,13 @@
 /**
- * Persists the information on contents that crash back ends in the platform's store, because all entries may stop at once. Each
- * entry has one row for the crashes that it has detected. Each trial of any entry has a row of its own.
+ * Persists the information on contents that crash back ends in the platform's store, because all entries may stop at
+ * once. Each entry has one row for the crashes that it has detected. Each trial of any entry has a row of its own.
  *
- * A trial is claimed before its request is sent. Its row is created on the condition that it does not exist, so that entries that
- * cannot reach one another or have restarted do not each run the same trial. While the store is unavailable there are no trials.
+ * A trial is claimed before its request is sent. Its row is created on the condition that it does not exist, so that
+ * entries that cannot reach one another or have restarted do not each run the same trial. While the store is
+ * unavailable there are no trials.
  *
- * Rows are read at the start and whenever the store was restored from an older copy. Otherwise entries inform one another
- * directly.
+ * Rows are read at the start and whenever the store was restored from an older copy. Otherwise entries inform one
+ * another directly.
  */
 import { z } from 'zod';
 import type { StoredRow, WatchedTables } from '../clients/watched-tables.js';
@@ -28,8 +29,8 @@
 /** Timeout of the claim of a trial, in milliseconds: its caller waits. */
 const CLAIM_LIMIT = 300;
 /**
- * Delay before a write, in milliseconds. The suspects of one crash become known within a few milliseconds and are mostly written
- * together. The delay is short because unwritten information is lost if all entries stop.
+ * Delay before a write, in milliseconds. The suspects of one crash become known within a few milliseconds and are
+ * mostly written together. The delay is short because unwritten information is lost if all entries stop.
  */
 const BATCH_DELAY = 5;
 /** Minimum pause before a failed call is retried, in milliseconds; random jitter adds up to as much again. */
@@ -215,7 +216,10 @@
     return true;
   }
 
-  /** Reads the crashes of a row. Those of this entry's own row, written by an earlier process, are added to the known ones. */
+  /**
+   * Reads the crashes of a row. Those of this entry's own row, written by an earlier process, are added to the known
+   * ones.
+   */
   #crashesIn({ key, value }: StoredRow): BackEndCrash[] {
     if (!key.startsWith(CRASHES_PREFIX) || value === undefined) return [];
     const stored = parse(value);
@@ -231,8 +235,8 @@
   }
 
   /**
-   * Writes this entry's row on the condition that it still has its last known revision: an earlier write that the store executes
-   * late must not overwrite a later one.
+   * Writes this entry's row on the condition that it still has its last known revision: an earlier write that the
+   * store executes late must not overwrite a later one.
    */
   async #write(signal: AbortSignal): Promise<boolean> {
     await sleep(Math.max(BATCH_DELAY, this.#writtenAt + WRITE_INTERVAL - performance.now()), signal);
--- a/src/forwarding/request-fingerprint.ts
+++ b/src/forwarding/request-fingerprint.ts
@@ -1,8 +1,9 @@
 /**
- * Fingerprints that identify repetitions of the same request: digests of its method, host, path, body and caller. The request
- * identity, the deadline, other headers and the receiving entry are not included, as they differ between repetitions. The caller is
- * included, so that no tenant can cause another tenant's requests to be refused. One digest identifies the caller by its key and
- * another one by its tenant, because a tenant may replace its keys and a key may pass to another tenant.
+ * Fingerprints that identify repetitions of the same request: digests of its method, host, path, body and caller. The
+ * request identity, the deadline, other headers and the receiving entry are not included, as they differ between
+ * repetitions. The caller is included, so that no tenant can cause another tenant's requests to be refused. One
+ * digest identifies the caller by its key and another one by its tenant, because a tenant may replace its keys and a
+ * key may pass to another tenant.
  */
 import { createHash } from 'node:crypto';
 import type { IncomingMessage } from 'node:http';
--- a/src/forwarding/selection.ts
+++ b/src/forwarding/selection.ts
@@ -1,6 +1,6 @@
 /**
- * Chooses the back end for a request: the one from which the first part of the answer is expected soonest, with a preference
- * for near ones. Deterministic: the same input and random state give the same choice.
+ * Chooses the back end for a request: the one from which the first part of the answer is expected soonest, with a
+ * preference for near ones. Deterministic: the same input and random state give the same choice.
  */
 import type { Random } from '../model/random.js';
 
@@ -56,7 +56,10 @@
 /** The same for candidates whose load is not known, in milliseconds: less than the cost of another region. */
 export const COST_TOLERANCE_LOAD_UNKNOWN = 40;
 
-/** Chooses the best candidate for a request from `position`, randomly among equals; undefined if there are no candidates. */
+/**
+ * Chooses the best candidate for a request from `position`, randomly among equals; undefined if there are no
+ * candidates.
+ */
 export function chooseBackEnd(
   candidates: readonly Candidate[],
   position: Position,
@@ -94,8 +97,8 @@
 }
 
 /**
- * Cost of requesting a slot of `candidate`, in milliseconds of waiting. Its load counts only if it was reported recently: all
- * entries have the same outdated load and would choose the same candidate.
+ * Cost of requesting a slot of `candidate`, in milliseconds of waiting. Its load counts only if it was reported
+ * recently: all entries have the same outdated load and would choose the same candidate.
  */
 export function slotCost(candidate: Candidate, position: Position, isLoadFresh: boolean): number {
   return isLoadFresh ? costOf(candidate, position) : distanceCost(candidate, position) + baseCost(candidate);
--- a/src/forwarding/silence.ts
+++ b/src/forwarding/silence.ts
@@ -4,7 +4,10 @@
  */
 import type { Route } from '../fleet/configuration.js';
 
-/** A back end with an outstanding first answer is silent if nothing at all is received from it for this multiple of the route's objective. */
+/**
+ * A back end with an outstanding first answer is silent if nothing at all is received from it for this multiple of
+ * the route's objective.
+ */
 const SILENT_OBJECTIVES = 2;
 /** Bounds of the resulting time, in milliseconds. */
 const MIN_SILENCE = 350;
@@ -14,8 +17,9 @@
 /** Lower bound of the resulting time, in milliseconds. */
 const MIN_STREAM_SILENCE = 600;
 /**
- * A kept connection is silent after this multiple of its back end's usual time to a first answer if the back end makes progress
- * with other requests meanwhile. The multiple exceeds the delay that a growing queue at the back end adds.
+ * A kept connection is silent after this multiple of its back end's usual time to a first answer if the back end
+ * makes progress with other requests meanwhile. The multiple exceeds the delay that a growing queue at the back end
+ * adds.
  */
 const SILENT_FIRST_ANSWERS = 4;
 
--- a/src/forwarding/slot-agent.ts
+++ b/src/forwarding/slot-agent.ts
@@ -1,4 +1,7 @@
-/** Tracks whether the agent that grants an engine's slots responds to this process. Times are in milliseconds of the steady clock. */
+/**
+ * Tracks whether the agent that grants an engine's slots responds to this process. Times are in milliseconds of the
+ * steady clock.
+ */
 
 /** Consecutive unanswered requests after which an agent is considered unresponsive: a single datagram may be lost. */
 const MAX_UNANSWERED = 2;
@@ -20,7 +23,10 @@
     this.address = address;
   }
 
-  /** False while the agent is considered unresponsive or does not grant slots yet. Its engine is then used without slots. */
+  /**
+   * False while the agent is considered unresponsive or does not grant slots yet. Its engine is then used without
+   * slots.
+   */
   isResponsive(now: number): boolean {
     return now >= this.#pausedUntil;
   }
--- a/src/forwarding/slot-seeker.ts
+++ b/src/forwarding/slot-seeker.ts
@@ -1,4 +1,7 @@
-/** Obtains an engine's slot for one request: asks the agents chosen by its `SlotSearch` and takes the first slot granted. */
+/**
+ * Obtains an engine's slot for one request: asks the agents chosen by its `SlotSearch` and takes the first slot
+ * granted.
+ */
 import type { Random } from '../model/random.js';
 import type { Standstills } from '../model/standstills.js';
 import type { SlotCandidate } from '../systems/slot-search.js';
--- a/src/forwarding/suspect-content.ts
+++ b/src/forwarding/suspect-content.ts
@@ -35,7 +35,7 @@
     return this.#isTrial || !this.#guard.hasSuspects || this.#guard.allows(this.fingerprints);
   }
 
-  /** Time until a request with this content may be sent as a trial from here, in milliseconds. */
+  /** Retry delay for the caller, in milliseconds. */
   get retryAfter(): number {
     return this.#guard.retryAfter(this.fingerprints);
   }
--- a/src/forwarding/version-expiry-figures.ts
+++ b/src/forwarding/version-expiry-figures.ts
@@ -1,4 +1,7 @@
-/** Metrics on the expiry of versions for operators: requests that were withdrawn in time, and answers that started too late. */
+/**
+ * Metrics on the expiry of versions for operators: requests that were withdrawn in time, and answers that started too
+ * late.
+ */
 import type { Metrics } from '../observability/metrics.js';
 
 /** Version expiry counters of one process. */
--- a/test/forwarding/deadly-content-orders.test.ts
+++ b/test/forwarding/deadly-content-orders.test.ts
@@ -1,9 +1,11 @@
 /**
- * Property test of the quarantine across entries: one content crashes every back end, while random sequences of steps kill entries,
- * cut them off, take the store down, restore it from an older copy, and make crashes undetectable by probes.
+ * Property test of the quarantine across entries: one content crashes every back end, while random sequences of steps
+ * kill entries, cut them off, take the store down, restore it from an older copy, and make crashes undetectable by
+ * probes.
  *
- * Once the contact time has passed since the third crash, entries that have run connected to the store for that time must send the
- * content at most three more times in total, whatever state was lost. The guards and records are real; time is virtual.
+ * Once the contact time has passed since the third crash, entries that have run connected to the store for that time
+ * must send the content at most three more times in total, whatever state was lost. The guards and records are real;
+ * time is virtual.
  */
 import fc from 'fast-check';
 import { afterEach, beforeEach, describe, expect, it, vi } from 'vitest';
--- a/test/forwarding/deadly-content.test.ts
+++ b/test/forwarding/deadly-content.test.ts
@@ -1,7 +1,8 @@
 /**
- * Tests that crashes are attributed to the content that caused them even if they are hard to detect. In each of these cases the
- * content was previously sent to one back end after the other: the back end had restarted and accepted the probe; the caller had
- * left and its request had been withdrawn just before the crash; the content came with different headers, keys or tenants.
+ * Tests that crashes are attributed to the content that caused them even if they are hard to detect. In each of these
+ * cases the content was previously sent to one back end after the other: the back end had restarted and accepted the
+ * probe; the caller had left and its request had been withdrawn just before the crash; the content came with
+ * different headers, keys or tenants.
  */
 import { setTimeout as pause } from 'node:timers/promises';
 import { afterEach, beforeEach, describe, expect, it } from 'vitest';
--- a/test/forwarding/foreign-back-ends.test.ts
+++ b/test/forwarding/foreign-back-ends.test.ts
@@ -1,4 +1,7 @@
-/** Tests back ends whose records were written by another system, have become invalid, or name another service or address. */
+/**
+ * Tests back ends whose records were written by another system, have become invalid, or name another service or
+ * address.
+ */
 import { afterEach, beforeEach, describe, expect, it } from 'vitest';
 import { until } from '../support.js';
 import { ENGINE_CONFIGURATION, ENGINE_LAYERS } from './engine-configuration.js';
--- a/test/forwarding/poison-request.test.ts
+++ b/test/forwarding/poison-request.test.ts
@@ -1,10 +1,11 @@
 /**
  * Tests that a request that crashes every back end which runs it is quarantined.
  *
- * Callers repeat such a request under new identities and at any entry. Without quarantine, each entry forwarded every repetition and
- * retried it at a second back end. Byte-identical requests under six identities crashed 26 engines within 20 s; each was down for
- * 3 s, and the connections of up to eleven other requests broke with each crash, within 15 ms of that of the crashing request. One
- * recorded run shows 13 more sends after the third crash and 23 crashes in total.
+ * Callers repeat such a request under new identities and at any entry. Without quarantine, each entry forwarded every
+ * repetition and retried it at a second back end. Byte-identical requests under six identities crashed 26 engines
+ * within 20 s; each was down for 3 s, and the connections of up to eleven other requests broke with each crash,
+ * within 15 ms of that of the crashing request. One recorded run shows 13 more sends after the third crash and 23
+ * crashes in total.
  */
 import { setTimeout as pause } from 'node:timers/promises';
 import { afterEach, beforeEach, expect, it } from 'vitest';
@@ -129,9 +130,9 @@
 });
 
 /**
- * A content crashed its third engine 60 ms after its second one, although it had been withdrawn from there. The withdrawn request
- * was not counted as a suspect, so the two crashes were classified as a wave that counts against no content. The content left
- * quarantine and crashed another engine 1.4 s later.
+ * A content crashed its third engine 60 ms after its second one, although it had been withdrawn from there. The
+ * withdrawn request was not counted as a suspect, so the two crashes were classified as a wave that counts against no
+ * content. The content left quarantine and crashed another engine 1.4 s later.
  */
 it('stays in quarantine if it crashes another back end from which it was withdrawn too late', async () => {
   const [first, second, third] = backEnds;
--- a/test/forwarding/quarantine-records.test.ts
+++ b/test/forwarding/quarantine-records.test.ts
@@ -1,4 +1,7 @@
-/** Tests the stored quarantine state: crashes survive restarts of all entries, and each trial is claimed by one entry only. */
+/**
+ * Tests the stored quarantine state: crashes survive restarts of all entries, and each trial is claimed by one entry
+ * only.
+ */
 import { setTimeout as pause } from 'node:timers/promises';
 import { afterEach, expect, it } from 'vitest';
 import { MemoryStore } from '../../emulator/store/memory-store.js';
--- a/test/forwarding/slots.test.ts
+++ b/test/forwarding/slots.test.ts
@@ -154,7 +154,8 @@
 });
 
 it('agents whose answers arrive while this process is paused are not considered unresponsive', async () => {
-  // With this objective a request waits for a slot for 0.6 s: long enough for the queue of an engine, shorter than engines may be silent.
+  // With this objective a request waits for a slot for 0.6 s: long enough for the queue of an engine, shorter than
+  // engines may be silent.
   const routes = CONFIGURATION.routes.map((route) => ({ ...route, objective: 1_200 }));
   const configuration = { ...CONFIGURATION, revision: 2, routes };
   forwarding.fleet.takeConfiguration({ document: Buffer.from(''), configuration });
@@ -164,11 +165,13 @@
   const ask = client.ask.bind(client);
   client.ask = (...question) => {
     const claim = ask(...question);
-    // The process is paused after both agents of a request have been asked, for longer than agents may be silent and for less than the request waits.
+    // Pauses the process once both agents of a request have been asked. The pause is longer than agents may be
+    // silent, and shorter than the request waits.
     if (++asked % 2 === 0) standStill(300);
     return claim;
   };
-  // An agent is still asked after one unanswered request, so only the second request shows whether it is considered unresponsive.
+  // An agent is still asked after one unanswered request, so only the second request shows whether it is considered
+  // unresponsive.
   expect((await forwarding.send('/write/a')).status).toBe(503);
   expect((await forwarding.send('/write/a')).status).toBe(503);
   expect(requests()).toBe(2 * SLOTS);
