--- a/src/forwarding/forwarded-request.ts
+++ b/src/forwarding/forwarded-request.ts
@@ -112,7 +112,7 @@
     if (this.#body.type === 'cut') return this.#fail({ type: 'malformed', reason: 'cut body' });
     this.#components.budgetOf(this.#admitted.service).earn(performance.now());
     const decision = await this.#content.admit(this.#admitted.service);
-    if (this.#settled) return this.#content.noteSettled();
+    if (this.#settled) return this.#content.noteEnded();
     if (decision.type === 'quarantined') return this.#refuseQuarantined(decision.retryAfter);
     this.#wait.begin();
   }
@@ -121,7 +121,7 @@
   onQuarantined(fingerprints: ReadonlySet<Fingerprint>): void {
     const isWaiting = !this.#settled && this.#wait?.isUnderWay;
     if (this.#openAttempts.size === 0 && !isWaiting) return;
-    if (!this.#content.isAmong(fingerprints) || this.#content.mayBeSent) return;
+    if (!this.#content.matchesAny(fingerprints) || this.#content.mayBeSent) return;
     if (isWaiting) this.#giveUpQuarantined();
     for (const { attempt, hasBegun } of this.#openAttempts.all())
       if (!hasBegun) attempt.withdraw('quarantined');
@@ -394,14 +394,14 @@
     const version = this.#versionOf(use);
     if (version === undefined) return;
     const { selector, expiryFigures } = this.#components;
-    const { row, attempt, sentFor } = use;
-    const expiredFor = selector.expiredFor(sentFor.engine, version, performance.now());
-    if (!(expiredFor > 0)) return;
+    const { row, attempt, assumedEngine } = use;
+    const timeSinceExpiry = selector.timeSinceExpiry(assumedEngine.engine, version, performance.now());
+    if (!(timeSinceExpiry > 0)) return;
     expiryFigures.begunLate++;
     this.#log.note('began on an expired version', {
       backEnd: row.record.id,
       version,
-      expiredMs: Math.round(expiredFor),
+      expiredMs: Math.round(timeSinceExpiry),
       send: this.#policy.sends,
       sentMsAgo: Math.round(performance.now() - attempt.startedAt),
     });
@@ -430,7 +430,7 @@
   }
 
   #onEnd(use: BackEndUse): void {
-    use.noteRead();
+    use.notePromptRead();
     const { status } = use.answer;
     if (status >= INTERNAL_ERROR && !this.#answer.started && this.#tryAgainAfter(use, `status ${status}`))
       return;
@@ -513,7 +513,9 @@
     const { route, timing } = this.#admitted;
     const latest = latestBegin(this.#answer.forwardedAt, timing.endsAt, route.patience);
     if (performance.now() + SEARCH_INTERVAL > latest) return false;
-    return this.#policy.mayRunAgain && this.#components.selector.mayTakeLater(this.#policy.requirements());
+    return (
+      this.#policy.mayRunAgain && this.#components.selector.mayBecomeEligible(this.#policy.requirements())
+    );
   }
 
   #onTimeout(): void {
@@ -568,7 +570,7 @@
     if (ending.type === 'answered' && this.#openAttempts.has(ending.use)) this.#closeAnswered(ending.use);
     this.#wait?.end(holdEndOf(ending));
     this.#openAttempts.abortAll(ending.type === 'left' ? 'caller left' : 'request ended');
-    this.#content.noteSettled();
+    this.#content.noteEnded();
   }
 
   /** Closes the attempt that completed the answer, and records its outcome. */
--- a/src/forwarding/slot-seeker.ts
+++ b/src/forwarding/slot-seeker.ts
@@ -1,4 +1,7 @@
-/** Looks for a slot at an engine on behalf of one request: asks agents as its search says, and takes the first grant. */
+/**
+ * Obtains an engine's slot for one request: asks the agents chosen by its `SlotSearch` and takes the first slot
+ * granted.
+ */
 import type { Random } from '../model/random.js';
 import type { Standstills } from '../model/standstills.js';
 import type { SlotCandidate } from '../systems/slot-search.js';
@@ -6,39 +9,39 @@
 import type { BackEndRow, BackEndTable } from './back-end-table.js';
 import type { EngineSlots, SlotClaim } from './engine-slots.js';
 
-/** What a seeker works with. */
 export interface SlotSeekerOptions {
   slots: EngineSlots;
   table: BackEndTable;
   random: Random;
-  /** The engines that may take the request now, and whose agents give out slots. */
+  /** The engines that are eligible now and whose agents grant slots. */
   candidates: () => SlotCandidate[];
-  /** Whether this engine still may, now that it has a slot for it. */
-  mayTake: (row: BackEndRow) => boolean;
+  /** Whether an engine is still eligible; called when its slot has been granted. */
+  isEligible: (row: BackEndRow) => boolean;
   /** Rate limit of an engine in requests per second; undefined if none is known. */
   rateLimitOf: (row: BackEndRow) => number | undefined;
-  /** 0 goes first. */
+  /** Rank of the request in the queues of agents; 0 is first. */
   urgency: number;
-  /** When the request arrived, and until when it waits for a slot, in milliseconds of the steady clock. */
+  /** When the request arrived, in milliseconds of the steady clock. */
   arrivedAt: number;
+  /** Until when the request waits for a slot, in milliseconds of the steady clock. */
   endsAt: number;
-  /** The first slot: whoever takes it releases the claim. The others are given back. */
+  /** Called with the first slot granted; the receiver must release the claim. All other claims have been released. */
   onGranted: (row: BackEndRow, claim: SlotClaim, asked: number) => void;
-  /** No agent had a slot within a moment: the request waits. */
+  /** Called if no agent has granted a slot when more agents are to be asked: the request waits. */
   onWait: () => void;
-  /** No agent is left that may grant a slot. */
-  onNobody: () => void;
-  /** A fault of this process: it ends one request, not the process. */
+  /** Called when no agent is left that may grant a slot. */
+  onExhausted: () => void;
+  /** Called on an exception in this process, which must end only the request. */
   onFault: (cause: unknown) => void;
 }
 
-/** The search for a slot of one request. */
+/** Obtains a slot for one request. */
 export class SlotSeeker {
   readonly #options: SlotSeekerOptions;
   readonly #search: SlotSearch;
   readonly #claims = new Map<string, SlotClaim>();
   #timer: NodeJS.Timeout | undefined;
-  #isOver = false;
+  #isStopped = false;
 
   constructor(options: SlotSeekerOptions) {
     this.#options = options;
@@ -52,33 +55,33 @@
     this.#ask(now);
   }
 
-  /** True once the time for which the request waits is over. */
-  isOver(now: number): boolean {
+  /** Whether the request has waited for as long as it may. */
+  hasExpired(now: number): boolean {
     return now >= this.#options.endsAt;
   }
 
-  /** Asks others in place of agents that are silent or have refused; called by the shared tick. */
+  /** Asks other agents in place of those that do not respond or have refused; called by the shared tick. */
   check(now: number, standstills: Standstills): void {
     for (const id of this.#search.silent((since) => standstills.runningTime(since, now))) {
-      this.#options.table.rows.get(id)?.agent?.noteSilence(now);
-      this.#giveBack(id);
+      this.#options.table.rows.get(id)?.agent?.noteUnanswered(now);
+      this.#release(id);
     }
     this.#askOthers(now);
   }
 
-  /** Gives back what was asked for. */
+  /** Releases all claims and stops. */
   cancel(): void {
-    this.#isOver = true;
+    this.#isStopped = true;
     clearTimeout(this.#timer);
     for (const claim of this.#claims.values()) claim.release(false);
     this.#claims.clear();
   }
 
   #widen(): void {
-    if (this.#isOver) return;
-    this.#guard(() => {
+    if (this.#isStopped) return;
+    this.#catchFaults(() => {
       this.#options.onWait();
-      if (!this.#isOver) this.#ask(performance.now());
+      if (!this.#isStopped) this.#ask(performance.now());
     });
   }
 
@@ -92,17 +95,17 @@
     const row = table.rows.get(id);
     if (row?.agent === undefined) return this.#search.noteFailed(id);
     const { agent } = row;
-    const wish = {
+    const request = {
       urgency,
       waitedFor: Math.round(now - arrivedAt),
       patience: Math.round(Math.max(0, endsAt - now)),
       slots: row.record.slots,
       rateLimit: rateLimitOf(row),
     };
-    const claim = slots.ask(agent.address, wish, {
+    const claim = slots.ask(agent.address, request, {
       onGranted: () => {
         agent.noteAnswer();
-        this.#guard(() => this.#take(row));
+        this.#catchFaults(() => this.#take(row));
       },
       onQueued: () => {
         agent.noteAnswer();
@@ -110,17 +113,17 @@
       },
       onRefused: () => {
         agent.noteAnswer();
-        this.#guard(() => this.#goElsewhere(id));
+        this.#catchFaults(() => this.#tryOthers(id));
       },
       onUnready: () => {
         agent.noteUnready(performance.now());
-        this.#guard(() => this.#goElsewhere(id));
+        this.#catchFaults(() => this.#tryOthers(id));
       },
     });
     this.#claims.set(id, claim);
   }
 
-  #guard(handle: () => void): void {
+  #catchFaults(handle: () => void): void {
     try {
       handle();
     } catch (cause) {
@@ -128,30 +131,30 @@
     }
   }
 
-  /** Waits at this engine no more. */
-  #giveBack(id: string): void {
+  /** Releases the claim at one engine. */
+  #release(id: string): void {
     this.#claims.get(id)?.release(false);
     this.#claims.delete(id);
     this.#search.noteFailed(id);
   }
 
-  #goElsewhere(id: string): void {
-    this.#giveBack(id);
+  #tryOthers(id: string): void {
+    this.#release(id);
     this.#askOthers(performance.now());
   }
 
   #askOthers(now: number): void {
-    if (this.#isOver) return;
+    if (this.#isStopped) return;
     this.#ask(now);
-    if (!this.#search.isPending) this.#options.onNobody();
+    if (!this.#search.isPending) this.#options.onExhausted();
   }
 
-  /** Takes a slot, unless its engine may not take the request any more. */
+  /** Takes a granted slot, unless its engine is no longer eligible. */
   #take(row: BackEndRow): void {
     const { id } = row.record;
     const claim = this.#claims.get(id);
-    if (this.#isOver || claim === undefined) return;
-    if (!this.#options.mayTake(row)) return this.#goElsewhere(id);
+    if (this.#isStopped || claim === undefined) return;
+    if (!this.#options.isEligible(row)) return this.#tryOthers(id);
     this.#claims.delete(id);
     this.cancel();
     this.#options.onGranted(row, claim, this.#search.asked);
