--- a/src/forwarding/forwarded-request.ts
+++ b/src/forwarding/forwarded-request.ts
@@ -1,13 +1,14 @@
 /**
- * One caller's request, from its arrival to its final answer: the back ends it is sent to, what of their answers is passed
- * on, and when it is given up.
+ * Handles one request from its arrival to its final answer: chooses back ends, forwards their answer to the caller, and
+ * decides when to retry and when to fail.
  *
- * A request is sent again only where that is safe: after proof that it did not run, or where its route says that it may
- * run again. An answer is passed on only once its first part is there, so that a failure before that stays unseen.
+ * A request is sent again only if that is safe: if it provably did not run, or if its route allows it to run more than
+ * once. Nothing is sent to the caller before the first part of an answer has arrived, so that the caller does not notice
+ * failures before that.
  *
  * An attempt at a silent back end stays open until another back end has sent a part of the answer: the silent one may only
- * be pausing, and the others may refuse, fail or be silent too. So does the attempt of a stream that moves off an engine
- * which is about to take another version.
+ * be pausing, and the others may refuse, fail or be silent too. Likewise, when a stream moves off an engine that is about
+ * to switch to another version, the attempt at that engine stays open until another engine has resumed the stream.
  */
 import type { IncomingMessage, ServerResponse } from 'node:http';
 import type { Readable } from 'node:stream';
@@ -49,10 +50,10 @@
 export class ForwardedRequest {
   readonly #components: ForwardingComponents;
   readonly #request: IncomingMessage;
-  /** When it arrived, in milliseconds of the steady clock. */
+  /** Arrival time, in milliseconds of the monotonic clock. */
   readonly arrivedAt = performance.now();
   readonly #id: string;
-  /** Set before anything is sent. */
+  /** Set by `#admit`, before anything is sent; so are the other fields with `!`. */
   #admitted!: AdmittedRequest;
   #timeToEnd!: TimeToEnd;
   #timer: NodeJS.Timeout | undefined;
@@ -60,17 +61,14 @@
   readonly #content: SuspectContent;
   readonly #openAttempts: OpenAttempts;
   readonly #log: RequestLog;
-  /** Set before anything is sent. */
   #policy!: SendPolicy;
-  /** Its way to a back end; set before anything is sent. */
   #wait!: RequestWait;
-  /** Set before anything is sent. */
   #watch!: AttemptWatch;
-  /** Earliest time of the next search for a replacement, in milliseconds of the steady clock. */
+  /** Earliest time of the next search for a replacement, in milliseconds of the monotonic clock. */
   #nextSearchAt = Number.NEGATIVE_INFINITY;
   readonly #move = new StreamMove();
   readonly #answer: CallerAnswer;
-  /** The attempt whose back end answered with a failure; its answer is used if no other back end answers. */
+  /** The latest attempt that got an error response (5xx); the caller gets that response if no other back end answers. */
   #failedAnswer: BackEndUse | undefined;
   #settled = false;
   readonly #onCallerEnded = () => this.#endCaller();
@@ -95,13 +93,13 @@
     });
     this.#answer = new CallerAnswer(request, response, () => components.drain.isUnderWay);
     response.on('close', () => this.#onCallerGone());
-    // The answer closes only once what is buffered has gone out, which a caller that has gone does not read.
+    // `close` of the response waits until buffered data has been written, which a caller that has gone never reads.
     request.socket.once('end', this.#onCallerEnded);
     response.on('error', () => {});
     request.on('error', () => {});
   }
 
-  /** Routes the request and sends it. */
+  /** Admits the request, reads its body and starts the search for a back end. */
   async start(): Promise<void> {
     const rejected = this.#admit();
     if (rejected !== undefined) return this.#fail(rejected.error, rejected.route);
@@ -117,7 +115,10 @@
     this.#wait.begin();
   }
 
-  /** Back ends crash under these contents: it is taken back where it has one of them and has not begun. */
+  /**
+   * Called when content that crashes back ends has been quarantined: stops the search and withdraws attempts that have not
+   * begun to answer, if the request has such content.
+   */
   onQuarantined(fingerprints: ReadonlySet<Fingerprint>): void {
     const isWaiting = !this.#settled && this.#wait?.isUnderWay;
     if (this.#openAttempts.size === 0 && !isWaiting) return;
@@ -127,13 +128,13 @@
       if (!hasBegun) attempt.withdraw('quarantined');
   }
 
-  /** Ends a request that this process cannot handle: a fault of its own takes down one request, never the process. */
+  /** Fails the request after an internal error, so that the error affects only this request and not the process. */
   abandon(cause: unknown): void {
     this.#log.noteAbandoned(cause);
-    this.#fail({ type: 'backEndFailed', reason: 'fault of this process' });
+    this.#fail({ type: 'backEndFailed', reason: 'internal error' });
   }
 
-  /** Ends a request that has not ended when this process does: whoever has no part of an answer yet is told. */
+  /** Ends the request because the process exits: fails it with an error response, or cuts an answer that has begun. */
   stop(): void {
     if (this.#settled) return;
     if (!this.#answer.started) {
@@ -144,7 +145,7 @@
     this.#end({ type: 'cut', reason: 'stop', isStop: true });
   }
 
-  /** Checks the open attempts, and looks for a replacement if all are silent; called by the shared tick. */
+  /** Checks the open attempts, and looks for a replacement if all are silent; called at each `CHECK_INTERVAL` of the server. */
   check(now: number, standstills: Standstills): void {
     if (this.#settled) return;
     if (this.#wait?.isUnderWay) this.#wait.check(now, standstills);
@@ -165,7 +166,7 @@
   #findReplacement(now: number): void {
     if (now < this.#nextSearchAt) return;
     if (!this.#policy.mayRunAgain) {
-      // The open attempts are the last ones.
+      // No further back end may run the request, so the open attempts are its last ones.
       if (this.#openAttempts.size === 0) this.#giveUp('attempts used up');
       return;
     }
@@ -175,12 +176,12 @@
     this.#wait.begin();
   }
 
-  /** Looks for another engine for a stream whose engine is about to take another version; the stream goes on meanwhile. */
+  /** Looks for another engine for a stream whose engine is about to switch versions; the stream continues meanwhile. */
   #moveOffSwitchingEngine(now: number): void {
     if (this.#openAttempts.size !== 1 || now < this.#nextSearchAt) return;
     const [use] = this.#openAttempts.all();
     if (!this.#answer.isEventStream || use.row.news?.isSwitching !== true) return;
-    // Another engine must go on with the same version, so it has to be known.
+    // Another engine must resume the stream with the same version, so the version must be known.
     if (this.#policy.version === undefined || !this.#policy.mayRunAgain) return;
     if (!this.#policy.maySendAgain) return this.#endSearch('no budget');
     this.#move.begin(use);
@@ -188,7 +189,7 @@
     this.#wait.begin();
   }
 
-  /** Ends a move that has not succeeded; the attempt that the stream was to leave goes on. */
+  /** Ends a move that has not succeeded; the original attempt continues, and its withheld events are forwarded. */
   #endMove(reason: string): void {
     if (!this.#move.isUnderWay) return;
     this.#nextSearchAt = performance.now() + SEARCH_INTERVAL;
@@ -201,7 +202,7 @@
     this.#answer.forward(source.answer, source.attempt);
   }
 
-  /** Takes in what the configuration says of it; returns why it cannot be sent. */
+  /** Looks up route, service and tenant, and creates what depends on them; returns the reason if the request is rejected. */
   #admit(): RejectedRequest | undefined {
     const admission = admit(this.#request, this.arrivedAt, this.#components);
     if (!admission.ok) return admission.error;
@@ -267,7 +268,7 @@
       return refuse();
     }
     const { row } = selection;
-    // It goes there over another connection than one that is silent.
+    // An open attempt at this back end is on a silent connection; the new attempt uses another connection.
     this.#openAttempts.abortAt(row, 'silent connection');
     this.#policy.noteSent(row);
     const { limits } = this.#components;
@@ -323,12 +324,15 @@
     return use;
   }
 
-  /** Whether it can still end before this process does, if it is sent after `wait` milliseconds; a begun answer goes on. */
+  /**
+   * Whether the request can complete before this process exits if it is sent after `wait` milliseconds. Always true for an
+   * answer that has begun, which is resumed in any case.
+   */
   #canEnd(wait = 0): boolean {
     return this.#answer.started || this.#timeToEnd.suffices(performance.now(), wait);
   }
 
-  /** Refuses what this process has no time for: another one can take it now. */
+  /** Refuses a request that cannot complete before this process exits; another process can take it at once. */
   #refuseForStop(): void {
     if (this.#openAttempts.size > 0) return this.#endSearch('stop');
     const reason = 'stop';
@@ -336,7 +340,7 @@
     this.#fail({ type: 'unavailable', reason, retryAfter: retryElsewhere(this.#components.random) });
   }
 
-  /** It is sent to no further back end. */
+  /** Ends the search for a back end because the content of the request is quarantined; open attempts continue. */
   #giveUpQuarantined(): void {
     const reason = 'quarantined';
     if (this.#openAttempts.size > 0) return this.#endSearch(reason);
@@ -345,7 +349,7 @@
     this.#refuseQuarantined(this.#content.retryAfter);
   }
 
-  /** @param milliseconds - until one like it may be tried */
+  /** @param milliseconds - time until a request with this content may be tried again */
   #refuseQuarantined(milliseconds: number): void {
     this.#log.note('quarantined', { fingerprint: this.#content.fingerprints[0] });
     this.#fail({ type: 'quarantined', retryAfter: milliseconds / MILLISECONDS });
@@ -389,7 +393,7 @@
     return version > 0 ? version : undefined;
   }
 
-  /** Records an answer that begins on an expired version. */
+  /** Logs and counts an answer that begins on an expired version of the weights. */
   #noteBegin(use: BackEndUse): void {
     const version = this.#versionOf(use);
     if (version === undefined) return;
@@ -437,7 +441,7 @@
     this.#end({ type: 'answered', use });
   }
 
-  /** Retries after an error response of the back end; returns false if the request may not be sent again. */
+  /** Drops an error response if another attempt is active or the request may be sent again; returns false otherwise. */
   #tryAgainAfter(use: BackEndUse, reason: string): boolean {
     const hasActiveAttempt = this.#openAttempts.hasActiveBeside(use);
     if (!hasActiveAttempt && !this.#policy.maySendAgain) return false;
@@ -479,7 +483,7 @@
     this.#fail({ type: 'backEndFailed', reason });
   }
 
-  /** No back end can take the request now. */
+  /** Called when no back end can take the request now: keeps waiting if that may still help, and otherwise ends it. */
   #giveUp(reason: string): void {
     if (this.#openAttempts.size > 0 && this.#waitsForSilent) return this.#endSearch(reason);
     if (this.#answer.started) return this.#canGoOnLater() ? this.#endSearch(reason) : this.#cut(reason);
@@ -489,7 +493,7 @@
     this.#fail({ type: 'unavailable', reason, retryAfter });
   }
 
-  /** Whether it is left at silent back ends, though no other one can take it now. */
+  /** Whether to keep waiting for the silent back ends when no other one can take the request now. */
   get #waitsForSilent(): boolean {
     if (this.#answer.started) return true;
     if (this.#failedAnswer !== undefined && this.#openAttempts.areAllSilent) return false;
@@ -508,7 +512,7 @@
     return this.#nextSearchAt !== Number.NEGATIVE_INFINITY;
   }
 
-  /** Whether another back end may resume a begun answer before its caller gives up. */
+  /** Whether another back end may resume an answer that has begun before the caller loses patience. */
   #canGoOnLater(): boolean {
     const { route, timing } = this.#admitted;
     const latest = latestBegin(this.#answer.forwardedAt, timing.endsAt, route.patience);
@@ -523,7 +527,7 @@
     this.#fail(this.#openAttempts.mayHaveRun ? { type: 'timedOut' } : { type: 'expired' });
   }
 
-  /** The caller has closed its side, so that it will not read what is buffered for it either. */
+  /** The caller has closed its side of the connection, so it does not read what is still buffered for it either. */
   #endCaller(): void {
     if (this.#settled) return;
     this.#onCallerGone();
--- a/src/forwarding/request-wait.ts
+++ b/src/forwarding/request-wait.ts
@@ -1,6 +1,6 @@
 /**
- * How one request comes to a back end: it looks for a slot of an engine, or takes a back end that has no agent, or waits for
- * capacity that is in sight. What cannot be served in its time is given up at once.
+ * Finds a back end for one request: claims a slot of an engine, or chooses a back end that has no agent, or holds the
+ * request until capacity that is expected soon is there. A request that cannot be served in its time is given up at once.
  */
 import type { Random } from '../model/random.js';
 import type { Standstills } from '../model/standstills.js';
@@ -13,7 +13,6 @@
 import type { RequestTiming } from './request-timing.js';
 import { SlotSeeker } from './slot-seeker.js';
 
-/** What waits are decided with. */
 export interface RequestWaitComponents {
   selector: BackEndSelector;
   slots: EngineSlots;
@@ -23,56 +22,56 @@
   random: Random;
 }
 
-/** The request that waits, as it stands at the moment of each question. */
+/** The request that needs a back end; each method returns the state at the time of the call. */
 export interface WaitingRequest {
   readonly timing: RequestTiming;
   readonly isStream: boolean;
-  /** Its place in the queues of back ends, 0 first. */
+  /** Position in the queues of back ends, 0 first. */
   urgency(now: number): number;
   requirements(): Requirements;
-  /** A back end was sent to before. */
+  /** Whether the request has been sent to a back end before. */
   wasSent(): boolean;
-  /** Its caller has a part of the answer: it goes on. */
+  /** Whether the caller has received a part of the answer, so that a back end has to resume it. */
   goesOn(): boolean;
-  /** Whether it can still end before this process does, if it is sent after `wait` milliseconds. */
+  /** Whether the request can complete before this process exits if it is sent after `wait` milliseconds. */
   canEnd(wait?: number): boolean;
-  /** Whether the budget has a repetition, where it would be one. */
+  /** Whether the retry budget allows the next send; always true if that send is not a repetition. */
   mayBeSent(): boolean;
 }
 
-/** What comes of it. */
+/** Results of the search. */
 export interface RequestWaitEvents {
-  /** It is to be sent there; with a claim, it has a slot. */
+  /** A back end has been chosen; `claim` holds the engine slot, if one was granted. */
   onChosen(selection: Selection, claim: SlotClaim | undefined): void;
-  /** No back end can take it. */
+  /** No back end can take the request. */
   onGivenUp(reason: string): void;
-  /** This process has no time for it. */
+  /** The request cannot complete before this process exits. */
   onNoTime(): void;
-  /** A fault of this process. */
+  /** An internal error. */
   onFault(cause: unknown): void;
-  /** A change of state, for logs. */
+  /** Called with each line to log. */
   onNote(message: string, fields: object): void;
 }
 
-/** The wait of one request. */
+/** The search of one request for a back end; it can be started again after it has ended. */
 export class RequestWait {
   readonly #components: RequestWaitComponents;
   readonly #request: WaitingRequest;
   readonly #events: RequestWaitEvents;
-  /** Its search for a slot of an engine. */
   #seeker: SlotSeeker | undefined;
   /** The selection for which a permit is being claimed. */
   #claiming: Selection | undefined;
   /**
-   * Since when it waits for capacity, in milliseconds of the steady clock; searches for a slot meanwhile do not begin it anew:
-   * agents that refused again and again held a first request for all the time of its route in place of 45 ms.
+   * Time at which the request was first held for capacity, in milliseconds of the monotonic clock. A search for a slot in
+   * between does not reset it: otherwise agents that refused repeatedly held a first request for the whole time-out of its
+   * route instead of 45 ms.
    */
   #heldSince: number | undefined;
-  /** It has waited while no back end served: it is owed one of the first slots that come free. */
+  /** True once the request was held while no back end served; it then waits for one of the first slots that become free. */
   #wasHeldForCapacity = false;
-  /** Where it has a place among those that wait until back ends serve. */
+  /** Where the request has reserved one of the limited places for waiting until back ends serve. */
   #place: HoldRecord | undefined;
-  /** Waits of this kind that it counts among, while it waits for one of many back ends to be free. */
+  /** Where the request is counted while it is held until one of the serving back ends is free. */
   #hold: HoldRecord | undefined;
 
   constructor(components: RequestWaitComponents, request: WaitingRequest, events: RequestWaitEvents) {
@@ -81,18 +80,17 @@
     this.#events = events;
   }
 
-  /** True from a search, or the wait for capacity, until a back end is chosen or it is given up. */
+  /** True until a back end is chosen or the search ends. */
   get isUnderWay(): boolean {
     return this.#seeker !== undefined || this.#claiming !== undefined || this.#heldSince !== undefined;
   }
 
-  /** Looks for a back end. */
   begin(): void {
     if (!this.#request.canEnd()) return this.#events.onNoTime();
     if (!this.#seekSlot()) this.#chooseWithoutSlot();
   }
 
-  /** Looks again; called by the shared tick while it is under way. */
+  /** Tries again; called periodically while the search is under way. */
   check(now: number, standstills: Standstills): void {
     if (this.#claiming !== undefined) return;
     if (this.#seeker === undefined) return this.begin();
@@ -101,7 +99,7 @@
     this.#seeker.check(now, standstills);
   }
 
-  /** Ends it, however the request goes on. */
+  /** Ends the search and releases what it holds. */
   end(how: HoldEnd): void {
     this.#heldSince = undefined;
     this.#claiming = undefined;
@@ -112,7 +110,7 @@
     this.#place = undefined;
   }
 
-  /** Looks for a slot of an engine; false where no agent is to be asked. */
+  /** Starts to look for a slot of an engine; returns false if there is no agent to ask. */
   #seekSlot(): boolean {
     const { selector, backEnds, limits, slots, random } = this.#components;
     const { timing, requirements, wasSent, goesOn, urgency } = this.#request;
@@ -151,7 +149,7 @@
     this.#events.onChosen(selection, claim);
   }
 
-  /** No slot is free at once. One that comes again waits only where that has been worth it lately. */
+  /** No slot is free at once. A caller's retry keeps waiting only if such waits have been successful lately. */
   #onWaitForSlot(): void {
     if (this.#request.goesOn() || this.#request.wasSent() || this.#wasHeldForCapacity || this.#beginHold())
       return;
@@ -193,7 +191,7 @@
     }
   }
 
-  /** Waits for capacity that is in sight; gives up at once where it is not. */
+  /** Holds the request if capacity is expected in its time, and gives up otherwise. */
   #holdOrGiveUp(): void {
     const { canEnd, goesOn, mayBeSent } = this.#request;
     const now = performance.now();
@@ -207,7 +205,10 @@
     if (!wasHeld) this.#events.onNote('held', { capacityMs: Math.round(capacity ?? 0) });
   }
 
-  /** @param capacity - time until a back end serves; undefined where some do, so that one of them is free soon or not */
+  /**
+   * Whether to hold the request.
+   * @param capacity - time until the first back end serves; undefined if some serve but none of them can take the request
+   */
   #waitsFor(capacity: number | undefined, heldSince: number, now: number): boolean {
     const { timing, isStream, requirements } = this.#request;
     if (capacity === undefined && this.#wasHeldForCapacity) return now < timing.latestBegin;
@@ -219,7 +220,7 @@
     return true;
   }
 
-  /** A place among those that wait for the first slots; false where all of these are spoken for. */
+  /** Reserves one of the places for requests that wait for the first slots; returns false if all of them are taken. */
   #takePlace(): boolean {
     if (this.#place !== undefined) return true;
     const { service } = this.#request.requirements();
@@ -235,7 +236,10 @@
     this.#events.onGivenUp('no back end');
   }
 
-  /** Counts the wait of a request that comes again; false where it is not to wait. A first one waits for a moment only. */
+  /**
+   * Counts the wait of a caller's retry; returns false if the request must not wait. First requests are not counted, as they
+   * wait only briefly.
+   */
   #beginHold(): boolean {
     if (!this.#request.timing.isLastChance || this.#hold !== undefined) return true;
     const holds = this.#components.backEnds.holdsOf(this.#request.requirements().service);
