--- a/src/forwarding/attempt.ts
+++ b/src/forwarding/attempt.ts
@@ -1,6 +1,6 @@
 /**
- * One request sent to one back end, over a kept connection where there is one. It ends in exactly one of: a whole
- * answer, or a failure that says whether the back end can have run the request.
+ * One request sent to one back end, over a kept-alive connection if there is one. It ends either with a complete answer or
+ * with a failure that tells whether the back end may have run the request.
  */
 import type { IncomingHttpHeaders } from 'node:http';
 import type { Readable } from 'node:stream';
@@ -9,49 +9,51 @@
 import type { BackEndConnections } from './back-end-connections.js';
 import type { HeaderNames } from './header-names.js';
 
-/** What an attempt sends. */
 export interface AttemptRequest {
   requestId: string;
   method: string;
   path: string;
-  /** Pairs of name and value, one after the other. */
+  /** Names and values in turn. */
   headers: string[];
   body: Buffer | Readable | null;
 }
 
-/** The head of an answer. */
+/** Status and headers of an answer. */
 export interface AnswerHead {
   status: number;
   headers: IncomingHttpHeaders;
-  /** Pairs of name and value as the back end sent them. */
+  /** Names and values in turn, as the back end sent them. */
   rawHeaders: string[];
 }
 
-/** Status and headers of an answer, reported for refusals as well. */
+/** Summary of any answer to the request, including refusals. */
 export interface AnswerSummary {
   status: number;
   headers: IncomingHttpHeaders;
-  /** The back end did not run the request. */
+  /** True if the back end did not run the request. */
   isRefusal: boolean;
 }
 
-/** Why an attempt has no whole answer. */
+/** Why an attempt has no complete answer. */
 export type AttemptFailure =
-  /** No byte of the request went out: it cannot have run. */
+  /** No byte of the request was written: it cannot have run. */
   | { type: 'notSent'; reason: string }
-  /** The back end says that it did not run the request. */
+  /** The back end answered that it did not run the request. */
   | { type: 'refused'; status: number }
-  /** The request went out, and the answer is missing, cut or another request's. `isLost`: the connection broke by itself. */
+  /**
+   * The request was sent, but the answer is missing, incomplete or that of another request. `isLost`: the connection broke,
+   * and was not closed by this process.
+   */
   | { type: 'broken'; reason: string; isLost: boolean }
-  /** This process has ended it, through no fault of the back end, which may have run the request if it `wentOut`. */
+  /** This process ended the attempt, not because of the back end, which may have run the request if `wentOut`. */
   | { type: 'withdrawn'; reason: string; wentOut: boolean };
 
-/** True where bytes of the request may have reached the back end. */
+/** True if bytes of the request may have reached the back end. */
 export function wentOut(failure: AttemptFailure): boolean {
   return failure.type === 'withdrawn' ? failure.wentOut : failure.type !== 'notSent';
 }
 
-/** Told as the answer comes. Nothing follows `onEnd` or `onFailure`. */
+/** Receives the events of an attempt; the last one is `onEnd` or `onFailure`. */
 export interface AttemptListener {
   /** The back end has answered this request, possibly with a refusal; called before `onHead` or `onFailure`. */
   onAnswer(answer: AnswerSummary): void;
@@ -61,10 +63,9 @@
   onFailure(failure: AttemptFailure): void;
 }
 
-/** Status of a back end that is not the one that was meant, or does not hold what was asked for. */
+/** Status of a back end that is not the expected one, or does not hold the requested weights. */
 export const MISDIRECTED = 421;
 
-/** A request on its way. */
 export class Attempt implements Dispatcher.DispatchHandler {
   readonly startedAt = performance.now();
   readonly #request: AttemptRequest;
@@ -83,22 +84,22 @@
     this.#listener = listener;
   }
 
-  /** True once bytes of the request may have gone out. */
+  /** True once bytes of the request may have been written. */
   get sent(): boolean {
     return this.#controller !== undefined;
   }
 
-  /** True where its back end may have run the request, or may yet. */
+  /** True if the back end may have run the request or may still run it. */
   get mayHaveRun(): boolean {
     return this.sent && !this.#isRefused;
   }
 
-  /** True where this process ended it after it had gone out: its back end may still run the request. */
+  /** True if this process aborted the attempt after the request was sent: the back end may still run it. */
   get isGivenUp(): boolean {
     return this.#isGivenUp;
   }
 
-  /** True while nothing has come on a kept connection since it was sent there. */
+  /** True while nothing has arrived on the kept-alive connection since the request was sent on it. */
   get isOnSilentConnection(): boolean {
     return this.sent && this.#connection?.isSilent === true;
   }
@@ -111,7 +112,7 @@
     if (this.#connection === undefined) this.fail('no free connection');
   }
 
-  /** Ends the attempt; the connection closes, so that the back end stops working on it. Tells the listener nothing. */
+  /** Closes the connection, so that the back end stops working on the request. The listener is not called. */
   abort(reason: string): void {
     this.#isGivenUp ||= this.sent && !this.#ended;
     this.#ended = true;
@@ -119,7 +120,7 @@
       this.#controller.abort(new Error(reason));
   }
 
-  /** Ends the attempt and tells why. */
+  /** Aborts the attempt and reports a failure of the back end: `broken` or `notSent`. */
   fail(reason: string): void {
     if (this.#ended) return;
     const failure: AttemptFailure = this.sent
@@ -129,7 +130,7 @@
     this.#listener.onFailure(failure);
   }
 
-  /** Ends an attempt that could go wrong, and tells why. */
+  /** Aborts the attempt for a reason that is no fault of the back end, and reports it as `withdrawn`. */
   withdraw(reason: string): void {
     if (this.#ended) return;
     const wentOut = this.sent;
@@ -146,7 +147,7 @@
   }
 
   onRequestStart(controller: Dispatcher.DispatchController): void {
-    if (this.#ended) return controller.abort(new Error('given up before it was sent'));
+    if (this.#ended) return controller.abort(new Error('aborted before it was sent'));
     this.#controller = controller;
   }
 
@@ -159,7 +160,7 @@
     const answered = headers[this.#names.requestId];
     const isOwn = answered === this.#request.requestId;
     const isRefused = headers[this.#names.notRun] !== undefined || status === MISDIRECTED;
-    // A back end may refuse what it has not read the identity of; an extra answer to an earlier request has one.
+    // A back end may refuse a request before it has read its id. An extra answer to an earlier request has that one's id.
     const isRefusal = isRefused && (isOwn || answered === undefined);
     if (isRefusal || isOwn) this.#listener.onAnswer({ status, headers, isRefusal });
     if (isRefusal) return this.#endRefused(status);
@@ -191,7 +192,7 @@
     );
   }
 
-  /** The rest of the answer, a few bytes, is left to come so that the connection can be kept. */
+  /** Ends the attempt, but lets the few remaining bytes of the answer arrive, so that the connection can be reused. */
   #endRefused(status: number): void {
     this.#ended = true;
     this.#isRefused = true;
--- a/src/forwarding/forwarding-server.ts
+++ b/src/forwarding/forwarding-server.ts
@@ -1,4 +1,4 @@
-/** The interface for callers of back ends at their own address. */
+/** HTTP server that accepts requests of callers and forwards them to back ends. */
 import type { IncomingMessage, ServerResponse } from 'node:http';
 import { createServer, type Server } from 'node:http';
 import { Server as ConnectionServer } from 'node:net';
@@ -29,31 +29,30 @@
 import type { TimeToEndComponents } from './time-to-end.js';
 import { VersionExpiryFigures } from './version-expiry-figures.js';
 
-/** Time between two looks at requests in progress, in milliseconds. */
+/** Interval at which requests in progress are checked, in milliseconds. */
 const CHECK_INTERVAL = 50;
-/** Head of a request, in bytes: above what configurations allow. */
+/** Maximum size of a request head in bytes; above the limits that a configuration may set. */
 const MOST_HEADER_BYTES = 65_536;
-/** Idle connections of callers outlast what they were told by this, in milliseconds. */
+/** Time for which connections stay open beyond the configured time-outs, in milliseconds. */
 const IDLE_MARGIN = 1_000;
 const DEFAULT_IDLE_TIMEOUT = 30_000;
-/** Last answers are given this long to go out at a stop, in milliseconds: callers that do not read are not waited for. */
+/** Time that the last answers have to be written when the server stops, in milliseconds; bounded as callers may not read. */
 const FLUSH_LIMIT = 150;
 /**
- * Once no new connections are taken, those whose callers could not be told to leave them stay open for this, in
- * milliseconds: after the close, when the last ones have just been opened, and after an answer that began before the order
- * to stop. A caller that is busy sends its next request within a round trip, far less.
+ * Once no new connections are accepted, those whose callers have not been sent `Connection: close` stay open for this time,
+ * in milliseconds. It is counted from the close, as the last ones have only just been opened then, and from the end of an
+ * answer to a request that arrived before the order to stop. A busy caller sends its next request within a round trip, far less.
  */
 const LINGER = 300;
-/** Turns of the event loop in a row without a new connection after which none waits, and the most that are waited for. */
+/** Consecutive turns of the event loop without a new connection after which none is pending, and the limit of all turns. */
 const QUIET_TURNS = 4;
 const MOST_TURNS = 100;
 /** Bounds of the latency histogram, in seconds. */
 const LATENCY_BUCKETS = [0.01, 0.025, 0.05, 0.1, 0.2, 0.4, 0.8, 1.5, 3, 6, 12];
 
-/** What requests are forwarded with. */
 export interface ForwardingComponents extends TimeToEndComponents {
   names: HeaderNames;
-  /** Names that callers may not set, as this system does. */
+  /** Names of headers that this system sets; they are removed from requests of callers. */
   headersSet: ReadonlySet<string>;
   fleet: FleetView;
   backEnds: BackEndTable;
@@ -71,7 +70,6 @@
   onSettled(request: ForwardedRequest, outcome: RequestOutcome, milliseconds: number): void;
 }
 
-/** Accepts requests at an address. */
 export class ForwardingServer implements Startable {
   readonly #address: string;
   readonly #components: ForwardingComponents;
@@ -82,13 +80,13 @@
   #server: Server | undefined;
   #timer: NodeJS.Timeout | undefined;
   readonly #standstills = new Standstills(CHECK_INTERVAL, performance.now());
-  /** Time in which this process got no processor while requests were in progress, in milliseconds. */
+  /** Total time in which this process was not scheduled while requests were in progress, in milliseconds. */
   #stoodStill = 0;
   #acceptedAt = 0;
   #isClosed = false;
-  /** Since when callers may be sending on connections that they were not told to leave: the close, and early answers. */
+  /** Latest time from which `LINGER` counts. */
   #lingersSince = Number.NEGATIVE_INFINITY;
-  /** Answers that have not gone out. */
+  /** Responses that have not been written completely. */
   readonly #responses = new Set<ServerResponse>();
   #onFlushed: () => void = () => {};
 
@@ -141,12 +139,12 @@
     ]);
   }
 
-  /** Requests in progress. */
+  /** Number of requests in progress. */
   get active(): number {
     return this.#active.size;
   }
 
-  /** What became of requests that arrived after the order to stop. */
+  /** Requests that arrived after the order to stop, by outcome. */
   get arrivalsWhileDraining(): Readonly<Partial<Record<RequestOutcome, ArrivalsWithOutcome>>> {
     return this.#drainFigures.byOutcome;
   }
@@ -173,14 +171,14 @@
     });
   }
 
-  /** Time since the latest request came, in milliseconds. */
+  /** Time since the latest request arrived, in milliseconds. */
   get quietFor(): number {
     return performance.now() - this.#acceptedAt;
   }
 
   /**
-   * Takes no new connection and ends idle ones. Those in use end with their answers: at once where the caller was told, and
-   * otherwise when it has had the time to send its next request there, whose answer tells it.
+   * Accepts no new connections and closes idle ones. A connection in use closes at the end of its answer if that has
+   * `Connection: close`. Otherwise it stays open for `LINGER`, so that the answer to the caller's next request can have it.
    */
   async close(): Promise<void> {
     if (this.#server === undefined) return;
@@ -188,19 +186,19 @@
     this.#isClosed = true;
     this.#lingersSince = performance.now();
     this.#server.keepAliveTimeout = LINGER;
-    // The `close` of an HTTP server also ends the connections that it takes for idle.
+    // `close` of an HTTP server would also close connections that it considers idle.
     ConnectionServer.prototype.close.call(this.#server);
     setTimeout(() => setImmediate(() => this.#closeIdleConnections()), LINGER).unref();
   }
 
-  /** Connections that were just accepted count as idle, too, until their first request is read. */
+  /** Closes idle connections; those just accepted count as idle too, until their first request has been read. */
   #closeIdleConnections(): void {
     if (!this.#isAnswerGoingOut) this.#server?.closeIdleConnections();
   }
 
   /**
-   * True while the end of an answer is written, but not out. The HTTP server takes its connection for idle, although the
-   * caller does not have the whole answer yet. Connections that are left open for this serve what still comes there.
+   * True while an ended response has not been flushed. The HTTP server considers its connection idle then, although the
+   * caller does not have the whole answer yet. Connections that stay open for this reason still serve requests.
    */
   get #isAnswerGoingOut(): boolean {
     return [...this.#responses].some(
@@ -208,14 +206,14 @@
     );
   }
 
-  /** True once each answer is out and no caller may still be using a connection that it was not told to leave. */
+  /** True once each answer has been written and `LINGER` is over for all connections. */
   get isSettled(): boolean {
     return this.#responses.size === 0 && performance.now() - this.#lingersSince > LINGER;
   }
 
   async stop(): Promise<void> {
     clearInterval(this.#timer);
-    // What is still read while the last answers go out is refused.
+    // Requests that are read while the last answers are written are refused.
     this.#components.drain.finish(performance.now());
     for (const request of this.#active) request.stop();
     await endsWithin(this.#flushed(), FLUSH_LIMIT);
@@ -238,7 +236,7 @@
     return (this.#components.drain.elapsed(arrivedAt) ?? -1) >= 0;
   }
 
-  /** Resolves when each answer has gone out, or its caller has. */
+  /** Resolves when each response has been written or its connection has closed. */
   #flushed(): Promise<void> {
     return new Promise((resolve) => {
       this.#onFlushed = resolve;
@@ -266,7 +264,7 @@
     this.#timer = undefined;
   }
 
-  /** What was due meanwhile comes late: time-outs, withdrawals, answers to others. */
+  /** Logs and counts a stall of this process, which delays time-outs, withdrawals and answers. */
   #noteStandstill(milliseconds: number): void {
     this.#stoodStill += milliseconds;
     this.#components.log.warn('stood still', {
@@ -275,7 +273,7 @@
     });
   }
 
-  /** A fault at one request ends that one. */
+  /** Checks one request; an error in it ends only that request. */
   #checkOne(request: ForwardedRequest, now: number): void {
     try {
       request.check(now, this.#standstills);
@@ -295,8 +293,8 @@
 }
 
 /**
- * Waits until the event loop has accepted and read what was waiting, as after a standstill: a server that closes resets the
- * connections that wait for it.
+ * Waits until the event loop has accepted the pending connections, of which there may be many after a stall of this process:
+ * closing the server resets connections that it has not accepted.
  */
 async function acceptWaiting(server: Server): Promise<void> {
   let accepted = 0;
