--- a/src/forwarding/attempt-watch.ts
+++ b/src/forwarding/attempt-watch.ts
@@ -61,7 +61,7 @@
     this.#noteSilence(use, silence, now, standstills);
   }
 
-  /** The time of the request is over: records a back end that has answered nothing. */
+  /** Called at the time-out of the request: records a back end that has not answered at all as silent. */
   noteTimeout(use: BackEndUse): void {
     const { backEnds } = this.#components;
     if (use.attempt.isOnSilentConnection) use.suspectConnections(backEnds);
--- a/src/forwarding/send-policy.ts
+++ b/src/forwarding/send-policy.ts
@@ -1,4 +1,4 @@
-/** How often one request may be sent, to which back ends, and which of its sends count as repetitions. */
+/** Decides how often one request may be sent, to which back ends, and which of its sends count against the retry budget. */
 import { BackEndSet } from '../fleet/back-end-identity.js';
 import type { RetryWindow } from '../systems/retry-window.js';
 import type { AdmittedRequest } from './admitted-request.js';
@@ -8,21 +8,20 @@
 import type { OpenAttempts } from './open-attempts.js';
 import type { SuspectContent } from './suspect-content.js';
 
-/** Repeatable requests are sent at most this often, whatever a route allows. */
+/** Maximum number of sends of a request whose answer has not begun, whatever its route allows. */
 const MOST_SENDS = 4;
-/** Bounds the sends of a request whose caller has a part of the answer: refusals must not end it. */
+/** The same once the answer has begun; higher, because a few refusals must not cut the answer. */
 const MOST_SENDS_TO_RESUME = 8;
 
-/** The request that is sent. */
 export interface SendPolicyOptions {
   admitted: AdmittedRequest;
-  /** The body is passed on as it comes and cannot be sent twice. */
+  /** Whether the body is streamed without being buffered, and so cannot be sent twice. */
   isBodyStreamed: () => boolean;
   content: Pick<SuspectContent, 'mayRunAgain'>;
   attempts: Pick<OpenAttempts, 'runs'>;
   answer: Pick<CallerAnswer, 'started' | 'isEventStream'>;
   selector: BackEndSelector;
-  /** The repetitions of its service. */
+  /** Retry budget of the service. */
   budget: RetryWindow;
 }
 
@@ -30,11 +29,11 @@
 export class SendPolicy {
   readonly #options: SendPolicyOptions;
   readonly #tried = new BackEndSet();
-  /** Back ends that may take it again over another connection. */
+  /** Back ends at which only the connection is suspected to be silent; they may get the request over another one. */
   readonly #onSilentConnections = new Set<BackEndRow>();
   #sends = 0;
   #isRepetition = false;
-  /** Version of the weights that began the answer; undefined before, and where none is told. */
+  /** Version of the weights with which the answer began; undefined before that, or if the back end did not name it. */
   version: number | undefined;
 
   constructor(options: SendPolicyOptions) {
@@ -45,12 +44,12 @@
     return this.#sends;
   }
 
-  /** True once it has been sent as often as any request may be. */
+  /** True once the limit of sends is reached. */
   get isExhausted(): boolean {
     return this.#sends >= (this.#options.answer.started ? MOST_SENDS_TO_RESUME : MOST_SENDS);
   }
 
-  /** What it needs of a back end. */
+  /** What a back end must fulfil to get the next send. */
   requirements(): Requirements {
     const { admitted, answer } = this.#options;
     const { service, table, route, timing, answerTokens } = admitted;
@@ -58,7 +57,7 @@
       service,
       engine: table.service(service)?.engine,
       isRepeatable: route.repeatability !== 'never',
-      // The queues of back ends are for those that can be in time: one that comes again waits here for a free slot.
+      // Queues of back ends are for requests that can meet their objective: a caller's retry waits here for a free slot.
       mayQueue: this.#sends > 0 || !timing.isLastChance,
       answerTokens,
       goesOn: answer.started,
@@ -67,28 +66,28 @@
     };
   }
 
-  /** It is sent to `row`. */
+  /** Records a send to `row`. */
   noteSent({ record }: BackEndRow): void {
     this.#tried.add(record);
     this.#sends++;
   }
 
-  /** It has reached a back end, or may have: each further send is a repetition. */
+  /** The request has reached a back end, or may have: each further send counts as a repetition. */
   noteRepetition(): void {
     this.#isRepetition = true;
   }
 
-  /** A back end that refused it, or was not reached, may take it later. */
+  /** Allows another send to a back end that refused the request or was not reached. */
   allowLater({ record }: BackEndRow): void {
     this.#tried.delete(record);
   }
 
-  /** Nothing comes on the connection of an attempt at `row`, while others may be answered there. */
+  /** Nothing arrives on the connection of an attempt at `row`, though the back end may answer on other connections. */
   noteSilentConnection(row: BackEndRow): void {
     this.#onSilentConnections.add(row);
   }
 
-  /** Back ends whose connections are silent may take the request over others where no other back end can. */
+  /** Allows sends over another connection to back ends with a silent connection, if no other back end is available. */
   allowOtherConnections(): void {
     if (this.#onSilentConnections.size === 0) return;
     const { selector } = this.#options;
@@ -100,12 +99,12 @@
     this.#onSilentConnections.clear();
   }
 
-  /** Whether the budget allows the next send now; it is paid only as the request goes out, which may be later. */
+  /** Whether the budget allows the next send now; `pay` charges it when the request is sent, which may be later. */
   get isAllowedByBudget(): boolean {
     return !this.#isRepetition || this.#mayRepeat();
   }
 
-  /** Pays for the next send where it is a repetition; false where the budget has none. */
+  /** Charges the budget for the next send if it is a repetition; returns false if the budget is used up. */
   pay(): boolean {
     return !this.#isRepetition || this.#options.budget.spend(performance.now());
   }
@@ -115,7 +114,7 @@
     return this.mayRunAgain && this.#mayRepeat();
   }
 
-  /** Whether one more back end may run the request, if the budget has a repetition. */
+  /** Whether one more back end may run the request, not considering the budget. */
   get mayRunAgain(): boolean {
     const { admitted, isBodyStreamed, content, attempts, answer } = this.#options;
     const { repeatability, maxAttempts } = admitted.route;
