--- a/src/forwarding/admitted-request.ts
+++ b/src/forwarding/admitted-request.ts
@@ -1,4 +1,4 @@
-/** A request's route, service, tenant and time, as found when it arrives, and the headers that it is sent on with. */
+/** Determines route, service, tenant and timing of a request on arrival, and the headers with which it is forwarded. */
 import type { IncomingMessage } from 'node:http';
 import type { Route } from '../fleet/configuration.js';
 import type { FleetView } from '../fleet/fleet-view.js';
@@ -11,33 +11,35 @@
 
 /** A request that the configuration allows. */
 export interface AdmittedRequest {
-  /** The configuration that it was admitted by. */
+  /** The configuration under which the request was admitted. */
   table: RouteTable;
   route: Route;
   service: string;
-  /** Name of its key's tenant; undefined where no key is needed. */
+  /** Name of the tenant to which the caller's key belongs; undefined if no key is required. */
   tenant: string | undefined;
-  /** Place of its kind among all, 0 for the most urgent. */
+  /** Rank of the request's priority among all priorities, 0 for the most urgent. */
   rank: number;
   timing: RequestTiming;
   promptTokens: number;
-  /** Tokens that the answer may have; 0 where that is not told. */
+  /** Maximum number of tokens of the answer; 0 if the caller does not state it. */
   answerTokens: number;
 }
 
-/** Why a request is not admitted, and the name of its route where it has one. */
+/** Why a request is not admitted, and the name of its route if one matched. */
 export interface RejectedRequest {
   error: ForwardingError;
   route?: string;
 }
 
-/** What a request is admitted by. */
 export interface AdmissionComponents {
   fleet: FleetView;
   names: HeaderNames;
 }
 
-/** Finds route, tenant and time of `request`, which arrived at `arrivedAt` in milliseconds of the steady clock. */
+/**
+ * Matches a request against the configuration.
+ * @param arrivedAt - arrival time, in milliseconds of the monotonic clock
+ */
 export function admit(
   { headers, url }: IncomingMessage,
   arrivedAt: number,
@@ -66,26 +68,26 @@
   });
 }
 
-/** The count that a caller tells of; 0, as where nothing is told, for what is no count, as it is reckoned with. */
+/** Parses a token count stated by a caller; 0 if it is absent or no valid count, since calculations use it. */
 function tokenCount(text: string | undefined): number {
   const count = Number(text);
   return Number.isSafeInteger(count) && count > 0 ? count : 0;
 }
 
-/** What one attempt adds to the headers of its request. */
+/** Values that one attempt adds to the headers of its request. */
 export interface AttemptHeaders {
-  /** The start of a back end that alone may run it. */
+  /** Id of the process start of the back end; any other start must refuse the request. */
   backEnd: string;
-  /** The version of weights that alone may answer; undefined where any may. */
+  /** The only version of weights that may answer; undefined if any may. */
   version: number | undefined;
   urgency: number;
-  /** The event after which a stream goes on; undefined for a first attempt. */
+  /** Id of the event after which the stream resumes; undefined to start at the beginning. */
   lastEventId: string | undefined;
-  /** The body is passed on as it comes, so that its length must be told again. */
+  /** Whether the body is streamed, so that its length has to be set from the caller's header. */
   isStreamed: boolean;
 }
 
-/** The headers that `request` is sent on with at `now`: pairs of name and value, one after the other. */
+/** The headers of an attempt that is sent at `now`: names and values in turn. */
 export function headersToSend(
   { rawHeaders, headers }: IncomingMessage,
   { route, tenant, timing }: AdmittedRequest,
--- a/src/forwarding/event-relay.ts
+++ b/src/forwarding/event-relay.ts
@@ -1,28 +1,27 @@
 /**
- * Relays a stream of server-sent events so that it can go on at another back end: only whole events are passed on, and
- * the identity of the last one is known.
+ * Splits a stream of server-sent events at event boundaries and tracks the id of the last whole event, so that another back
+ * end can resume the stream after it.
  */
 
 const LINE_FEED = 0x0a;
 const CARRIAGE_RETURN = 0x0d;
 const ID_FIELD = /^id: ?(.*)$/;
 
-/** The events of one answer. */
 export class EventRelay {
   #held: Buffer = Buffer.alloc(0);
   #lastEventId: string | undefined;
 
-  /** @param lastEventId - the event after which the stream goes on, where it does */
+  /** @param lastEventId - id of the event after which the stream resumes; undefined to start at its beginning */
   constructor(lastEventId: string | undefined) {
     this.#lastEventId = lastEventId;
   }
 
-  /** Identity of the last event that was passed on. */
+  /** Id of the last whole event that `push` returned, or of the event after which the stream resumes. */
   get lastEventId(): string | undefined {
     return this.#lastEventId;
   }
 
-  /** Takes bytes of the stream; returns those that complete events, with what was held of the first. */
+  /** Adds bytes of the stream; returns all whole events that are now available, undefined if there are none. */
   push(chunk: Buffer): Buffer | undefined {
     const bytes = this.#held.byteLength === 0 ? chunk : Buffer.concat([this.#held, chunk]);
     const end = endOfLastEvent(bytes);
@@ -33,7 +32,7 @@
     return whole;
   }
 
-  /** The stream ended properly: returns what is left. */
+  /** Call at the proper end of the stream: returns the bytes after the last whole event. */
   end(): Buffer {
     const rest = this.#held;
     this.#held = Buffer.alloc(0);
@@ -41,7 +40,7 @@
   }
 }
 
-/** Offset after the last empty line, which ends an event; 0 where there is none. */
+/** Offset after the last empty line, which ends an event; 0 if there is none. */
 function endOfLastEvent(bytes: Buffer): number {
   for (let index = bytes.byteLength - 1; index > 0; index--) {
     if (bytes[index] !== LINE_FEED) continue;
