--- a/src/forwarding/open-attempts.ts
+++ b/src/forwarding/open-attempts.ts
@@ -29,7 +29,7 @@
     return this.#all.size;
   }
 
-  /** The attempts in the order in which they were added; they may be closed while they are gone through. */
+  /** The attempts in the order in which they were added; closing attempts during the iteration is safe. */
   all(): Iterable<BackEndUse> {
     return this.#all;
   }
--- a/src/forwarding/stream-move.ts
+++ b/src/forwarding/stream-move.ts
@@ -1,12 +1,12 @@
 /**
- * The move of one stream off an engine that is about to take another version, while its attempt there stays open: another
- * engine resumes the stream before the first attempt is closed, so that a move that fails costs the caller nothing.
+ * Tracks the move of one stream off an engine that is about to switch to another version. Another engine resumes the stream
+ * before the attempt at the first engine is closed, so that a failed move does not affect the caller.
  *
- * Once the other engine has been asked to resume, events of the first one are held back, as the other sends them again.
+ * Once the other engine has been asked to resume, events of the first one are withheld, as the other one sends them again.
  */
 import type { BackEndUse } from './back-end-use.js';
 
-/** Time in which the other engine must send an event where the route names no longest pause, in milliseconds. */
+/** Time in which the other engine must send an event if the route sets no longest pause, in milliseconds. */
 const DEFAULT_LIMIT = 300;
 
 /** The move of one stream; at most one is under way. */
@@ -19,12 +19,12 @@
     return this.#source !== undefined;
   }
 
-  /** True if `use` is the attempt that the stream is to leave. */
+  /** True if `use` is the attempt off which the stream moves. */
   isSource(use: BackEndUse): boolean {
     return this.#source === use;
   }
 
-  /** True if events of `use` are not to be passed on yet. */
+  /** True if events of `use` must not be forwarded to the caller for now. */
   holdsBack(use: BackEndUse): boolean {
     return this.#target !== undefined && this.isSource(use);
   }
@@ -35,21 +35,21 @@
     this.#target = undefined;
   }
 
-  /** The stream was sent to another engine, which is to resume it. */
+  /** Records the attempt at the engine that is asked to resume the stream. */
   noteSent(target: BackEndUse): void {
     if (this.#source !== undefined) this.#target = target;
   }
 
   /**
-   * True if the other engine has been sending nothing for so long that the caller would notice.
-   * @param longestPause - longest pause between two events that the route allows, in milliseconds; 0 where it names none
+   * True if the other engine has sent nothing for longer than the caller accepts as a pause.
+   * @param longestPause - longest pause between two events that the route allows, in milliseconds; 0 if it sets none
    */
   isOverdue(now: number, longestPause: number): boolean {
     if (this.#target === undefined) return false;
     return now - this.#target.attempt.startedAt > (longestPause || DEFAULT_LIMIT);
   }
 
-  /** Ends the move; returns the attempt whose events were held back, if any were. */
+  /** Ends the move; returns the attempt whose events were withheld, if there was one. */
   end(): BackEndUse | undefined {
     const source = this.#target === undefined ? undefined : this.#source;
     this.#source = undefined;
