--- a/src/forwarding/forwarding-errors.ts
+++ b/src/forwarding/forwarding-errors.ts
@@ -1,39 +1,38 @@
-/** Why a request has no answer of a back end, and what its caller is told. The one place that knows the statuses. */
+/** Errors of requests that get no answer of a back end. Only this module maps them to HTTP statuses. */
 
-/** Why. */
 export type ForwardingError =
-  /** This process knows no configuration yet. */
+  /** This process has no configuration yet. */
   | { type: 'notConfigured' }
-  /** The request is not in the configuration of this process, and may be in a newer one that is in force elsewhere. */
+  /** The configuration of this process does not allow the request, but a newer one that is in force elsewhere may. */
   | { type: 'configurationBehind' }
   | { type: 'noRoute' }
   | { type: 'unknownKey' }
   | { type: 'bodyTooLarge' }
   | { type: 'malformed'; reason: string }
-  /** No back end can take it; it has not run. */
+  /** No back end can take the request; it has not run. */
   | { type: 'unavailable'; reason: string; retryAfter: number }
-  /** Back ends crash under its content; it has not run. */
+  /** Its content crashes back ends; it has not run. */
   | { type: 'quarantined'; retryAfter: number }
-  /** It did not end in time; it may have run. */
+  /** The request timed out; it may have run. */
   | { type: 'timedOut' }
-  /** Its time was over before it was sent; it has not run. */
+  /** The request timed out before it was sent; it has not run. */
   | { type: 'expired' }
-  /** This process ends before the answer is there; it may have run. */
+  /** This process exits before the answer has arrived; the request may have run. */
   | { type: 'stopped' }
-  /** Its back end failed while it may have run. */
+  /** The back end failed; the request may have run. */
   | { type: 'backEndFailed'; reason: string };
 
-/** What the caller gets. */
+/** The response to the caller. */
 export interface FinalAnswer {
   status: number;
-  /** Time after which to come back, in seconds; only where the request has not run. */
+  /** Value of `Retry-After` in seconds; only if the request has not run. */
   retryAfter: number | undefined;
 }
 
-/** Time after which to come back where the cause passes by itself, in seconds. */
+/** `Retry-After` for causes that pass by themselves, in seconds. */
 const SHORT_RETRY_AFTER = 0.3;
 
-/** The answer for `error`. 429 and 503 promise that the request has not run; 502 and 504 promise nothing. */
+/** The response for `error`. 429 and 503 guarantee that the request has not run; 502 and 504 guarantee nothing. */
 export function finalAnswer(error: ForwardingError): FinalAnswer {
   switch (error.type) {
     case 'notConfigured':
--- a/src/forwarding/request-outcome.ts
+++ b/src/forwarding/request-outcome.ts
@@ -1,10 +1,10 @@
-/** What the ends of attempts and requests mean: for the health of back ends, for counters and for the caller. */
+/** Maps the ends of attempts to outcomes for the health of back ends, and errors of requests to outcomes for counters. */
 import { type AttemptFailure, MISDIRECTED } from './attempt.js';
 import type { BackEndOutcome } from './back-end-health.js';
 import type { BackEndUse } from './back-end-use.js';
 import type { ForwardingError } from './forwarding-errors.js';
 
-/** How a request ended, for counters: `stopped` by the stop of this process, `left` by its caller. */
+/** How a request ended, for counters: `stopped` by the stop of this process, `left` if its caller closed the connection. */
 export type RequestOutcome =
   | 'served'
   | 'failedAnswer'
@@ -16,7 +16,10 @@
   | 'stopped'
   | 'left';
 
-/** What a time-out says of the back end: one that has said nothing is silent, unless its connection alone is. */
+/**
+ * Health outcome for a back end at the time-out of a request: it is silent if it has sent nothing, unless only its connection
+ * is silent.
+ */
 export function outcomeAtTimeout({
   attempt,
   hasAnswered,
@@ -28,7 +31,7 @@
   return attempt.isOnSilentConnection && isOvertaken ? undefined : 'silent';
 }
 
-/** What a failed attempt says of the back end; undefined for nothing. */
+/** Health outcome for the back end of a failed attempt; undefined if the failure tells nothing about it. */
 export function outcomeOf(failure: AttemptFailure): BackEndOutcome | undefined {
   if (failure.type === 'withdrawn') return undefined;
   if (failure.type === 'refused') return failure.status === MISDIRECTED ? 'misdirected' : 'overloaded';
@@ -45,7 +48,6 @@
   'quarantined',
 ]);
 
-/** What an error is counted as. */
 export function outcomeOfError(error: ForwardingError): RequestOutcome {
   if (NOT_RUN.has(error.type)) return 'refused';
   if (error.type === 'timedOut') return 'timedOut';
