--- a/src/forwarding/request-timing.ts
+++ b/src/forwarding/request-timing.ts
@@ -1,65 +1,67 @@
 /**
- * The time of one request: when it must end, and what follows for how it waits. A caller that was refused comes again
- * once, so a first request that cannot be in time is better refused at once, while one that has come again waits for
- * whatever is free before its time is over. Times are in milliseconds of the steady clock.
+ * The deadline of one request and the limits of its waits that follow from it. A caller retries a refused request once. So
+ * a first request that cannot meet its objective is better refused at once, while a caller's retry waits for any free back
+ * end until its deadline. Times are in milliseconds of the monotonic clock.
  */
 import type { Route } from '../fleet/configuration.js';
 import { latestBegin, waitsForCapacity } from '../systems/capacity-wait.js';
 
-/** Requests are not let wait at a back end for longer than this before they begin, in milliseconds. */
+/** Maximum wait of any request in the queue of a back end, in milliseconds. */
 const LONGEST_WAIT = 1_800;
-/** A first request for a stream is to begin within this share of its objective: the rest of it goes to its prompt. */
+/** Share of its objective that a first request for a stream may wait in a queue; the rest is for reading its prompt. */
 const WAIT_SHARE = 0.6;
 const SHORTEST_WAIT_LIMIT = 150;
 /**
- * A first request for a stream waits for a slot within this share of its objective. An engine whose slots are all taken gives a
- * first event 160 ms after it begins (median), 0.4 to 0.53 of objectives of 400 and 300 ms, so that one that has waited for
- * longer is late with its slot, which another could have used in time. As requests that have waited longest go first, under
- * lasting overload all that are served have waited almost that long.
+ * Share of its objective that a first request for a stream may wait for a slot. An engine whose slots are all taken sends the
+ * first event 160 ms after it starts a request (median), which is 0.4 to 0.53 of objectives of 400 and 300 ms. So a request
+ * that has waited longer would miss its objective with a slot that another one could have used in time. As requests that have
+ * waited longest are served first, nearly all that are served under lasting overload have waited almost this long.
  */
 const SLOT_WAIT_SHARE = 0.5;
-/** A caller whose time is short by more than this has asked before, in milliseconds. */
+/** A request with less time than its route gives, by more than this, is a caller's retry, in milliseconds. */
 const REPEATED_AFTER = 150;
-/** A request that can still be in time waits here for capacity no longer than this, in milliseconds. */
+/** Time for which a first request is held while the serving back ends are full, in milliseconds. */
 const SHORT_HOLD = 45;
-/** Share of a caller's time after which it is told that its back ends are silent. */
+/** Share of a caller's time for which its request waits for silent back ends. */
 const CALLER_SHARE = 0.5;
-/** Highest rank of a kind of request that counts, 0 being the most urgent. */
+/** Highest rank that is distinguished; 0 is the most urgent. */
 export const MOST_RANK = 3;
-/** Urgency of the most urgent request that comes again: first requests of all ranks go before it. */
+/** Urgency of the most urgent caller's retry: first requests of all ranks go before it. */
 const REPEATED_URGENCY = MOST_RANK + 1;
-/** Urgency of those that cannot be in time any more, of the most urgent rank and of the others, the last. */
+/** Urgency of requests that can no longer meet their objective: of the most urgent rank, and of all others. */
 const FIRST_LATE_URGENCY = 8;
 const LATE_URGENCY = 9;
 
-/** The time of one request. */
 export class RequestTiming {
   readonly arrivedAt: number;
-  /** Until when it must have its final answer. */
+  /** Time by which the request must have its final answer. */
   readonly endsAt: number;
   readonly #route: Route;
 
-  /** @param timeLeft - what its caller waits, in milliseconds; undefined where that is not told */
+  /** @param timeLeft - time for which the caller waits, in milliseconds; undefined if not stated */
   constructor(arrivedAt: number, route: Route, timeLeft: number | undefined) {
     this.arrivedAt = arrivedAt;
     this.endsAt = arrivedAt + Math.min(route.timeout, timeLeft ?? Number.POSITIVE_INFINITY);
     this.#route = route;
   }
 
-  /** True where a refusal would be the caller's last answer: it has less time than its route gives, so it asked before. */
+  /**
+   * True for a caller's retry, which is not retried again if it is refused. It is recognized by having less time than its
+   * route gives.
+   */
   get isLastChance(): boolean {
     const spentBefore = this.arrivedAt + this.#route.timeout - this.endsAt;
     return this.#route.isStream && spentBefore > REPEATED_AFTER;
   }
 
-  /** True where the answer cannot be in time any more. */
+  /** True if the answer can no longer meet the objective. */
   isLate(now: number): boolean {
     return now - this.arrivedAt > this.#route.objective;
   }
 
   /**
-   * How long it may have to wait at a back end.
-   * @param isOwed - it was sent, or held for capacity, before: it is not given up for a wait
+   * Maximum expected wait at a back end for the request to be sent there.
+   * @param isOwed - whether the request was sent or held for capacity before, so that it is not refused for a long queue
    */
   longestWait(isOwed: boolean): number {
     if (!this.#route.isStream || isOwed || this.isLastChance) return LONGEST_WAIT;
@@ -67,8 +69,8 @@
   }
 
   /**
-   * Until when it waits for a slot of an engine, if it looks for one from `now` on.
-   * @param wasHeld - it has waited for capacity before
+   * Time until which the request waits for a slot of an engine, if it starts to look for one at `now`.
+   * @param wasHeld - whether it has been held for capacity before
    */
   waitsForSlotUntil(now: number, wasSent: boolean, wasHeld: boolean): number {
     if (wasSent) return Math.min(this.endsAt, now + LONGEST_WAIT);
@@ -77,12 +79,12 @@
     return this.arrivedAt + SLOT_WAIT_SHARE * this.#route.objective;
   }
 
-  /** Until when it waits here for a free back end among those that serve, if it does so since `heldSince`. */
+  /** Time until which the request is held while the serving back ends are full, if it has been held since `heldSince`. */
   holdsUntil(heldSince: number): number {
     return this.isLastChance ? this.latestBegin : heldSince + SHORT_HOLD;
   }
 
-  /** Whether it waits here while no back end serves, and the first is expected to in `capacityIn` milliseconds. */
+  /** Whether to hold the request while no back end serves, if the first is expected to in `capacityIn` milliseconds. */
   waitsForCapacity(now: number, capacityIn: number): boolean {
     if (!this.#route.isStream) return false;
     const { arrivedAt, endsAt } = this;
@@ -92,8 +94,8 @@
   }
 
   /**
-   * Until when it waits for back ends that are silent, if its caller has no part of the answer: half of the time is left for a
-   * repetition by the caller.
+   * Time until which the request waits for silent back ends if its answer has not begun: half of the time is left for a
+   * retry by the caller.
    */
   get waitsForSilentUntil(): number {
     const { isStream, patience } = this.#route;
@@ -101,15 +103,15 @@
     return this.arrivedAt + CALLER_SHARE * (isStream ? Math.min(time, patience) : time);
   }
 
-  /** Latest time at which a back end may begin with it. */
+  /** Latest time at which a back end may start the request. */
   get latestBegin(): number {
     return latestBegin(this.arrivedAt, this.endsAt, this.#route.patience);
   }
 
   /**
-   * Urgency at the back end's queue: first those that can be in time, then those that have come again, then late ones; of
-   * each the more urgent kinds first.
-   * @param rank - place of the kind of request, 0 for the most urgent
+   * Position in the queue of a back end: first requests that can meet their objective, then callers' retries, then late
+   * requests; each group in the order of rank.
+   * @param rank - rank of the request's priority, 0 for the most urgent
    */
   urgency(rank: number, now: number): number {
     if (this.isLate(now)) return rank === 0 ? FIRST_LATE_URGENCY : LATE_URGENCY;
--- a/src/forwarding/time-to-end.ts
+++ b/src/forwarding/time-to-end.ts
@@ -1,20 +1,19 @@
 /**
- * Whether one request can still end before its process does: by the time that requests of its route and size took lately,
- * or else by all the time that it has. Before an order to stop everything can. Times are in milliseconds.
+ * Estimates whether one request can complete before its process exits. The estimate is the duration of recent requests of
+ * its route and size or, if too few are known, all the time up to its deadline. Before the order to stop every request can.
+ * Times are in milliseconds.
  */
 import type { DrainSchedule } from '../systems/drain-schedule.js';
 import type { LongestDurations } from '../systems/longest-durations.js';
 import type { Attempt } from './attempt.js';
 
-/** What it goes by. */
 export interface TimeToEndComponents {
-  /** Of the stop of this process. */
+  /** Schedule of the stop of this process. */
   drain: DrainSchedule;
-  /** Of the requests of this process, by the names of their routes. */
+  /** Durations of requests of this process, by route name. */
   durations: LongestDurations;
 }
 
-/** The time of one request before the stop of its process. */
 export class TimeToEnd {
   readonly #components: TimeToEndComponents;
   readonly #route: string;
@@ -22,8 +21,8 @@
   readonly #endsAt: number;
 
   /**
-   * @param answerTokens - tokens that the answer may have; 0 where that is not known
-   * @param endsAt - until when the request must have its final answer, in time of the steady clock
+   * @param answerTokens - maximum number of tokens of the answer; 0 if unknown
+   * @param endsAt - time by which the request must have its final answer, on the monotonic clock
    */
   constructor(components: TimeToEndComponents, route: string, answerTokens: number, endsAt: number) {
     this.#components = components;
@@ -32,7 +31,7 @@
     this.#endsAt = endsAt;
   }
 
-  /** Whether the answer can be whole before the process ends, if the request is sent `wait` after `now`. */
+  /** Whether the answer can be complete before the process exits, if the request is sent `wait` after `now`. */
   suffices(now: number, wait = 0): boolean {
     const { drain, durations } = this.#components;
     if (!drain.isUnderWay) return true;
@@ -42,17 +41,17 @@
     return drain.canEnd(sentAt, Math.min(timeLeft, expected));
   }
 
-  /** An attempt is sent. */
+  /** Records that an attempt is sent. */
   noteSent({ startedAt }: Attempt): void {
     this.#components.durations.noteSent(this.#route, this.#answerTokens, startedAt);
   }
 
-  /** While requests are taken only if they can end, those in progress tell how slow back ends have become. */
+  /** During the stop, records the age of an open attempt, so that estimates follow back ends that have become slower. */
   noteProgress(attempt: Attempt, now: number): void {
     if (this.#components.drain.isUnderWay) this.#noteAge(attempt, now);
   }
 
-  /** An attempt has ended; one without a whole answer would have taken longer than it has. */
+  /** Records that an attempt has ended. Without a complete answer its duration is only a lower bound. */
   noteEnded(attempt: Attempt, isWhole: boolean, now: number): void {
     if (!isWhole) return this.#noteAge(attempt, now);
     const took = now - attempt.startedAt;
