--- a/src/forwarding/hold-record.ts
+++ b/src/forwarding/hold-record.ts
@@ -1,43 +1,43 @@
 /**
- * Whether it has been worth the wait lately to hold requests for a free back end. While back ends stay full, a caller is
- * better refused at once than after a wait; a few requests are held all the same, and tell when that is over.
+ * Tracks how often holding requests for a free back end has succeeded lately. While back ends stay full, it is better to
+ * refuse a caller at once than after a wait; a few requests are still held as probes to detect when this is over.
  */
 
-/** Weight of the newest end of a wait: seven in a row change what is done. */
+/** Weight of the newest wait in the moving average: seven in a row with the same result change the decision. */
 const END_WEIGHT = 0.1;
-/** Share of waits that must have ended at a back end. */
+/** Share of waits that must have ended with a send for more requests to be held. */
 const LEAST_SENT_SHARE = 0.5;
-/** Requests that may be held at the same time whatever became of others. */
+/** Number of requests that may be held at the same time as probes, whatever the share. */
 const MOST_TRIALS = 2;
 
 /** How a wait ended. */
 export type HoldEnd =
-  /** A back end has taken the request. */
+  /** The request was sent to a back end. */
   | 'sent'
-  /** None has in its time. */
+  /** The request was not sent to any back end in its time. */
   | 'inVain'
-  /** Its caller left before. */
+  /** The caller closed its connection. */
   | 'left'
   /** No longer needed, as an open attempt has answered. */
   | 'cancelled';
 
-/** The waits for back ends of one service. */
+/** The waits for free back ends of one service. */
 export class HoldRecord {
   #held = 0;
   #sentShare = 1;
   #placesTaken = 0;
 
-  /** False where one more request is to be refused at once. */
+  /** False if the next request must be refused at once. */
   get allowsMore(): boolean {
     return this.#sentShare >= LEAST_SENT_SHARE || this.#held < MOST_TRIALS;
   }
 
-  /** A request waits from now on. */
+  /** Records the start of a wait. */
   begin(): void {
     this.#held++;
   }
 
-  /** A request waits no more. */
+  /** Records the end of a wait. */
   end(how: HoldEnd): void {
     this.#held--;
     if (how === 'left' || how === 'cancelled') return;
@@ -46,10 +46,10 @@
   }
 
   /**
-   * A request is to wait until back ends serve again; false where as many wait as this process has slots of them to expect.
-   * Those beyond would be held, and refused in the end: after a loss of power 816 of credit was held in vain on a site of 42
-   * entries, 150 without such waits.
-   * @param places - slots that come free at once, divided among all entries
+   * Reserves a place for a request that waits until back ends serve again; returns false if as many requests wait as this
+   * process can expect slots. Requests beyond that would be held and then refused: after a power loss on a site of 42 entries
+   * 816 of credit was held in vain, and 150 without such waits.
+   * @param places - slots that become free at once, divided among all entries
    */
   takePlace(places: number): boolean {
     if (this.#placesTaken >= Math.max(1, places)) return false;
@@ -57,7 +57,7 @@
     return true;
   }
 
-  /** A request that had a place waits no more. */
+  /** Frees a place that `takePlace` reserved. */
   freePlace(): void {
     this.#placesTaken--;
   }
