--- a/src/forwarding/cut-figures.ts
+++ b/src/forwarding/cut-figures.ts
@@ -1,11 +1,10 @@
-/** Answers that were cut after their caller had a part of them, for metrics: how many, by how their latest attempt ended. */
+/** Metric of answers that were cut after their caller had received a part, by the failure of their latest attempt. */
 import type { Metrics } from '../observability/metrics.js';
 
-/** Reasons that are counted apart; the texts of system errors could grow without bound. */
+/** Maximum number of distinct reasons; bounded because reasons include the texts of system errors. */
 const MOST_REASONS = 16;
 const OTHER_REASON = 'other';
 
-/** The figures of one process. */
 export class CutFigures {
   readonly #counts = new Map<string, number>();
 
@@ -20,7 +19,7 @@
     ]);
   }
 
-  /** @param reason - how the latest attempt failed, or why the answer was cut where none did */
+  /** @param reason - failure of the latest attempt, or why the answer was cut if no attempt failed */
   note(reason: string): void {
     const isCounted = this.#counts.has(reason) || this.#counts.size < MOST_REASONS;
     const label = isCounted ? reason : OTHER_REASON;
--- a/src/forwarding/drain-figures.ts
+++ b/src/forwarding/drain-figures.ts
@@ -1,20 +1,21 @@
-/** What becomes of requests that arrive after the order to stop, for on-call: how late each came and how it ended. */
+/** Metrics of requests that arrive after the order to stop: their arrival times and outcomes. */
 import { Histogram } from 'prom-client';
 import type { Metrics } from '../observability/metrics.js';
 import type { RequestOutcome } from './request-outcome.js';
 
-/** Bounds of the times since the order to stop, in seconds: users give 8 s, with finer steps where it is decided. */
+/**
+ * Bounds of the histogram of arrival times since the order to stop, in seconds. Deployments give a process 8 s to stop; the
+ * steps are finer in the range in which it decides whether a request can still complete.
+ */
 const ARRIVAL_BUCKETS = [0.5, 1, 1.5, 2, 2.5, 3, 3.5, 4, 5, 6, 7, 8];
 const MILLISECONDS = 1_000;
 
-/** Figures of one outcome. */
 export interface ArrivalsWithOutcome {
   count: number;
-  /** When the last of them arrived, in milliseconds since the order to stop. */
+  /** Arrival time of the last such request, in milliseconds since the order to stop. */
   latestMs: number;
 }
 
-/** The figures of one process. */
 export class DrainFigures {
   readonly #arrivals: Histogram;
   readonly #byOutcome: Partial<Record<RequestOutcome, ArrivalsWithOutcome>> = {};
@@ -29,12 +30,12 @@
     });
   }
 
-  /** By outcome; metrics of a process that ends are seldom read once more, so this goes to its log too. */
+  /** Counts by outcome. They are logged too, as the metrics of a process that exits are rarely scraped again. */
   get byOutcome(): Readonly<Partial<Record<RequestOutcome, ArrivalsWithOutcome>>> {
     return this.#byOutcome;
   }
 
-  /** Notes a request that arrived `elapsed` milliseconds after the order to stop. */
+  /** Counts a request that arrived `elapsed` milliseconds after the order to stop. */
   note(outcome: RequestOutcome, elapsed: number): void {
     this.#arrivals.observe({ outcome }, elapsed / MILLISECONDS);
     const { count, latestMs } = this.#byOutcome[outcome] ?? { count: 0, latestMs: 0 };
--- a/src/forwarding/header-names.ts
+++ b/src/forwarding/header-names.ts
@@ -1,38 +1,35 @@
-/**
- * Headers of requests and answers that the system reads or sets. Their names belong to a platform and are given at
- * construction, in lower case.
- */
+/** Names of the headers that the system reads or sets. */
 
-/** The names. */
+/** Header names in lower case; each platform has its own, which are passed in at construction. */
 export interface HeaderNames {
-  /** Identity of a request; every answer carries it back. */
+  /** Id of a request; each answer repeats it. */
   requestId: string;
   /** Time for which the caller waits, in milliseconds. */
   timeLeft: string;
   /** The caller's key. */
   callerKey: string;
-  /** Name of the key's tenant, told to back ends. */
+  /** Name of the tenant to which the key belongs; sent to back ends. */
   tenant: string;
-  /** Start of a back end that alone may run the request. */
+  /** Id of the only process start of a back end that may run the request. */
   expectedBackEnd: string;
-  /** Version of weights that alone may run the request. */
+  /** The only version of weights that may answer the request. */
   expectedVersion: string;
-  /** Urgency at the back end's queue, 0 to 9, 0 first. */
+  /** Position in the back end's queue, 0 to 9, 0 first. */
   urgency: string;
-  /** An answer with it says that the request did not run. */
+  /** Present in an answer if the request did not run. */
   notRun: string;
-  /** Version of weights that answers. */
+  /** Version of the weights that produced the answer. */
   servedVersion: string;
-  /** Requests a second that the answering back end takes from all entries together; absent if it has no limit. */
+  /** Requests per second that the answering back end accepts from all entries together; absent if it has no limit. */
   rateLimit: string;
-  /** Tokens of the prompt, and the most that may be written. */
+  /** Number of prompt tokens and maximum number of answer tokens, separated by a comma. */
   tokenCounts: string;
 }
 
-/** The event after which a stream goes on, as in the standard for server-sent events. */
+/** Id of the event after which a stream resumes, as defined for server-sent events. */
 export const LAST_EVENT_ID = 'last-event-id';
 
-/** Headers that concern one connection only. */
+/** Hop-by-hop headers. */
 const CONNECTION_HEADERS = new Set([
   'connection',
   'keep-alive',
@@ -46,7 +43,10 @@
   'expect',
 ]);
 
-/** Pairs of name and value, one after the other, without those that concern one connection or are in `left`. */
+/**
+ * Removes hop-by-hop headers and those in `left` from `raw`, which has names and values in turn.
+ * @param connection - the `Connection` header, which may name further hop-by-hop headers
+ */
 export function endToEndHeaders(
   raw: readonly string[],
   connection: string | undefined,
--- a/src/forwarding/stream-move-figures.ts
+++ b/src/forwarding/stream-move-figures.ts
@@ -1,11 +1,10 @@
-/** What on-call needs to see of streams at engines that take another version: how many moved, and how many stayed. */
+/** Metric of moves of streams off engines that switch versions, by outcome. */
 import type { Metrics } from '../observability/metrics.js';
 
-/** The figures of one process. */
 export class StreamMoveFigures {
-  /** Streams that another engine has resumed. */
+  /** Number of streams that another engine has resumed. */
   moved = 0;
-  /** Moves that were given up: no engine had room, or the one that was asked refused, failed or was slow. */
+  /** Number of moves given up because no engine had room, or because the chosen one refused, failed or was slow. */
   givenUp = 0;
 
   constructor(metrics: Metrics) {
