--- a/bench/simulation/outage-simulation.ts
+++ b/bench/simulation/outage-simulation.ts
@@ -57,7 +57,7 @@
 
   const refuse = (attempt: Attempt, now: number, capacityIn: number) => {
     if (attempt.isSecond) return;
-    const { endsAt } = attempt.timing;
+    const { deadline: endsAt } = attempt.timing;
     const soon = SHORTEST_RETURN * (1 + random.fraction());
     const pause = Math.min(LONGEST_RETURN, soon + capacityIn, RETURN_SHARE * (endsAt - now));
     returning.push({ at: now + pause, endsAt });
@@ -68,7 +68,7 @@
     if (now < attempt.nextLook) return true;
     attempt.nextLook = now + LOOK_INTERVAL;
     const capacityIn = Math.max(0, outage + lateEstimate - now);
-    const isFirst = !attempt.timing.isLastChance;
+    const isFirst = !attempt.timing.isCallerRetry;
     const isHeld =
       now >= outage ? now < attempt.timing.latestBegin : attempt.timing.waitsForCapacity(now, capacityIn);
     if (isHeld && (policy === 'wait' || !isFirst || now >= outage)) return true;
--- a/src/forwarding/admitted-request.ts
+++ b/src/forwarding/admitted-request.ts
@@ -98,8 +98,8 @@
   const sent = endToEndHeaders(rawHeaders, headers.connection, headersSet);
   if (attempt.isStreamed && headers['content-length'] !== undefined)
     sent.push('Content-Length', headers['content-length']);
-  const timeLeft = Math.max(1, Math.floor(timing.endsAt - now));
-  if (Number.isFinite(timing.endsAt)) sent.push(names.timeLeft, String(timeLeft));
+  const timeLeft = Math.max(1, Math.floor(timing.deadline - now));
+  if (Number.isFinite(timing.deadline)) sent.push(names.timeLeft, String(timeLeft));
   sent.push(names.expectedBackEnd, attempt.backEnd);
   if (tenant !== undefined) sent.push(names.tenant, tenant);
   if (attempt.version !== undefined) sent.push(names.expectedVersion, String(attempt.version));
--- a/src/forwarding/attempt-watch.ts
+++ b/src/forwarding/attempt-watch.ts
@@ -5,9 +5,9 @@
 import type { BackEndSelector } from './back-end-selector.js';
 import type { BackEndRow, BackEndTable } from './back-end-table.js';
 import type { BackEndUse } from './back-end-use.js';
+import type { CompletionEstimate } from './completion-estimate.js';
 import { outcomeAtTimeout } from './request-outcome.js';
 import { type Silence, silenceOf } from './silence.js';
-import type { TimeToEnd } from './time-to-end.js';
 
 /** Timeout for opening a new connection, in milliseconds. */
 const CONNECT_LIMIT = 400;
@@ -20,7 +20,7 @@
 /** The current state of the watched request. */
 export interface WatchedRequest {
   readonly admitted: Pick<AdmittedRequest, 'route' | 'service'>;
-  readonly timeToEnd: TimeToEnd;
+  readonly completionEstimate: CompletionEstimate;
   /** Whether the caller has received a part of the answer. */
   hasPart(): boolean;
   /** Whether the caller is not reading, so that writes to it would be buffered. */
@@ -48,7 +48,7 @@
     // Checked first: otherwise an attempt that cannot be sent again could begin on an expired version.
     if (this.#mustNotBegin(use, now)) return use.attempt.withdraw('version expires');
     const { attempt } = use;
-    this.#request.timeToEnd.noteProgress(attempt, now);
+    this.#request.completionEstimate.noteProgress(attempt, now);
     if (!attempt.sent) {
       if (standstills.runningTime(attempt.startedAt, now) > CONNECT_LIMIT)
         attempt.fail('no connection in time');
--- a/src/forwarding/caller-answer.ts
+++ b/src/forwarding/caller-answer.ts
@@ -4,7 +4,7 @@
 import type { IncomingMessage, ServerResponse } from 'node:http';
 import type { AnswerHead, Attempt } from './attempt.js';
 import type { AttemptAnswer } from './attempt-answer.js';
-import type { FinalAnswer } from './forwarding-errors.js';
+import type { ErrorResponse } from './forwarding-errors.js';
 import { endToEndHeaders, LAST_EVENT_ID } from './header-names.js';
 
 export class CallerAnswer {
@@ -66,7 +66,7 @@
   }
 
   /** Responds with an error of this system, or cuts an answer that has begun, which must not look complete. */
-  fail({ status, retryAfter }: FinalAnswer, requestIdHeader: Record<string, string>): void {
+  fail({ status, retryAfter }: ErrorResponse, requestIdHeader: Record<string, string>): void {
     if (this.started || this.#response.destroyed) return this.cut();
     const headers: Record<string, string> = { 'content-length': '0', ...requestIdHeader };
     if (retryAfter !== undefined) headers['retry-after'] = retryAfter.toFixed(2);
--- a/src/forwarding/time-to-end.ts
+++ b/src/forwarding/completion-estimate.ts
@@ -7,36 +7,41 @@
 import type { LongestDurations } from '../systems/longest-durations.js';
 import type { Attempt } from './attempt.js';
 
-export interface TimeToEndComponents {
+export interface CompletionEstimateComponents {
   /** Schedule of the stop of this process. */
   drain: DrainSchedule;
   /** Durations of requests of this process, by route name. */
   durations: LongestDurations;
 }
 
-export class TimeToEnd {
-  readonly #components: TimeToEndComponents;
+export class CompletionEstimate {
+  readonly #components: CompletionEstimateComponents;
   readonly #route: string;
   readonly #answerTokens: number;
-  readonly #endsAt: number;
+  readonly #deadline: number;
 
   /**
    * @param answerTokens - maximum number of tokens of the answer; 0 if unknown
-   * @param endsAt - time by which the request must have its final answer, on the monotonic clock
+   * @param deadline - time by which the request must have its final answer, on the monotonic clock
    */
-  constructor(components: TimeToEndComponents, route: string, answerTokens: number, endsAt: number) {
+  constructor(
+    components: CompletionEstimateComponents,
+    route: string,
+    answerTokens: number,
+    deadline: number,
+  ) {
     this.#components = components;
     this.#route = route;
     this.#answerTokens = answerTokens;
-    this.#endsAt = endsAt;
+    this.#deadline = deadline;
   }
 
   /** Whether the answer can be complete before the process exits, if the request is sent `wait` after `now`. */
-  suffices(now: number, wait = 0): boolean {
+  canComplete(now: number, wait = 0): boolean {
     const { drain, durations } = this.#components;
     if (!drain.isUnderWay) return true;
     const sentAt = now + wait;
-    const timeLeft = this.#endsAt - sentAt;
+    const timeLeft = this.#deadline - sentAt;
     const expected = durations.expected(this.#route, this.#answerTokens, timeLeft, now) ?? timeLeft;
     return drain.canEnd(sentAt, Math.min(timeLeft, expected));
   }
@@ -52,8 +57,8 @@
   }
 
   /** Records that an attempt has ended. Without a complete answer its duration is only a lower bound. */
-  noteEnded(attempt: Attempt, isWhole: boolean, now: number): void {
-    if (!isWhole) return this.#noteAge(attempt, now);
+  noteEnded(attempt: Attempt, isComplete: boolean, now: number): void {
+    if (!isComplete) return this.#noteAge(attempt, now);
     const took = now - attempt.startedAt;
     this.#components.durations.noteEnded(this.#route, this.#answerTokens, took, now);
   }
--- a/src/forwarding/forwarded-request.ts
+++ b/src/forwarding/forwarded-request.ts
@@ -24,8 +24,9 @@
 import { BackEndUse } from './back-end-use.js';
 import { CallerAnswer } from './caller-answer.js';
 import { type CallerBody, readCallerBody } from './caller-body.js';
+import { CompletionEstimate } from './completion-estimate.js';
 import type { SlotClaim } from './engine-slots.js';
-import { type ForwardingError, finalAnswer } from './forwarding-errors.js';
+import { errorResponseOf, type ForwardingError } from './forwarding-errors.js';
 import type { ForwardingComponents } from './forwarding-server.js';
 import { OpenAttempts } from './open-attempts.js';
 import { readRateLimit } from './rate-limit-notice.js';
@@ -34,11 +35,10 @@
 import { RequestLog } from './request-log.js';
 import { outcomeOf } from './request-outcome.js';
 import { RequestWait, type WaitingRequest } from './request-wait.js';
-import { retryElsewhere, retryOnceServed } from './retry-after.js';
+import { retryAfterForCapacity, retryAfterForOtherProcess } from './retry-after.js';
 import { SendPolicy } from './send-policy.js';
 import { StreamMove } from './stream-move.js';
 import { SuspectContent } from './suspect-content.js';
-import { TimeToEnd } from './time-to-end.js';
 
 /** Interval between searches for a replacement for a silent or switching back end, in milliseconds. */
 const SEARCH_INTERVAL = 200;
@@ -55,7 +55,7 @@
   readonly #id: string;
   /** Set by `#admit`, before anything is sent; so are the other fields with `!`. */
   #admitted!: AdmittedRequest;
-  #timeToEnd!: TimeToEnd;
+  #completionEstimate!: CompletionEstimate;
   #timer: NodeJS.Timeout | undefined;
   #body: CallerBody = { type: 'none' };
   readonly #content: SuspectContent;
@@ -88,7 +88,7 @@
     });
     this.#openAttempts = new OpenAttempts({
       content: this.#content,
-      timeToEnd: () => this.#timeToEnd,
+      completionEstimate: () => this.#completionEstimate,
       usualFailureShare: () => components.backEnds.usualFailureShare(this.#admitted.service),
     });
     this.#answer = new CallerAnswer(request, response, () => components.drain.isUnderWay);
@@ -103,7 +103,7 @@
   async start(): Promise<void> {
     const rejected = this.#admit();
     if (rejected !== undefined) return this.#fail(rejected.error, rejected.route);
-    this.#timer = setTimeout(() => this.#onTimeout(), this.#admitted.timing.endsAt - this.arrivedAt);
+    this.#timer = setTimeout(() => this.#onTimeout(), this.#admitted.timing.deadline - this.arrivedAt);
     this.#body = await readCallerBody(this.#request, this.#admitted.table.configuration.limits.bodyBytes);
     if (this.#settled) return;
     if (this.#body.type === 'tooLarge') return this.#fail({ type: 'bodyTooLarge' });
@@ -208,7 +208,12 @@
     if (!admission.ok) return admission.error;
     this.#admitted = admission.value;
     const { route, answerTokens, timing } = admission.value;
-    this.#timeToEnd = new TimeToEnd(this.#components, route.name, answerTokens, timing.endsAt);
+    this.#completionEstimate = new CompletionEstimate(
+      this.#components,
+      route.name,
+      answerTokens,
+      timing.deadline,
+    );
     this.#policy = this.#createPolicy(admission.value);
     this.#wait = this.#createWait(admission.value);
     this.#watch = this.#createWatch(admission.value);
@@ -230,7 +235,7 @@
   #createWatch(admitted: AdmittedRequest): AttemptWatch {
     return new AttemptWatch(this.#components, {
       admitted,
-      timeToEnd: this.#timeToEnd,
+      completionEstimate: this.#completionEstimate,
       hasPart: () => this.#answer.started,
       isCallerBlocked: () => this.#answer.isBlocked,
       maySendAgain: () => this.#policy.maySendAgain,
@@ -287,7 +292,7 @@
     const use = this.#createAttempt(selection, claim);
     const { attempt } = use;
     this.#move.noteSent(use);
-    this.#timeToEnd.noteSent(attempt);
+    this.#completionEstimate.noteSent(attempt);
     attempt.send(row.connections);
   }
 
@@ -295,7 +300,7 @@
   #refusalBeforeSend(): (() => void) | undefined {
     if (!this.#canEnd()) return () => this.#refuseForStop();
     if (!this.#content.mayBeSent) return () => this.#giveUpQuarantined();
-    return this.#policy.pay() ? undefined : () => this.#giveUp('no budget');
+    return this.#policy.chargeBudget() ? undefined : () => this.#giveUp('no budget');
   }
 
   #createAttempt(selection: Selection, claim: SlotClaim | undefined): BackEndUse {
@@ -329,7 +334,7 @@
    * answer that has begun, which is resumed in any case.
    */
   #canEnd(wait = 0): boolean {
-    return this.#answer.started || this.#timeToEnd.suffices(performance.now(), wait);
+    return this.#answer.started || this.#completionEstimate.canComplete(performance.now(), wait);
   }
 
   /** Refuses a request that cannot complete before this process exits; another process can take it at once. */
@@ -337,7 +342,11 @@
     if (this.#openAttempts.size > 0) return this.#endSearch('stop');
     const reason = 'stop';
     if (this.#openAttempts.runs > 0) return this.#fail({ type: 'backEndFailed', reason });
-    this.#fail({ type: 'unavailable', reason, retryAfter: retryElsewhere(this.#components.random) });
+    this.#fail({
+      type: 'unavailable',
+      reason,
+      retryAfter: retryAfterForOtherProcess(this.#components.random),
+    });
   }
 
   /** Ends the search for a back end because the content of the request is quarantined; open attempts continue. */
@@ -461,7 +470,7 @@
     if (failure.type === 'withdrawn') this.#components.expiryFigures.withdrawn++;
     this.#openAttempts.close(use, outcomeOf(failure));
     const isKept = this.#answer.started || this.#openAttempts.size > 0;
-    if (isKept && (failure.type === 'refused' || failure.type === 'notSent')) this.#policy.allowLater(row);
+    if (isKept && (failure.type === 'refused' || failure.type === 'notSent')) this.#policy.allowResend(row);
     if (wentOut(failure)) this.#policy.noteRepetition();
     if (this.#move.isSource(use) || !this.#wait.isUnderWay) this.#endMove(failure.type);
     // Another attempt is open, or a search is in progress.
@@ -489,7 +498,7 @@
     if (this.#answer.started) return this.#canGoOnLater() ? this.#endSearch(reason) : this.#cut(reason);
     if (this.#openAttempts.runs > 0) return this.#fail({ type: 'backEndFailed', reason });
     const { selector, random } = this.#components;
-    const retryAfter = retryOnceServed(this.#admitted.service, selector, random);
+    const retryAfter = retryAfterForCapacity(this.#admitted.service, selector, random);
     this.#fail({ type: 'unavailable', reason, retryAfter });
   }
 
@@ -497,7 +506,7 @@
   get #waitsForSilent(): boolean {
     if (this.#answer.started) return true;
     if (this.#failedAnswer !== undefined && this.#openAttempts.areAllSilent) return false;
-    return performance.now() < this.#admitted.timing.waitsForSilentUntil;
+    return performance.now() < this.#admitted.timing.silentWaitDeadline;
   }
 
   /** Ends a search that found no replacement; the next one starts after `SEARCH_INTERVAL`. */
@@ -515,7 +524,7 @@
   /** Whether another back end may resume an answer that has begun before the caller loses patience. */
   #canGoOnLater(): boolean {
     const { route, timing } = this.#admitted;
-    const latest = latestBegin(this.#answer.forwardedAt, timing.endsAt, route.patience);
+    const latest = latestBegin(this.#answer.forwardedAt, timing.deadline, route.patience);
     if (performance.now() + SEARCH_INTERVAL > latest) return false;
     return this.#policy.mayRunAgain && this.#components.selector.mayTakeLater(this.#policy.requirements());
   }
@@ -559,7 +568,7 @@
       case 'answered':
         return this.#answer.end(ending.use.answer);
       case 'failed':
-        return this.#answer.fail(finalAnswer(ending.error), this.#idHeader());
+        return this.#answer.fail(errorResponseOf(ending.error), this.#idHeader());
       case 'cut':
         return this.#answer.cut();
     }
--- a/src/forwarding/forwarding-errors.ts
+++ b/src/forwarding/forwarding-errors.ts
@@ -22,8 +22,8 @@
   /** The back end failed; the request may have run. */
   | { type: 'backEndFailed'; reason: string };
 
-/** The response to the caller. */
-export interface FinalAnswer {
+/** Error response to the caller. */
+export interface ErrorResponse {
   status: number;
   /** Value of `Retry-After` in seconds; only if the request has not run. */
   retryAfter: number | undefined;
@@ -33,7 +33,7 @@
 const SHORT_RETRY_AFTER = 0.3;
 
 /** The response for `error`. 429 and 503 guarantee that the request has not run; 502 and 504 guarantee nothing. */
-export function finalAnswer(error: ForwardingError): FinalAnswer {
+export function errorResponseOf(error: ForwardingError): ErrorResponse {
   switch (error.type) {
     case 'notConfigured':
     case 'configurationBehind':
--- a/src/forwarding/forwarding-server.ts
+++ b/src/forwarding/forwarding-server.ts
@@ -17,6 +17,7 @@
 import type { BackEndLimits } from './back-end-limits.js';
 import type { BackEndSelector } from './back-end-selector.js';
 import type { BackEndTable } from './back-end-table.js';
+import type { CompletionEstimateComponents } from './completion-estimate.js';
 import { CutFigures } from './cut-figures.js';
 import type { DirectPermits } from './direct-permits.js';
 import { type ArrivalsWithOutcome, DrainFigures } from './drain-figures.js';
@@ -26,7 +27,6 @@
 import type { PoisonGuard } from './poison-guard.js';
 import type { RequestOutcome } from './request-outcome.js';
 import { StreamMoveFigures } from './stream-move-figures.js';
-import type { TimeToEndComponents } from './time-to-end.js';
 import { VersionExpiryFigures } from './version-expiry-figures.js';
 
 /** Interval at which requests in progress are checked, in milliseconds. */
@@ -50,7 +50,7 @@
 /** Bounds of the latency histogram, in seconds. */
 const LATENCY_BUCKETS = [0.01, 0.025, 0.05, 0.1, 0.2, 0.4, 0.8, 1.5, 3, 6, 12];
 
-export interface ForwardingComponents extends TimeToEndComponents {
+export interface ForwardingComponents extends CompletionEstimateComponents {
   names: HeaderNames;
   /** Names of headers that this system sets; they are removed from requests of callers. */
   headersSet: ReadonlySet<string>;
--- a/src/forwarding/request-log.ts
+++ b/src/forwarding/request-log.ts
@@ -5,7 +5,7 @@
 import type { AttemptFailure } from './attempt.js';
 import type { BackEndUse } from './back-end-use.js';
 import type { CutFigures } from './cut-figures.js';
-import { finalAnswer } from './forwarding-errors.js';
+import { errorResponseOf } from './forwarding-errors.js';
 import type { RequestEnding } from './request-ending.js';
 
 export interface RequestLogComponents {
@@ -84,7 +84,7 @@
     if (ending.type === 'left')
       return this.note('caller left', { backEnd: use?.row.record.id, ageMs: this.age });
     if (ending.type !== 'failed') return;
-    const { status } = finalAnswer(ending.error);
+    const { status } = errorResponseOf(ending.error);
     const route = ending.routeName ?? routeName;
     this.note('ended', { status, ...ending.error, ageMs: this.age, route });
   }
--- a/src/forwarding/request-timing.ts
+++ b/src/forwarding/request-timing.ts
@@ -6,11 +6,11 @@
 import type { Route } from '../fleet/configuration.js';
 import { latestBegin, waitsForCapacity } from '../systems/capacity-wait.js';
 
-/** Maximum wait of any request in the queue of a back end, in milliseconds. */
-const LONGEST_WAIT = 1_800;
+/** Maximum wait of any request for a slot or in the queue of a back end, in milliseconds. */
+const MAX_WAIT = 1_800;
 /** Share of its objective that a first request for a stream may wait in a queue; the rest is for reading its prompt. */
-const WAIT_SHARE = 0.6;
-const SHORTEST_WAIT_LIMIT = 150;
+const QUEUE_WAIT_SHARE = 0.6;
+const MIN_QUEUE_WAIT_LIMIT = 150;
 /**
  * Share of its objective that a first request for a stream may wait for a slot. An engine whose slots are all taken sends the
  * first event 160 ms after it starts a request (median), which is 0.4 to 0.53 of objectives of 400 and 300 ms. So a request
@@ -19,15 +19,15 @@
  */
 const SLOT_WAIT_SHARE = 0.5;
 /** A request with less time than its route gives, by more than this, is a caller's retry, in milliseconds. */
-const REPEATED_AFTER = 150;
+const CALLER_RETRY_THRESHOLD = 150;
 /** Time for which a first request is held while the serving back ends are full, in milliseconds. */
-const SHORT_HOLD = 45;
+const FIRST_REQUEST_HOLD = 45;
 /** Share of a caller's time for which its request waits for silent back ends. */
-const CALLER_SHARE = 0.5;
+const SILENT_WAIT_SHARE = 0.5;
 /** Highest rank that is distinguished; 0 is the most urgent. */
-export const MOST_RANK = 3;
+export const MAX_RANK = 3;
 /** Urgency of the most urgent caller's retry: first requests of all ranks go before it. */
-const REPEATED_URGENCY = MOST_RANK + 1;
+const CALLER_RETRY_URGENCY = MAX_RANK + 1;
 /** Urgency of requests that can no longer meet their objective: of the most urgent rank, and of all others. */
 const FIRST_LATE_URGENCY = 8;
 const LATE_URGENCY = 9;
@@ -35,13 +35,13 @@
 export class RequestTiming {
   readonly arrivedAt: number;
   /** Time by which the request must have its final answer. */
-  readonly endsAt: number;
+  readonly deadline: number;
   readonly #route: Route;
 
   /** @param timeLeft - time for which the caller waits, in milliseconds; undefined if not stated */
   constructor(arrivedAt: number, route: Route, timeLeft: number | undefined) {
     this.arrivedAt = arrivedAt;
-    this.endsAt = arrivedAt + Math.min(route.timeout, timeLeft ?? Number.POSITIVE_INFINITY);
+    this.deadline = arrivedAt + Math.min(route.timeout, timeLeft ?? Number.POSITIVE_INFINITY);
     this.#route = route;
   }
 
@@ -49,47 +49,47 @@
    * True for a caller's retry, which is not retried again if it is refused. It is recognized by having less time than its
    * route gives.
    */
-  get isLastChance(): boolean {
-    const spentBefore = this.arrivedAt + this.#route.timeout - this.endsAt;
-    return this.#route.isStream && spentBefore > REPEATED_AFTER;
+  get isCallerRetry(): boolean {
+    const spentBefore = this.arrivedAt + this.#route.timeout - this.deadline;
+    return this.#route.isStream && spentBefore > CALLER_RETRY_THRESHOLD;
   }
 
   /** True if the answer can no longer meet the objective. */
-  isLate(now: number): boolean {
+  isPastObjective(now: number): boolean {
     return now - this.arrivedAt > this.#route.objective;
   }
 
   /**
    * Maximum expected wait at a back end for the request to be sent there.
-   * @param isOwed - whether the request was sent or held for capacity before, so that it is not refused for a long queue
+   * @param wasSentOrHeld - whether the request was sent or held for capacity before, and so is not refused for a long queue
    */
-  longestWait(isOwed: boolean): number {
-    if (!this.#route.isStream || isOwed || this.isLastChance) return LONGEST_WAIT;
-    return Math.max(SHORTEST_WAIT_LIMIT, WAIT_SHARE * this.#route.objective);
+  maxQueueWait(wasSentOrHeld: boolean): number {
+    if (!this.#route.isStream || wasSentOrHeld || this.isCallerRetry) return MAX_WAIT;
+    return Math.max(MIN_QUEUE_WAIT_LIMIT, QUEUE_WAIT_SHARE * this.#route.objective);
   }
 
   /**
    * Time until which the request waits for a slot of an engine, if it starts to look for one at `now`.
    * @param wasHeld - whether it has been held for capacity before
    */
-  waitsForSlotUntil(now: number, wasSent: boolean, wasHeld: boolean): number {
-    if (wasSent) return Math.min(this.endsAt, now + LONGEST_WAIT);
-    if (this.isLastChance || wasHeld) return this.latestBegin;
-    if (!this.#route.isStream) return this.arrivedAt + LONGEST_WAIT;
+  slotWaitDeadline(now: number, wasSent: boolean, wasHeld: boolean): number {
+    if (wasSent) return Math.min(this.deadline, now + MAX_WAIT);
+    if (this.isCallerRetry || wasHeld) return this.latestBegin;
+    if (!this.#route.isStream) return this.arrivedAt + MAX_WAIT;
     return this.arrivedAt + SLOT_WAIT_SHARE * this.#route.objective;
   }
 
   /** Time until which the request is held while the serving back ends are full, if it has been held since `heldSince`. */
-  holdsUntil(heldSince: number): number {
-    return this.isLastChance ? this.latestBegin : heldSince + SHORT_HOLD;
+  holdDeadline(heldSince: number): number {
+    return this.isCallerRetry ? this.latestBegin : heldSince + FIRST_REQUEST_HOLD;
   }
 
   /** Whether to hold the request while no back end serves, if the first is expected to in `capacityIn` milliseconds. */
   waitsForCapacity(now: number, capacityIn: number): boolean {
     if (!this.#route.isStream) return false;
-    const { arrivedAt, endsAt } = this;
+    const { arrivedAt, deadline: endsAt } = this;
     const { patience } = this.#route;
-    const comesAgain = this.isLastChance;
+    const comesAgain = this.isCallerRetry;
     return waitsForCapacity({ arrivedAt, endsAt, patience, comesAgain }, now, now + capacityIn);
   }
 
@@ -97,15 +97,15 @@
    * Time until which the request waits for silent back ends if its answer has not begun: half of the time is left for a
    * retry by the caller.
    */
-  get waitsForSilentUntil(): number {
+  get silentWaitDeadline(): number {
     const { isStream, patience } = this.#route;
-    const time = this.endsAt - this.arrivedAt;
-    return this.arrivedAt + CALLER_SHARE * (isStream ? Math.min(time, patience) : time);
+    const time = this.deadline - this.arrivedAt;
+    return this.arrivedAt + SILENT_WAIT_SHARE * (isStream ? Math.min(time, patience) : time);
   }
 
   /** Latest time at which a back end may start the request. */
   get latestBegin(): number {
-    return latestBegin(this.arrivedAt, this.endsAt, this.#route.patience);
+    return latestBegin(this.arrivedAt, this.deadline, this.#route.patience);
   }
 
   /**
@@ -114,8 +114,8 @@
    * @param rank - rank of the request's priority, 0 for the most urgent
    */
   urgency(rank: number, now: number): number {
-    if (this.isLate(now)) return rank === 0 ? FIRST_LATE_URGENCY : LATE_URGENCY;
-    const place = Math.min(rank, MOST_RANK);
-    return this.isLastChance ? REPEATED_URGENCY + place : place;
+    if (this.isPastObjective(now)) return rank === 0 ? FIRST_LATE_URGENCY : LATE_URGENCY;
+    const place = Math.min(rank, MAX_RANK);
+    return this.isCallerRetry ? CALLER_RETRY_URGENCY + place : place;
   }
 }
--- a/src/forwarding/request-wait.ts
+++ b/src/forwarding/request-wait.ts
@@ -125,7 +125,7 @@
       rateLimitOf: (row) => limits.rateOf(row.record),
       urgency: goesOn() ? 0 : urgency(now),
       arrivedAt: timing.arrivedAt,
-      endsAt: timing.waitsForSlotUntil(now, wasSent(), this.#wasHeldForCapacity),
+      endsAt: timing.slotWaitDeadline(now, wasSent(), this.#wasHeldForCapacity),
       onGranted: (row, claim, asked) => this.#takeSlot(row, claim, asked),
       onWait: () => this.#onWaitForSlot(),
       onNobody: () => {
@@ -164,8 +164,8 @@
   #chooseWithoutSlot(): void {
     const selection = this.#components.selector.select(this.#request.requirements());
     if (selection === undefined) return this.#holdOrGiveUp();
-    const isOwed = this.#request.wasSent() || this.#wasHeldForCapacity;
-    if (selection.expectedWait > this.#request.timing.longestWait(isOwed))
+    const wasSentOrHeld = this.#request.wasSent() || this.#wasHeldForCapacity;
+    if (selection.expectedWait > this.#request.timing.maxQueueWait(wasSentOrHeld))
       return this.#events.onGivenUp('back ends full');
     if (this.#components.selector.needsPermit(selection.row)) return void this.#claimPermit(selection);
     this.end('sent');
@@ -212,7 +212,7 @@
   #waitsFor(capacity: number | undefined, heldSince: number, now: number): boolean {
     const { timing, isStream, requirements } = this.#request;
     if (capacity === undefined && this.#wasHeldForCapacity) return now < timing.latestBegin;
-    if (capacity === undefined) return isStream && now < timing.holdsUntil(heldSince) && this.#beginHold();
+    if (capacity === undefined) return isStream && now < timing.holdDeadline(heldSince) && this.#beginHold();
     const forecast = this.#components.backEnds.forecastOf(requirements().service);
     if (!forecast.note(now + capacity, now) || !timing.waitsForCapacity(now, capacity)) return false;
     if (now + capacity <= timing.latestBegin && !this.#takePlace()) return false;
@@ -241,7 +241,7 @@
    * wait only briefly.
    */
   #beginHold(): boolean {
-    if (!this.#request.timing.isLastChance || this.#hold !== undefined) return true;
+    if (!this.#request.timing.isCallerRetry || this.#hold !== undefined) return true;
     const holds = this.#components.backEnds.holdsOf(this.#request.requirements().service);
     if (!holds.allowsMore) return false;
     holds.begin();
--- a/src/forwarding/retry-after.ts
+++ b/src/forwarding/retry-after.ts
@@ -8,20 +8,20 @@
  * serve until then. With a delay as long as the overload had already lasted, callers were served no more often during a
  * switch of versions under load, and after 2.4 s instead of 1.3 s at the 99th percentile (same day, with either rule).
  */
-const RETRY_AFTER = 400;
+const RETRY_DELAY = 400;
 /** Delay before a caller sends a request to another process as this one is stopping, in milliseconds, times 1 to 2. */
-const RETRY_ELSEWHERE = 50;
+const OTHER_PROCESS_DELAY = 50;
 const MILLISECONDS = 1_000;
 
 /** `Retry-After` for a request that another process can take now. */
-export function retryElsewhere(random: Random): number {
-  return (RETRY_ELSEWHERE * (1 + random.fraction())) / MILLISECONDS;
+export function retryAfterForOtherProcess(random: Random): number {
+  return (OTHER_PROCESS_DELAY * (1 + random.fraction())) / MILLISECONDS;
 }
 
 /** `Retry-After` for a request that no back end of `service` can take now. */
-export function retryOnceServed(service: string, selector: BackEndSelector, random: Random): number {
+export function retryAfterForCapacity(service: string, selector: BackEndSelector, random: Random): number {
   const capacity = selector.expectedCapacity(service) ?? 0;
-  const soon = RETRY_AFTER * (1 + random.fraction());
-  const delay = Math.max(soon + capacity, selector.requestInterval(service));
+  const minDelay = RETRY_DELAY * (1 + random.fraction());
+  const delay = Math.max(minDelay + capacity, selector.requestInterval(service));
   return Math.min(LONGEST_RETURN, delay) / MILLISECONDS;
 }
--- a/src/forwarding/send-policy.ts
+++ b/src/forwarding/send-policy.ts
@@ -9,9 +9,9 @@
 import type { SuspectContent } from './suspect-content.js';
 
 /** Maximum number of sends of a request whose answer has not begun, whatever its route allows. */
-const MOST_SENDS = 4;
+const MAX_SENDS = 4;
 /** The same once the answer has begun; higher, because a few refusals must not cut the answer. */
-const MOST_SENDS_TO_RESUME = 8;
+const MAX_SENDS_TO_RESUME = 8;
 
 export interface SendPolicyOptions {
   admitted: AdmittedRequest;
@@ -46,7 +46,7 @@
 
   /** True once the limit of sends is reached. */
   get isExhausted(): boolean {
-    return this.#sends >= (this.#options.answer.started ? MOST_SENDS_TO_RESUME : MOST_SENDS);
+    return this.#sends >= (this.#options.answer.started ? MAX_SENDS_TO_RESUME : MAX_SENDS);
   }
 
   /** What a back end must fulfil to get the next send. */
@@ -58,7 +58,7 @@
       engine: table.service(service)?.engine,
       isRepeatable: route.repeatability !== 'never',
       // Queues of back ends are for requests that can meet their objective: a caller's retry waits here for a free slot.
-      mayQueue: this.#sends > 0 || !timing.isLastChance,
+      mayQueue: this.#sends > 0 || !timing.isCallerRetry,
       answerTokens,
       goesOn: answer.started,
       version: answer.started ? this.version : undefined,
@@ -78,7 +78,7 @@
   }
 
   /** Allows another send to a back end that refused the request or was not reached. */
-  allowLater({ record }: BackEndRow): void {
+  allowResend({ record }: BackEndRow): void {
     this.#tried.delete(record);
   }
 
@@ -92,20 +92,20 @@
     if (this.#onSilentConnections.size === 0) return;
     const { selector } = this.#options;
     const requirements = this.requirements();
-    const isOther =
+    const hasOther =
       selector.slotCandidates(requirements).length > 0 || selector.select(requirements) !== undefined;
-    if (isOther) return;
+    if (hasOther) return;
     for (const { record } of this.#onSilentConnections) this.#tried.delete(record);
     this.#onSilentConnections.clear();
   }
 
-  /** Whether the budget allows the next send now; `pay` charges it when the request is sent, which may be later. */
+  /** Whether the budget allows the next send now; `chargeBudget` charges it when the request is sent, which may be later. */
   get isAllowedByBudget(): boolean {
     return !this.#isRepetition || this.#mayRepeat();
   }
 
   /** Charges the budget for the next send if it is a repetition; returns false if the budget is used up. */
-  pay(): boolean {
+  chargeBudget(): boolean {
     return !this.#isRepetition || this.#options.budget.spend(performance.now());
   }
 
--- a/test/forwarding/request-timing.test.ts
+++ b/test/forwarding/request-timing.test.ts
@@ -3,7 +3,7 @@
 import { STREAM_ROUTE } from '../../bench/simulation/stream-route.js';
 import type { FleetConfiguration } from '../../src/fleet/configuration.js';
 import { RouteTable } from '../../src/fleet/route-table.js';
-import { MOST_RANK, RequestTiming } from '../../src/forwarding/request-timing.js';
+import { MAX_RANK, RequestTiming } from '../../src/forwarding/request-timing.js';
 
 const ARRIVED = 10_000;
 const first = new RequestTiming(ARRIVED, STREAM_ROUTE, 6_030);
@@ -11,50 +11,50 @@
 
 describe('the time of a request', () => {
   it('ends with its route or its caller, whichever is first', () => {
-    expect(first.endsAt).toBe(ARRIVED + 6_000);
-    expect(again.endsAt).toBe(ARRIVED + 4_000);
-    expect(new RequestTiming(ARRIVED, STREAM_ROUTE, undefined).endsAt).toBe(ARRIVED + 6_000);
+    expect(first.deadline).toBe(ARRIVED + 6_000);
+    expect(again.deadline).toBe(ARRIVED + 4_000);
+    expect(new RequestTiming(ARRIVED, STREAM_ROUTE, undefined).deadline).toBe(ARRIVED + 6_000);
   });
 
   it('tells a caller that comes again by what it has left', () => {
-    expect(first.isLastChance).toBe(false);
-    expect(again.isLastChance).toBe(true);
-    expect(new RequestTiming(ARRIVED, { ...STREAM_ROUTE, isStream: false }, 4_000).isLastChance).toBe(false);
+    expect(first.isCallerRetry).toBe(false);
+    expect(again.isCallerRetry).toBe(true);
+    expect(new RequestTiming(ARRIVED, { ...STREAM_ROUTE, isStream: false }, 4_000).isCallerRetry).toBe(false);
   });
 
   it('holds a first one for a moment, and one that comes again as long as it can still be served', () => {
-    expect(first.holdsUntil(ARRIVED)).toBeLessThan(ARRIVED + 100);
+    expect(first.holdDeadline(ARRIVED)).toBeLessThan(ARRIVED + 100);
     const short = new RequestTiming(ARRIVED, STREAM_ROUTE, 2_000);
-    expect(short.holdsUntil(ARRIVED)).toBe(short.endsAt - 1_200);
+    expect(short.holdDeadline(ARRIVED)).toBe(short.deadline - 1_200);
   });
 
   it('holds none so long that its caller would leave before the first event', () => {
-    expect(again.holdsUntil(ARRIVED)).toBe(ARRIVED + 2_400 - 700);
+    expect(again.holdDeadline(ARRIVED)).toBe(ARRIVED + 2_400 - 700);
   });
 
   it('lets a first one queue only as long as it can be in time, and never gives up what was sent for a wait', () => {
-    expect(first.longestWait(false)).toBe(240);
-    expect(first.longestWait(true)).toBe(1_800);
-    expect(again.longestWait(false)).toBe(1_800);
+    expect(first.maxQueueWait(false)).toBe(240);
+    expect(first.maxQueueWait(true)).toBe(1_800);
+    expect(again.maxQueueWait(false)).toBe(1_800);
   });
 
   it('lets a first one wait for a slot only as long as its first event can still come in time', () => {
-    expect(first.waitsForSlotUntil(ARRIVED, false, false)).toBe(ARRIVED + 200);
-    expect(first.waitsForSlotUntil(ARRIVED + 500, true, false)).toBe(ARRIVED + 500 + 1_800);
-    expect(first.waitsForSlotUntil(ARRIVED, false, true)).toBe(first.latestBegin);
-    expect(again.waitsForSlotUntil(ARRIVED, false, false)).toBe(again.latestBegin);
+    expect(first.slotWaitDeadline(ARRIVED, false, false)).toBe(ARRIVED + 200);
+    expect(first.slotWaitDeadline(ARRIVED + 500, true, false)).toBe(ARRIVED + 500 + 1_800);
+    expect(first.slotWaitDeadline(ARRIVED, false, true)).toBe(first.latestBegin);
+    expect(again.slotWaitDeadline(ARRIVED, false, false)).toBe(again.latestBegin);
   });
 
   it('puts first ones before those that come again, and those before late ones', () => {
     expect(first.urgency(1, ARRIVED)).toBe(1);
-    expect(again.urgency(1, ARRIVED)).toBeGreaterThan(first.urgency(MOST_RANK, ARRIVED));
-    expect(first.urgency(1, ARRIVED + 401)).toBeGreaterThan(again.urgency(MOST_RANK, ARRIVED));
+    expect(again.urgency(1, ARRIVED)).toBeGreaterThan(first.urgency(MAX_RANK, ARRIVED));
+    expect(first.urgency(1, ARRIVED + 401)).toBeGreaterThan(again.urgency(MAX_RANK, ARRIVED));
     expect(again.urgency(1, ARRIVED + 401)).toBe(first.urgency(1, ARRIVED + 401));
-    expect(first.urgency(MOST_RANK, ARRIVED + 401)).toBe(9);
+    expect(first.urgency(MAX_RANK, ARRIVED + 401)).toBe(9);
   });
 
   it('puts more urgent kinds first among those that come again, and the most urgent among late ones', () => {
-    for (let rank = 1; rank <= MOST_RANK; rank++) {
+    for (let rank = 1; rank <= MAX_RANK; rank++) {
       expect(first.urgency(rank - 1, ARRIVED)).toBeLessThan(first.urgency(rank, ARRIVED));
       expect(again.urgency(rank - 1, ARRIVED)).toBeLessThan(again.urgency(rank, ARRIVED));
     }
@@ -62,7 +62,7 @@
   });
 
   it('knows no more ranks than the queue of a back end has places for', () => {
-    expect(first.urgency(MOST_RANK + 5, ARRIVED)).toBe(first.urgency(MOST_RANK, ARRIVED));
+    expect(first.urgency(MAX_RANK + 5, ARRIVED)).toBe(first.urgency(MAX_RANK, ARRIVED));
   });
 });
 
--- a/tools/guard-table.mjs
+++ b/tools/guard-table.mjs
@@ -928,7 +928,7 @@
   {
     fault: 'an entry that leaves takes requests that it cannot end',
     file: 'src/forwarding/forwarded-request.ts',
-    find: 'this.#answer.started || this.#timeToEnd.suffices(performance.now(), wait)',
+    find: 'this.#answer.started || this.#completionEstimate.canComplete(performance.now(), wait)',
     replace: 'wait >= 0',
     test: 'test/roles/direct-entry-drain.test.ts',
   },
@@ -1027,7 +1027,7 @@
     fault: 'requests wait for slots with which they would be late',
     file: 'src/forwarding/request-timing.ts',
     find: 'SLOT_WAIT_SHARE * this.#route.objective',
-    replace: 'WAIT_SHARE * this.#route.objective',
+    replace: 'QUEUE_WAIT_SHARE * this.#route.objective',
     test: 'test/forwarding/request-timing.test.ts',
   },
   {
