--- a/src/forwarding/request-wait.ts
+++ b/src/forwarding/back-end-search.ts
@@ -9,11 +9,11 @@
 import type { BackEndRow, BackEndTable } from './back-end-table.js';
 import type { DirectPermits } from './direct-permits.js';
 import type { EngineSlots, SlotClaim } from './engine-slots.js';
-import type { HoldEnd, HoldRecord } from './hold-record.js';
+import type { HoldOutcome, HoldRecord } from './hold-record.js';
 import type { RequestTiming } from './request-timing.js';
 import { SlotSeeker } from './slot-seeker.js';
 
-export interface RequestWaitComponents {
+export interface BackEndSearchComponents {
   selector: BackEndSelector;
   slots: EngineSlots;
   backEnds: BackEndTable;
@@ -23,7 +23,7 @@
 }
 
 /** The request that needs a back end; each method returns the state at the time of the call. */
-export interface WaitingRequest {
+export interface PendingRequest {
   readonly timing: RequestTiming;
   readonly isStream: boolean;
   /** Position in the queues of back ends, 0 first. */
@@ -32,32 +32,32 @@
   /** Whether the request has been sent to a back end before. */
   wasSent(): boolean;
   /** Whether the caller has received a part of the answer, so that a back end has to resume it. */
-  goesOn(): boolean;
+  isResuming(): boolean;
   /** Whether the request can complete before this process exits if it is sent after `wait` milliseconds. */
-  canEnd(wait?: number): boolean;
+  canComplete(wait?: number): boolean;
   /** Whether the retry budget allows the next send; always true if that send is not a repetition. */
-  mayBeSent(): boolean;
+  isAllowedByBudget(): boolean;
 }
 
 /** Results of the search. */
-export interface RequestWaitEvents {
+export interface BackEndSearchEvents {
   /** A back end has been chosen; `claim` holds the engine slot, if one was granted. */
   onChosen(selection: Selection, claim: SlotClaim | undefined): void;
   /** No back end can take the request. */
   onGivenUp(reason: string): void;
   /** The request cannot complete before this process exits. */
-  onNoTime(): void;
+  onOutOfTime(): void;
   /** An internal error. */
-  onFault(cause: unknown): void;
+  onError(cause: unknown): void;
   /** Called with each line to log. */
   onNote(message: string, fields: object): void;
 }
 
 /** The search of one request for a back end; it can be started again after it has ended. */
-export class RequestWait {
-  readonly #components: RequestWaitComponents;
-  readonly #request: WaitingRequest;
-  readonly #events: RequestWaitEvents;
+export class BackEndSearch {
+  readonly #components: BackEndSearchComponents;
+  readonly #request: PendingRequest;
+  readonly #events: BackEndSearchEvents;
   #seeker: SlotSeeker | undefined;
   /** The selection for which a permit is being claimed. */
   #claiming: Selection | undefined;
@@ -70,11 +70,11 @@
   /** True once the request was held while no back end served; it then waits for one of the first slots that become free. */
   #wasHeldForCapacity = false;
   /** Where the request has reserved one of the limited places for waiting until back ends serve. */
-  #place: HoldRecord | undefined;
+  #reservation: HoldRecord | undefined;
   /** Where the request is counted while it is held until one of the serving back ends is free. */
   #hold: HoldRecord | undefined;
 
-  constructor(components: RequestWaitComponents, request: WaitingRequest, events: RequestWaitEvents) {
+  constructor(components: BackEndSearchComponents, request: PendingRequest, events: BackEndSearchEvents) {
     this.#components = components;
     this.#request = request;
     this.#events = events;
@@ -86,7 +86,7 @@
   }
 
   begin(): void {
-    if (!this.#request.canEnd()) return this.#events.onNoTime();
+    if (!this.#request.canComplete()) return this.#events.onOutOfTime();
     if (!this.#seekSlot()) this.#chooseWithoutSlot();
   }
 
@@ -94,26 +94,26 @@
   check(now: number, standstills: Standstills): void {
     if (this.#claiming !== undefined) return;
     if (this.#seeker === undefined) return this.begin();
-    if (!this.#request.canEnd()) return this.#events.onNoTime();
+    if (!this.#request.canComplete()) return this.#events.onOutOfTime();
     if (this.#seeker.isOver(now)) return this.#events.onGivenUp('back ends full');
     this.#seeker.check(now, standstills);
   }
 
   /** Ends the search and releases what it holds. */
-  end(how: HoldEnd): void {
+  end(outcome: HoldOutcome): void {
     this.#heldSince = undefined;
     this.#claiming = undefined;
-    this.#endSearch();
-    this.#hold?.end(how);
+    this.#cancelSeeker();
+    this.#hold?.end(outcome);
     this.#hold = undefined;
-    this.#place?.freePlace();
-    this.#place = undefined;
+    this.#reservation?.releasePlace();
+    this.#reservation = undefined;
   }
 
   /** Starts to look for a slot of an engine; returns false if there is no agent to ask. */
   #seekSlot(): boolean {
     const { selector, backEnds, limits, slots, random } = this.#components;
-    const { timing, requirements, wasSent, goesOn, urgency } = this.#request;
+    const { timing, requirements, wasSent, isResuming, urgency } = this.#request;
     if (!selector.looksForSlot(requirements())) return false;
     const now = performance.now();
     this.#seeker = new SlotSeeker({
@@ -123,16 +123,16 @@
       candidates: () => selector.slotCandidates(requirements()),
       mayTake: (row) => selector.mayTakeSlot(row, requirements()),
       rateLimitOf: (row) => limits.rateOf(row.record),
-      urgency: goesOn() ? 0 : urgency(now),
+      urgency: isResuming() ? 0 : urgency(now),
       arrivedAt: timing.arrivedAt,
       endsAt: timing.slotWaitDeadline(now, wasSent(), this.#wasHeldForCapacity),
       onGranted: (row, claim, asked) => this.#takeSlot(row, claim, asked),
       onWait: () => this.#onWaitForSlot(),
       onNobody: () => {
-        this.#endSearch();
+        this.#cancelSeeker();
         this.#chooseWithoutSlot();
       },
-      onFault: (cause) => this.#events.onFault(cause),
+      onFault: (cause) => this.#events.onError(cause),
     });
     this.#seeker.begin();
     return true;
@@ -151,12 +151,17 @@
 
   /** No slot is free at once. A caller's retry keeps waiting only if such waits have been successful lately. */
   #onWaitForSlot(): void {
-    if (this.#request.goesOn() || this.#request.wasSent() || this.#wasHeldForCapacity || this.#beginHold())
+    if (
+      this.#request.isResuming() ||
+      this.#request.wasSent() ||
+      this.#wasHeldForCapacity ||
+      this.#beginHold()
+    )
       return;
     this.#events.onGivenUp('back ends full');
   }
 
-  #endSearch(): void {
+  #cancelSeeker(): void {
     this.#seeker?.cancel();
     this.#seeker = undefined;
   }
@@ -187,21 +192,21 @@
       this.end('sent');
       this.#events.onChosen(selection, undefined);
     } catch (cause) {
-      this.#events.onFault(cause);
+      this.#events.onError(cause);
     }
   }
 
   /** Holds the request if capacity is expected in its time, and gives up otherwise. */
   #holdOrGiveUp(): void {
-    const { canEnd, goesOn, mayBeSent } = this.#request;
+    const { canComplete, isResuming, isAllowedByBudget } = this.#request;
     const now = performance.now();
     const capacity = this.#components.selector.expectedCapacity(this.#request.requirements().service);
     const wasHeld = this.#heldSince !== undefined;
     this.#heldSince ??= now;
-    if (!canEnd(capacity)) return this.#events.onNoTime();
-    if (capacity === undefined && !mayBeSent()) return this.#events.onGivenUp('no budget');
-    const waits = !goesOn() && this.#waitsFor(capacity, this.#heldSince, now);
-    if (!waits) return this.#giveUp(capacity, now - this.#heldSince);
+    if (!canComplete(capacity)) return this.#events.onOutOfTime();
+    if (capacity === undefined && !isAllowedByBudget()) return this.#events.onGivenUp('no budget');
+    const mayWait = !isResuming() && this.#shouldHold(capacity, this.#heldSince, now);
+    if (!mayWait) return this.#giveUp(capacity, now - this.#heldSince);
     if (!wasHeld) this.#events.onNote('held', { capacityMs: Math.round(capacity ?? 0) });
   }
 
@@ -209,24 +214,24 @@
    * Whether to hold the request.
    * @param capacity - time until the first back end serves; undefined if some serve but none of them can take the request
    */
-  #waitsFor(capacity: number | undefined, heldSince: number, now: number): boolean {
+  #shouldHold(capacity: number | undefined, heldSince: number, now: number): boolean {
     const { timing, isStream, requirements } = this.#request;
     if (capacity === undefined && this.#wasHeldForCapacity) return now < timing.latestBegin;
     if (capacity === undefined) return isStream && now < timing.holdDeadline(heldSince) && this.#beginHold();
     const forecast = this.#components.backEnds.forecastOf(requirements().service);
     if (!forecast.note(now + capacity, now) || !timing.waitsForCapacity(now, capacity)) return false;
-    if (now + capacity <= timing.latestBegin && !this.#takePlace()) return false;
+    if (now + capacity <= timing.latestBegin && !this.#reservePlace()) return false;
     this.#wasHeldForCapacity = true;
     return true;
   }
 
   /** Reserves one of the places for requests that wait for the first slots; returns false if all of them are taken. */
-  #takePlace(): boolean {
-    if (this.#place !== undefined) return true;
+  #reservePlace(): boolean {
+    if (this.#reservation !== undefined) return true;
     const { service } = this.#request.requirements();
     const holds = this.#components.backEnds.holdsOf(service);
-    if (!holds.takePlace(this.#components.selector.slotShare(service))) return false;
-    this.#place = holds;
+    if (!holds.reservePlace(this.#components.selector.slotShare(service))) return false;
+    this.#reservation = holds;
     return true;
   }
 
--- a/src/forwarding/forwarded-request.ts
+++ b/src/forwarding/forwarded-request.ts
@@ -19,6 +19,7 @@
 import { type AnswerHead, type AnswerSummary, Attempt, type AttemptFailure, wentOut } from './attempt.js';
 import { AttemptAnswer } from './attempt-answer.js';
 import { AttemptWatch } from './attempt-watch.js';
+import { BackEndSearch, type PendingRequest } from './back-end-search.js';
 import type { Selection } from './back-end-selector.js';
 import { type BackEndRow, loadOf } from './back-end-table.js';
 import { BackEndUse } from './back-end-use.js';
@@ -30,11 +31,10 @@
 import type { ForwardingComponents } from './forwarding-server.js';
 import { OpenAttempts } from './open-attempts.js';
 import { readRateLimit } from './rate-limit-notice.js';
-import { holdEndOf, outcomeOfEnding, type RequestEnding } from './request-ending.js';
+import { holdOutcomeOf, outcomeOfEnding, type RequestEnding } from './request-ending.js';
 import { fingerprintsOf } from './request-fingerprint.js';
 import { RequestLog } from './request-log.js';
 import { outcomeOf } from './request-outcome.js';
-import { RequestWait, type WaitingRequest } from './request-wait.js';
 import { retryAfterForCapacity, retryAfterForOtherProcess } from './retry-after.js';
 import { SendPolicy } from './send-policy.js';
 import { StreamMove } from './stream-move.js';
@@ -42,7 +42,7 @@
 
 /** Interval between searches for a replacement for a silent or switching back end, in milliseconds. */
 const SEARCH_INTERVAL = 200;
-const FIRST_FAILURE = 400;
+const FIRST_ERROR_STATUS = 400;
 const INTERNAL_ERROR = 500;
 const MILLISECONDS = 1_000;
 
@@ -62,7 +62,7 @@
   readonly #openAttempts: OpenAttempts;
   readonly #log: RequestLog;
   #policy!: SendPolicy;
-  #wait!: RequestWait;
+  #search!: BackEndSearch;
   #watch!: AttemptWatch;
   /** Earliest time of the next search for a replacement, in milliseconds of the monotonic clock. */
   #nextSearchAt = Number.NEGATIVE_INFINITY;
@@ -71,7 +71,7 @@
   /** The latest attempt that got an error response (5xx); the caller gets that response if no other back end answers. */
   #failedAnswer: BackEndUse | undefined;
   #settled = false;
-  readonly #onCallerEnded = () => this.#endCaller();
+  readonly #onCallerEnded = () => this.#onCallerHalfClosed();
 
   constructor(components: ForwardingComponents, request: IncomingMessage, response: ServerResponse) {
     this.#components = components;
@@ -112,7 +112,7 @@
     const decision = await this.#content.admit(this.#admitted.service);
     if (this.#settled) return this.#content.noteSettled();
     if (decision.type === 'quarantined') return this.#refuseQuarantined(decision.retryAfter);
-    this.#wait.begin();
+    this.#search.begin();
   }
 
   /**
@@ -120,7 +120,7 @@
    * begun to answer, if the request has such content.
    */
   onQuarantined(fingerprints: ReadonlySet<Fingerprint>): void {
-    const isWaiting = !this.#settled && this.#wait?.isUnderWay;
+    const isWaiting = !this.#settled && this.#search?.isUnderWay;
     if (this.#openAttempts.size === 0 && !isWaiting) return;
     if (!this.#content.isAmong(fingerprints) || this.#content.mayBeSent) return;
     if (isWaiting) this.#giveUpQuarantined();
@@ -148,11 +148,11 @@
   /** Checks the open attempts, and looks for a replacement if all are silent; called at each `CHECK_INTERVAL` of the server. */
   check(now: number, standstills: Standstills): void {
     if (this.#settled) return;
-    if (this.#wait?.isUnderWay) this.#wait.check(now, standstills);
+    if (this.#search?.isUnderWay) this.#search.check(now, standstills);
     for (const use of this.#openAttempts.all()) this.#watch.check(use, now, standstills);
     if (this.#settled) return;
     if (this.#move.isOverdue(now, this.#admitted.route.longestPause)) this.#endMove('late');
-    if (this.#wait.isUnderWay) return;
+    if (this.#search.isUnderWay) return;
     if (this.#needsBackEnd) this.#findReplacement(now);
     else this.#moveOffSwitchingEngine(now);
   }
@@ -173,7 +173,7 @@
     if (!this.#policy.maySendAgain) return this.#giveUp('no budget');
     this.#policy.allowOtherConnections();
     this.#policy.noteRepetition();
-    this.#wait.begin();
+    this.#search.begin();
   }
 
   /** Looks for another engine for a stream whose engine is about to switch versions; the stream continues meanwhile. */
@@ -186,7 +186,7 @@
     if (!this.#policy.maySendAgain) return this.#endSearch('no budget');
     this.#move.begin(use);
     this.#policy.noteRepetition();
-    this.#wait.begin();
+    this.#search.begin();
   }
 
   /** Ends a move that has not succeeded; the original attempt continues, and its withheld events are forwarded. */
@@ -215,7 +215,7 @@
       timing.deadline,
     );
     this.#policy = this.#createPolicy(admission.value);
-    this.#wait = this.#createWait(admission.value);
+    this.#search = this.#createSearch(admission.value);
     this.#watch = this.#createWatch(admission.value);
     return undefined;
   }
@@ -244,24 +244,24 @@
     });
   }
 
-  #createWait({ route, timing, rank }: AdmittedRequest): RequestWait {
-    const request: WaitingRequest = {
+  #createSearch({ route, timing, rank }: AdmittedRequest): BackEndSearch {
+    const request: PendingRequest = {
       timing,
       isStream: route.isStream,
       urgency: (now) => timing.urgency(rank, now),
       requirements: () => this.#policy.requirements(),
       wasSent: () => this.#policy.sends > 0,
-      goesOn: () => this.#answer.started,
-      canEnd: (wait) => this.#canEnd(wait),
-      mayBeSent: () => this.#policy.isAllowedByBudget,
+      isResuming: () => this.#answer.started,
+      canComplete: (wait) => this.#canComplete(wait),
+      isAllowedByBudget: () => this.#policy.isAllowedByBudget,
     };
-    return new RequestWait(this.#components, request, {
+    return new BackEndSearch(this.#components, request, {
       onChosen: (selection, claim) => this.#send(selection, claim),
       onGivenUp: (reason) => this.#giveUp(reason),
-      onNoTime: () => this.#refuseForStop(),
-      onFault: (cause) => this.abandon(cause),
+      onOutOfTime: () => this.#refuseForStop(),
+      onError: (cause) => this.abandon(cause),
       onNote: (message, fields) => {
-        if (!this.#hasSearchedInVain) this.#log.note(message, fields);
+        if (!this.#hasFailedSearch) this.#log.note(message, fields);
       },
     });
   }
@@ -298,7 +298,7 @@
 
   /** Returns a function that gives up if the request may not be sent; otherwise spends the budget for a repetition. */
   #refusalBeforeSend(): (() => void) | undefined {
-    if (!this.#canEnd()) return () => this.#refuseForStop();
+    if (!this.#canComplete()) return () => this.#refuseForStop();
     if (!this.#content.mayBeSent) return () => this.#giveUpQuarantined();
     return this.#policy.chargeBudget() ? undefined : () => this.#giveUp('no budget');
   }
@@ -333,7 +333,7 @@
    * Whether the request can complete before this process exits if it is sent after `wait` milliseconds. Always true for an
    * answer that has begun, which is resumed in any case.
    */
-  #canEnd(wait = 0): boolean {
+  #canComplete(wait = 0): boolean {
     return this.#answer.started || this.#completionEstimate.canComplete(performance.now(), wait);
   }
 
@@ -394,7 +394,7 @@
     use.answer.begin(head);
     if (this.#answer.started && !use.answer.isEventStream)
       return use.attempt.fail(`status ${head.status} without events to a stream that goes on`);
-    this.#noteBegin(use);
+    this.#noteExpiredVersion(use);
   }
 
   #versionOf({ answer }: BackEndUse): number | undefined {
@@ -403,7 +403,7 @@
   }
 
   /** Logs and counts an answer that begins on an expired version of the weights. */
-  #noteBegin(use: BackEndUse): void {
+  #noteExpiredVersion(use: BackEndUse): void {
     const version = this.#versionOf(use);
     if (version === undefined) return;
     const { selector, expiryFigures } = this.#components;
@@ -430,7 +430,7 @@
   /** Selects `use` as the source of the answer; cancels the search and the other attempts, so that no event is sent twice. */
   #selectAttempt(use: BackEndUse): void {
     if (!this.#answer.started) this.#policy.version = this.#versionOf(use);
-    if (this.#openAttempts.size === 1 && !this.#wait.isUnderWay) return;
+    if (this.#openAttempts.size === 1 && !this.#search.isUnderWay) return;
     const backEnds = [...this.#openAttempts.all()].map(({ row }) => row.record.id);
     this.#log.note('attempt selected', {
       backEnd: use.row.record.id,
@@ -438,28 +438,28 @@
       after: this.#answer.lastEventId,
     });
     if (this.#move.end() !== undefined) this.#components.moveFigures.moved++;
-    this.#wait.end('cancelled');
+    this.#search.end('cancelled');
     this.#openAttempts.abortAll('another back end answers', use);
   }
 
   #onEnd(use: BackEndUse): void {
     use.noteRead();
     const { status } = use.answer;
-    if (status >= INTERNAL_ERROR && !this.#answer.started && this.#tryAgainAfter(use, `status ${status}`))
+    if (status >= INTERNAL_ERROR && !this.#answer.started && this.#retryAfterError(use, `status ${status}`))
       return;
     this.#end({ type: 'answered', use });
   }
 
   /** Drops an error response if another attempt is active or the request may be sent again; returns false otherwise. */
-  #tryAgainAfter(use: BackEndUse, reason: string): boolean {
+  #retryAfterError(use: BackEndUse, reason: string): boolean {
     const hasActiveAttempt = this.#openAttempts.hasActiveBeside(use);
     if (!hasActiveAttempt && !this.#policy.maySendAgain) return false;
     this.#openAttempts.close(use, 'failed');
     this.#failedAnswer = use;
     this.#policy.noteRepetition();
-    if (hasActiveAttempt || this.#wait.isUnderWay) return true;
+    if (hasActiveAttempt || this.#search.isUnderWay) return true;
     this.#log.note('sent again', { reason, sends: this.#policy.sends });
-    this.#wait.begin();
+    this.#search.begin();
     return true;
   }
 
@@ -472,21 +472,21 @@
     const isKept = this.#answer.started || this.#openAttempts.size > 0;
     if (isKept && (failure.type === 'refused' || failure.type === 'notSent')) this.#policy.allowResend(row);
     if (wentOut(failure)) this.#policy.noteRepetition();
-    if (this.#move.isSource(use) || !this.#wait.isUnderWay) this.#endMove(failure.type);
+    if (this.#move.isSource(use) || !this.#search.isUnderWay) this.#endMove(failure.type);
     // Another attempt is open, or a search is in progress.
-    if (this.#openAttempts.size > 0 || this.#wait.isUnderWay) return;
+    if (this.#openAttempts.size > 0 || this.#search.isUnderWay) return;
     if (wentOut(failure) && failure.type !== 'refused') return this.#onBroken(failure.reason);
     if (this.#policy.isExhausted) return this.#giveUp('back ends refuse');
     if (!this.#policy.isAllowedByBudget) return this.#giveUp('no budget');
     if (this.#body.type === 'streamed' && failure.type === 'refused') return this.#giveUp('body not kept');
     if (!this.#content.mayBeSent) return this.#giveUpQuarantined();
-    this.#wait.begin();
+    this.#search.begin();
   }
 
   #onBroken(reason: string): void {
     if (this.#policy.maySendAgain) {
       this.#log.note('sent again', { reason, sends: this.#policy.sends, after: this.#answer.lastEventId });
-      return this.#wait.begin();
+      return this.#search.begin();
     }
     if (this.#answer.started) return this.#giveUp(reason);
     this.#fail({ type: 'backEndFailed', reason });
@@ -494,8 +494,8 @@
 
   /** Called when no back end can take the request now: keeps waiting if that may still help, and otherwise ends it. */
   #giveUp(reason: string): void {
-    if (this.#openAttempts.size > 0 && this.#waitsForSilent) return this.#endSearch(reason);
-    if (this.#answer.started) return this.#canGoOnLater() ? this.#endSearch(reason) : this.#cut(reason);
+    if (this.#openAttempts.size > 0 && this.#mayWaitForSilent) return this.#endSearch(reason);
+    if (this.#answer.started) return this.#canResumeLater() ? this.#endSearch(reason) : this.#cut(reason);
     if (this.#openAttempts.runs > 0) return this.#fail({ type: 'backEndFailed', reason });
     const { selector, random } = this.#components;
     const retryAfter = retryAfterForCapacity(this.#admitted.service, selector, random);
@@ -503,7 +503,7 @@
   }
 
   /** Whether to keep waiting for the silent back ends when no other one can take the request now. */
-  get #waitsForSilent(): boolean {
+  get #mayWaitForSilent(): boolean {
     if (this.#answer.started) return true;
     if (this.#failedAnswer !== undefined && this.#openAttempts.areAllSilent) return false;
     return performance.now() < this.#admitted.timing.silentWaitDeadline;
@@ -511,18 +511,18 @@
 
   /** Ends a search that found no replacement; the next one starts after `SEARCH_INTERVAL`. */
   #endSearch(reason: string): void {
-    this.#wait.end('inVain');
+    this.#search.end('unserved');
     this.#endMove(reason);
-    if (!this.#hasSearchedInVain) this.#log.note('no replacement found', { reason });
+    if (!this.#hasFailedSearch) this.#log.note('no replacement found', { reason });
     this.#nextSearchAt = performance.now() + SEARCH_INTERVAL;
   }
 
-  get #hasSearchedInVain(): boolean {
+  get #hasFailedSearch(): boolean {
     return this.#nextSearchAt !== Number.NEGATIVE_INFINITY;
   }
 
   /** Whether another back end may resume an answer that has begun before the caller loses patience. */
-  #canGoOnLater(): boolean {
+  #canResumeLater(): boolean {
     const { route, timing } = this.#admitted;
     const latest = latestBegin(this.#answer.forwardedAt, timing.deadline, route.patience);
     if (performance.now() + SEARCH_INTERVAL > latest) return false;
@@ -537,7 +537,7 @@
   }
 
   /** The caller has closed its side of the connection, so it does not read what is still buffered for it either. */
-  #endCaller(): void {
+  #onCallerHalfClosed(): void {
     if (this.#settled) return;
     this.#onCallerGone();
     this.#answer.cut();
@@ -579,7 +579,7 @@
     clearTimeout(this.#timer);
     this.#request.socket.off('end', this.#onCallerEnded);
     if (ending.type === 'answered' && this.#openAttempts.has(ending.use)) this.#closeAnswered(ending.use);
-    this.#wait?.end(holdEndOf(ending));
+    this.#search?.end(holdOutcomeOf(ending));
     this.#openAttempts.abortAll(ending.type === 'left' ? 'caller left' : 'request ended');
     this.#content.noteSettled();
   }
@@ -591,7 +591,7 @@
     const took = this.#openAttempts.close(use, isFailure ? 'failed' : 'served');
     if (isFailure) return;
     // A back end may reject a request without running it.
-    if (status < FIRST_FAILURE) this.#content.noteServed();
+    if (status < FIRST_ERROR_STATUS) this.#content.noteServed();
     use.noteServed(took);
     this.#log.note('served', {
       backEnd: use.row.record.id,
--- a/src/forwarding/hold-record.ts
+++ b/src/forwarding/hold-record.ts
@@ -4,18 +4,18 @@
  */
 
 /** Weight of the newest wait in the moving average: seven in a row with the same result change the decision. */
-const END_WEIGHT = 0.1;
+const OUTCOME_WEIGHT = 0.1;
 /** Share of waits that must have ended with a send for more requests to be held. */
-const LEAST_SENT_SHARE = 0.5;
+const MIN_SENT_SHARE = 0.5;
 /** Number of requests that may be held at the same time as probes, whatever the share. */
-const MOST_TRIALS = 2;
+const MAX_PROBES = 2;
 
 /** How a wait ended. */
-export type HoldEnd =
+export type HoldOutcome =
   /** The request was sent to a back end. */
   | 'sent'
   /** The request was not sent to any back end in its time. */
-  | 'inVain'
+  | 'unserved'
   /** The caller closed its connection. */
   | 'left'
   /** No longer needed, as an open attempt has answered. */
@@ -25,11 +25,11 @@
 export class HoldRecord {
   #held = 0;
   #sentShare = 1;
-  #placesTaken = 0;
+  #reservedPlaces = 0;
 
   /** False if the next request must be refused at once. */
   get allowsMore(): boolean {
-    return this.#sentShare >= LEAST_SENT_SHARE || this.#held < MOST_TRIALS;
+    return this.#sentShare >= MIN_SENT_SHARE || this.#held < MAX_PROBES;
   }
 
   /** Records the start of a wait. */
@@ -38,11 +38,11 @@
   }
 
   /** Records the end of a wait. */
-  end(how: HoldEnd): void {
+  end(outcome: HoldOutcome): void {
     this.#held--;
-    if (how === 'left' || how === 'cancelled') return;
-    const sample = how === 'sent' ? 1 : 0;
-    this.#sentShare += END_WEIGHT * (sample - this.#sentShare);
+    if (outcome === 'left' || outcome === 'cancelled') return;
+    const sample = outcome === 'sent' ? 1 : 0;
+    this.#sentShare += OUTCOME_WEIGHT * (sample - this.#sentShare);
   }
 
   /**
@@ -51,14 +51,14 @@
    * 816 of credit was held in vain, and 150 without such waits.
    * @param places - slots that become free at once, divided among all entries
    */
-  takePlace(places: number): boolean {
-    if (this.#placesTaken >= Math.max(1, places)) return false;
-    this.#placesTaken++;
+  reservePlace(places: number): boolean {
+    if (this.#reservedPlaces >= Math.max(1, places)) return false;
+    this.#reservedPlaces++;
     return true;
   }
 
-  /** Frees a place that `takePlace` reserved. */
-  freePlace(): void {
-    this.#placesTaken--;
+  /** Releases a place that `reservePlace` has reserved. */
+  releasePlace(): void {
+    this.#reservedPlaces--;
   }
 }
--- a/src/forwarding/request-ending.ts
+++ b/src/forwarding/request-ending.ts
@@ -1,7 +1,7 @@
 /** How a request ends for its caller. */
 import type { BackEndUse } from './back-end-use.js';
 import type { ForwardingError } from './forwarding-errors.js';
-import type { HoldEnd } from './hold-record.js';
+import type { HoldOutcome } from './hold-record.js';
 import { outcomeOfError, type RequestOutcome } from './request-outcome.js';
 
 const INTERNAL_ERROR = 500;
@@ -31,7 +31,7 @@
 }
 
 /** How a wait in progress is recorded when its request ends. */
-export function holdEndOf({ type }: RequestEnding): HoldEnd {
+export function holdOutcomeOf({ type }: RequestEnding): HoldOutcome {
   if (type === 'left') return 'left';
-  return type === 'answered' ? 'cancelled' : 'inVain';
+  return type === 'answered' ? 'cancelled' : 'unserved';
 }
--- a/tools/guard-table.mjs
+++ b/tools/guard-table.mjs
@@ -120,7 +120,7 @@
   },
   {
     fault: 'a request is sent to a rate-limited back end without a permit',
-    file: 'src/forwarding/request-wait.ts',
+    file: 'src/forwarding/back-end-search.ts',
     find: 'if (this.#components.selector.needsPermit(selection.row))',
     replace: 'if (false)',
     test: 'test/roles/rate-limit.test.ts',
@@ -1131,7 +1131,7 @@
   {
     fault: 'more requests wait for the first slots than there are',
     file: 'src/forwarding/hold-record.ts',
-    find: 'if (this.#placesTaken >= Math.max(1, places)) return false;',
+    find: 'if (this.#reservedPlaces >= Math.max(1, places)) return false;',
     replace: '',
     test: 'test/forwarding/capacity.test.ts',
   },
@@ -1215,7 +1215,7 @@
   },
   {
     fault: 'each search for a slot begins the time anew for which a first request is held',
-    file: 'src/forwarding/request-wait.ts',
+    file: 'src/forwarding/back-end-search.ts',
     find: 'this.#seeker = new SlotSeeker({',
     replace: 'this.#heldSince = undefined;\n    this.#seeker = new SlotSeeker({',
     test: 'test/forwarding/slots.test.ts',
