--- a/src/forwarding/cut-figures.ts
+++ b/src/forwarding/cut-answer-metrics.ts
@@ -2,10 +2,10 @@
 import type { Metrics } from '../observability/metrics.js';
 
 /** Maximum number of distinct reasons; bounded because reasons include the texts of system errors. */
-const MOST_REASONS = 16;
+const MAX_REASONS = 16;
 const OTHER_REASON = 'other';
 
-export class CutFigures {
+export class CutAnswerMetrics {
   readonly #counts = new Map<string, number>();
 
   constructor(metrics: Metrics) {
@@ -21,7 +21,7 @@
 
   /** @param reason - failure of the latest attempt, or why the answer was cut if no attempt failed */
   note(reason: string): void {
-    const isCounted = this.#counts.has(reason) || this.#counts.size < MOST_REASONS;
+    const isCounted = this.#counts.has(reason) || this.#counts.size < MAX_REASONS;
     const label = isCounted ? reason : OTHER_REASON;
     this.#counts.set(label, (this.#counts.get(label) ?? 0) + 1);
   }
--- a/src/forwarding/drain-figures.ts
+++ b/src/forwarding/drain-metrics.ts
@@ -10,15 +10,15 @@
 const ARRIVAL_BUCKETS = [0.5, 1, 1.5, 2, 2.5, 3, 3.5, 4, 5, 6, 7, 8];
 const MILLISECONDS = 1_000;
 
-export interface ArrivalsWithOutcome {
+export interface OutcomeArrivals {
   count: number;
   /** Arrival time of the last such request, in milliseconds since the order to stop. */
   latestMs: number;
 }
 
-export class DrainFigures {
+export class DrainMetrics {
   readonly #arrivals: Histogram;
-  readonly #byOutcome: Partial<Record<RequestOutcome, ArrivalsWithOutcome>> = {};
+  readonly #byOutcome: Partial<Record<RequestOutcome, OutcomeArrivals>> = {};
 
   constructor(metrics: Metrics) {
     this.#arrivals = new Histogram({
@@ -31,7 +31,7 @@
   }
 
   /** Counts by outcome. They are logged too, as the metrics of a process that exits are rarely scraped again. */
-  get byOutcome(): Readonly<Partial<Record<RequestOutcome, ArrivalsWithOutcome>>> {
+  get byOutcome(): Readonly<Partial<Record<RequestOutcome, OutcomeArrivals>>> {
     return this.#byOutcome;
   }
 
--- a/src/forwarding/forwarded-request.ts
+++ b/src/forwarding/forwarded-request.ts
@@ -199,7 +199,7 @@
   #endMove(reason: string): void {
     if (!this.#move.isUnderWay) return;
     this.#nextSearchAt = performance.now() + SEARCH_INTERVAL;
-    this.#components.moveFigures.givenUp++;
+    this.#components.moveMetrics.givenUp++;
     const source = this.#move.end();
     if (source === undefined) return;
     this.#log.note('move given up', { backEnd: source.row.record.id, reason });
@@ -443,7 +443,7 @@
       backEnds,
       after: this.#answer.lastEventId,
     });
-    if (this.#move.end() !== undefined) this.#components.moveFigures.moved++;
+    if (this.#move.end() !== undefined) this.#components.moveMetrics.moved++;
     this.#search.end('cancelled');
     this.#openAttempts.abortAll('another back end answers', use);
   }
--- a/src/forwarding/forwarding-server.ts
+++ b/src/forwarding/forwarding-server.ts
@@ -18,15 +18,15 @@
 import type { BackEndSelector } from './back-end-selector.js';
 import type { BackEndTable } from './back-end-table.js';
 import type { CompletionEstimateComponents } from './completion-estimate.js';
-import { CutFigures } from './cut-figures.js';
+import { CutAnswerMetrics } from './cut-answer-metrics.js';
 import type { DirectPermits } from './direct-permits.js';
-import { type ArrivalsWithOutcome, DrainFigures } from './drain-figures.js';
+import { DrainMetrics, type OutcomeArrivals } from './drain-metrics.js';
 import type { EngineSlots } from './engine-slots.js';
 import { ForwardedRequest } from './forwarded-request.js';
 import type { HeaderNames } from './header-names.js';
 import type { PoisonGuard } from './poison-guard.js';
 import type { RequestOutcome } from './request-outcome.js';
-import { StreamMoveFigures } from './stream-move-figures.js';
+import { StreamMoveMetrics } from './stream-move-metrics.js';
 import { VersionExpiryFigures } from './version-expiry-figures.js';
 
 /** Interval at which requests in progress are checked, in milliseconds. */
@@ -63,8 +63,8 @@
   random: Random;
   log: Log;
   expiryFigures: VersionExpiryFigures;
-  moveFigures: StreamMoveFigures;
-  cutFigures: CutFigures;
+  moveMetrics: StreamMoveMetrics;
+  cutMetrics: CutAnswerMetrics;
   poison: PoisonGuard;
   budgetOf(service: string): RetryWindow;
   onSettled(request: ForwardedRequest, outcome: RequestOutcome, milliseconds: number): void;
@@ -76,7 +76,7 @@
   readonly #active = new Set<ForwardedRequest>();
   readonly #counters: Partial<Record<RequestOutcome, number>> = {};
   readonly #latency: Histogram;
-  readonly #drainFigures: DrainFigures;
+  readonly #drainMetrics: DrainMetrics;
   #server: Server | undefined;
   #timer: NodeJS.Timeout | undefined;
   readonly #standstills = new Standstills(CHECK_INTERVAL, performance.now());
@@ -94,7 +94,7 @@
     address: string,
     components: Omit<
       ForwardingComponents,
-      'onSettled' | 'durations' | 'expiryFigures' | 'moveFigures' | 'cutFigures'
+      'onSettled' | 'durations' | 'expiryFigures' | 'moveMetrics' | 'cutMetrics'
     >,
     metrics: Metrics,
   ) {
@@ -103,8 +103,8 @@
       ...components,
       durations: new LongestDurations(),
       expiryFigures: new VersionExpiryFigures(metrics),
-      moveFigures: new StreamMoveFigures(metrics),
-      cutFigures: new CutFigures(metrics),
+      moveMetrics: new StreamMoveMetrics(metrics),
+      cutMetrics: new CutAnswerMetrics(metrics),
       onSettled: (request, outcome, milliseconds) => this.#onSettled(request, outcome, milliseconds),
     };
     components.poison.onQuarantined = (fingerprints) => {
@@ -117,7 +117,7 @@
       buckets: LATENCY_BUCKETS,
       registers: [metrics.registry],
     });
-    this.#drainFigures = new DrainFigures(metrics);
+    this.#drainMetrics = new DrainMetrics(metrics);
     metrics.add([
       {
         name: 'forwarded',
@@ -145,8 +145,8 @@
   }
 
   /** Requests that arrived after the order to stop, by outcome. */
-  get arrivalsWhileDraining(): Readonly<Partial<Record<RequestOutcome, ArrivalsWithOutcome>>> {
-    return this.#drainFigures.byOutcome;
+  get arrivalsWhileDraining(): Readonly<Partial<Record<RequestOutcome, OutcomeArrivals>>> {
+    return this.#drainMetrics.byOutcome;
   }
 
   async start(): Promise<void> {
@@ -288,7 +288,7 @@
     this.#counters[outcome] = (this.#counters[outcome] ?? 0) + 1;
     this.#latency.observe({ outcome }, milliseconds / 1_000);
     if (!this.#arrivedWhileDraining(request)) return;
-    this.#drainFigures.note(outcome, this.#components.drain.elapsed(request.arrivedAt) ?? 0);
+    this.#drainMetrics.note(outcome, this.#components.drain.elapsed(request.arrivedAt) ?? 0);
   }
 }
 
--- a/src/forwarding/request-log.ts
+++ b/src/forwarding/request-log.ts
@@ -4,7 +4,7 @@
 import type { DrainSchedule } from '../systems/drain-schedule.js';
 import type { AttemptFailure } from './attempt.js';
 import type { BackEndUse } from './back-end-use.js';
-import type { CutFigures } from './cut-figures.js';
+import type { CutAnswerMetrics } from './cut-answer-metrics.js';
 import { errorResponseOf } from './forwarding-errors.js';
 import type { RequestEnding } from './request-ending.js';
 
@@ -12,7 +12,7 @@
   log: Log;
   drain: DrainSchedule;
   fleet: FleetView;
-  cutFigures: CutFigures;
+  cutMetrics: CutAnswerMetrics;
 }
 
 /** The properties of a request that are logged. */
@@ -94,13 +94,13 @@
     use: BackEndUse | undefined,
     context: CutContext,
   ): void {
-    const { fleet, cutFigures } = this.#components;
+    const { fleet, cutMetrics } = this.#components;
     const now = performance.now();
     const open =
       use === undefined ? {} : { backEnd: use.row.record.id, silentMs: Math.round(now - use.progressAt) };
     // With an open attempt no earlier failure is the cause.
     const cause = use === undefined ? (this.#latestFailure?.reason ?? reason) : reason;
-    cutFigures.note(cause);
+    cutMetrics.note(cause);
     this.note('answer cut', {
       reason,
       ...open,
--- a/src/forwarding/stream-move-figures.ts
+++ b/src/forwarding/stream-move-metrics.ts
@@ -1,7 +1,7 @@
 /** Metric of moves of streams off engines that switch versions, by outcome. */
 import type { Metrics } from '../observability/metrics.js';
 
-export class StreamMoveFigures {
+export class StreamMoveMetrics {
   /** Number of streams that another engine has resumed. */
   moved = 0;
   /** Number of moves given up because no engine had room, or because the chosen one refused, failed or was slow. */
--- a/test/forwarding/answer-cut-by-connection.test.ts
+++ b/test/forwarding/answer-cut-by-connection.test.ts
@@ -210,7 +210,7 @@
     caller.resume();
     await until(() => isClosed, 'the end of the connection');
     expect(bytes).toBeGreaterThan(ANSWERS * ANSWER_BYTES);
-    expect(forwarding.isSettled).toBe(true);
+    expect(forwarding.isDrained).toBe(true);
   });
 });
 
--- a/test/forwarding/drain.test.ts
+++ b/test/forwarding/drain.test.ts
@@ -73,14 +73,14 @@
     await new Promise((resolve) => socket.once('connect', resolve));
     forwarding.drain.begin(performance.now());
     await forwarding.close();
-    expect(forwarding.isSettled).toBe(false);
+    expect(forwarding.isDrained).toBe(false);
     forwarding.drain.finish(performance.now());
     socket.write('GET /write/a HTTP/1.1\r\nHost: api.example\r\nX-Request: late\r\n\r\n');
     await until(() => text.includes('\r\n\r\n'), 'an answer');
     expect(text).toMatch(/^HTTP\/1\.1 503 /);
     expect(text.toLowerCase()).toContain('connection: close');
     expect(backEnd.requests).toHaveLength(0);
-    await until(() => forwarding.isSettled, 'the end');
+    await until(() => forwarding.isDrained, 'the end');
     socket.destroy();
   });
 });
--- a/test/forwarding/forwarding-harness.ts
+++ b/test/forwarding/forwarding-harness.ts
@@ -170,7 +170,7 @@
   }
 
   /** Whether the process may end. */
-  get isSettled(): boolean {
+  get isDrained(): boolean {
     return this.#server?.isDrained ?? true;
   }
 
