--- a/src/forwarding/forwarded-request.ts
+++ b/src/forwarding/forwarded-request.ts
@@ -113,7 +113,7 @@
     this.#body = await readCallerBody(this.#request, this.#admitted.table.configuration.limits.bodyBytes);
     if (this.#settled) return;
     if (this.#body.type === 'tooLarge') return this.#fail({ type: 'bodyTooLarge' });
-    if (this.#body.type === 'cut') return this.#fail({ type: 'malformed', reason: 'cut body' });
+    if (this.#body.type === 'cut') return this.#fail({ type: 'malformed', reason: 'incomplete body' });
     this.#components.budgetOf(this.#admitted.service).earn(performance.now());
     const decision = await this.#content.admit(this.#admitted.service);
     if (this.#settled) return this.#content.noteSettled();
--- a/src/forwarding/header-names.ts
+++ b/src/forwarding/header-names.ts
@@ -1,4 +1,4 @@
-/** Names of the headers that the system reads or sets. */
+/** Names of the headers that the system reads or sets, and the removal of hop-by-hop headers. */
 
 /** Header names in lower case; each platform has its own, which are passed in at construction. */
 export interface HeaderNames {
--- a/src/forwarding/request-log.ts
+++ b/src/forwarding/request-log.ts
@@ -78,7 +78,7 @@
 
   /**
    * @param use - the first attempt that is open
-   * @param routeName - the route of the request; undefined where it has none
+   * @param routeName - the route of the request; undefined if none matched
    */
   noteEnding(ending: RequestEnding, use: BackEndUse | undefined, routeName: string | undefined): void {
     if (ending.type === 'left')
