--- a/test/forwarding/engine-configuration.ts
+++ b/test/forwarding/engine-configuration.ts
@@ -1,9 +1,9 @@
-/** A configuration with one service of engines, as tests of their versions and capacity need it. */
+/** Configuration with one service of engines, for tests of versions and capacity. */
 
 import { STREAM_ROUTE } from '../../bench/simulation/stream-route.js';
 import type { FleetConfiguration } from '../../src/fleet/configuration.js';
 
-/** Layers of the model that its engines serve. */
+/** Number of layers of the model that the engines serve. */
 export const ENGINE_LAYERS = 4;
 
 export const ENGINE_CONFIGURATION: FleetConfiguration = {
--- a/test/forwarding/forwarding-harness.ts
+++ b/test/forwarding/forwarding-harness.ts
@@ -1,4 +1,4 @@
-/** An entry's forwarding on a free port, with a fleet that a test declares, and a caller. */
+/** Runs a forwarding server on a free port with a fleet that the test declares, and sends requests to it as a caller. */
 import { type ClientRequest, request as httpRequest } from 'node:http';
 import { freeAddress } from '../../bench/processes/child.js';
 import { MemoryStore } from '../../emulator/store/memory-store.js';
@@ -20,7 +20,7 @@
 import { RetryWindow } from '../../src/systems/retry-window.js';
 import type { StandInBackEnd } from './stand-in-back-end.js';
 
-/** Names of headers that no platform has. */
+/** Header names for tests; no platform uses them. */
 export const NAMES = {
   requestId: 'x-request',
   timeLeft: 'x-time-left',
@@ -41,33 +41,32 @@
 /** A claim that ignores all calls. */
 export const NOOP_CLAIM: SlotClaim = { noteAnswer: () => {}, release: () => {} };
 
-/** What a caller got. */
+/** The answer as the caller received it. */
 export interface Answer {
   status: number;
   headers: Record<string, string | string[] | undefined>;
   body: string;
-  /** False where the answer broke off. */
+  /** False if the answer was cut. */
   whole: boolean;
 }
 
-/** What a caller sends besides the path. */
+/** Options of a request. */
 export interface SentRequest {
   method?: string;
   headers?: Record<string, string>;
   body?: string | Buffer;
 }
 
-/** Forwarding that runs. */
 export class ForwardingHarness {
   readonly fleet = new FleetView();
   readonly backEnds = new BackEndTable();
   readonly metrics = new Metrics('test');
-  /** Keeps what outlives an entry. */
+  /** Holds the records that outlive the entry. */
   readonly store = new MemoryStore();
-  /** What the entry logs goes here. */
+  /** Log of the entry; to be set before `start`. */
   log: Log = silentLog;
   readonly drain = new DrainSchedule({ graceTime: 8_000, addressLifetime: 1_000 });
-  /** Who gives out slots; nobody does until a test says so. */
+  /** Grants slots of engines; the default never answers. */
   slots: EngineSlots = { ask: () => NOOP_CLAIM };
   readonly budget = new RetryWindow({ span: 10_000, share: 1, slack: () => 10 });
   readonly #service: string;
@@ -86,7 +85,7 @@
     return this.#address;
   }
 
-  /** Requests in progress. */
+  /** Number of requests in progress. */
   get active(): number {
     return this.#server?.active ?? 0;
   }
@@ -164,17 +163,17 @@
     await this.backEnds.stop();
   }
 
-  /** Takes no new connection. */
+  /** Stops accepting connections. */
   async close(): Promise<void> {
     await this.#server?.close();
   }
 
-  /** Whether the process may end. */
+  /** Whether the process may exit. */
   get isDrained(): boolean {
     return this.#server?.isDrained ?? true;
   }
 
-  /** Lists these back ends and no others. */
+  /** Replaces the list of back ends. */
   list(...backEnds: Array<[id: string, backEnd: StandInBackEnd, changes?: Partial<BackEndRecord>]>): void {
     const revision = this.fleet.backEnds.revision + 1;
     this.fleet.takeBackEnds({
@@ -193,7 +192,7 @@
     });
   }
 
-  /** The agent beside `engine` tells of it, as of now; it gives out no slots unless `news` says so. */
+  /** Reports the current state of `engine` as its agent does; the agent grants slots only if `news` has a slot address. */
   tell(engine: StandInBackEnd, news: Partial<EngineNews> = {}): void {
     this.backEnds.takeNews(engine.address, {
       version: 0,
@@ -214,13 +213,13 @@
     this.fleet.takeNamedVersion({ model: 'm', version, notBefore: now + milliseconds - VERSION_BOUND });
   }
 
-  /** The agent of the engine at `address` has read this start of it. */
+  /** Reports that the agent of the engine at `address` has seen the process start `start`. */
   takeEngineStart(address: string, start: number): void {
     const row = this.backEnds.rowAt(address, start);
     if (row !== undefined) this.fleet.takeStart({ id: row.record.id, start });
   }
 
-  /** Sends a request without a body whose caller is going to leave. */
+  /** Sends a request without a body and returns it, so that the test can close its connection. */
   open(path: string): ClientRequest {
     const [host, port] = this.#address.split(':');
     const headers = { host: 'api.example', 'x-request': `r${++this.#requests}`, 'x-key': 'key-a' };
@@ -230,7 +229,7 @@
     return sent;
   }
 
-  /** Sends a request as a caller does. */
+  /** Sends a request; resolves with its answer. */
   send(path: string, { method = 'GET', headers, body }: SentRequest = {}): Promise<Answer> {
     const [host, port] = this.#address.split(':');
     const all = { host: 'api.example', 'x-request': `r${++this.#requests}`, 'x-key': 'key-a', ...headers };
--- a/test/forwarding/routes.ts
+++ b/test/forwarding/routes.ts
@@ -1,7 +1,7 @@
-/** Routes of tests. */
+/** Routes for tests. */
 import type { Route } from '../../src/fleet/configuration.js';
 
-/** A route of the service `billing` under its name, whose requests may run again. */
+/** A route for the path `/<name>/` to the service `billing`; its requests may run more than once. */
 export function routeNamed(name: string, changes: Partial<Route> = {}): Route {
   return {
     name,
--- a/test/forwarding/stand-in-back-end.ts
+++ b/test/forwarding/stand-in-back-end.ts
@@ -1,11 +1,10 @@
-/** A back end for tests that answers each request as the test scripts it, down to the bytes. */
+/** Test back end whose answers are scripted, down to raw bytes. */
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from 'node:http';
 import type { AddressInfo, Socket } from 'node:net';
 
-/** What a back end does with a request; `body` is the whole body. */
+/** Answers one request; `body` is the complete body of the request. */
 export type Script = (request: IncomingMessage, response: ServerResponse, body: Buffer) => void;
 
-/** A back end at a free port. */
 export class StandInBackEnd {
   readonly requests: Array<{
     method: string;
@@ -13,11 +12,11 @@
     headers: IncomingMessage['headers'];
     body: string;
   }> = [];
-  /** Requests whose connection closed before their answer was whole. */
+  /** Number of requests whose connection closed before their answer was complete. */
   cancelled = 0;
-  /** Requests whose connection is open and whose answer is not whole. */
+  /** Number of requests whose connection is open and whose answer is not complete. */
   open = 0;
-  /** Where false, bodies are left unread, and scripts are not run for requests that have one. */
+  /** If false, request bodies are not read and scripts are not run. */
   readsBodies = true;
   #server: Server | undefined;
   #script: Script;
@@ -43,7 +42,7 @@
       });
       if (!this.readsBodies) return;
       const parts: Buffer[] = [];
-      // A caller that breaks off is counted above.
+      // The `close` handler above counts aborted requests.
       await readInto(parts, request).catch(() => {});
       if (!request.complete) return;
       const body = Buffer.concat(parts);
@@ -66,7 +65,7 @@
   for await (const part of request) parts.push(part as Buffer);
 }
 
-/** Answers with a status, a body and the request's identity. */
+/** Answers with a status, a body and the id of the request. */
 export function reply(status: number, body: string, headers: Record<string, string> = {}): Script {
   return (request, response) => {
     response.writeHead(status, { 'x-request': String(request.headers['x-request']), ...headers });
@@ -74,12 +73,12 @@
   };
 }
 
-/** Writes raw bytes to the connection of a request. */
+/** Answers by writing raw bytes to the connection of the request. */
 export function raw(write: (socket: Socket, requestId: string) => void): Script {
   return (request) => write(request.socket as Socket, String(request.headers['x-request']));
 }
 
-/** Events with rising identities. */
+/** Events with the ids `first` to `last`. */
 export function events(first: number, last: number): string {
   let text = '';
   for (let id = first; id <= last; id++) text += `id: ${id}\ndata: word ${id}\n\n`;
