--- a/test/forwarding/answer-cut-by-connection.test.ts
+++ b/test/forwarding/answer-cut-by-connection.test.ts
@@ -1,4 +1,7 @@
-/** Answers under way on a connection on which something else happens: they are not cut. */
+/**
+ * Guards against cutting an answer in progress because of something else on its connection: bytes that are no valid request,
+ * or a server that stops accepting connections.
+ */
 import { connect, type Socket } from 'node:net';
 import { afterEach, beforeEach, describe, expect, it } from 'vitest';
 import type { FleetConfiguration } from '../../src/fleet/configuration.js';
@@ -10,9 +13,9 @@
 const EVENTS = 10;
 /** Time between two events, in milliseconds. */
 const INTERVAL = 30;
-/** After this nothing may run for a caller that has gone, in milliseconds. */
+/** Time within which work for a caller that has gone must have ended, in milliseconds. */
 const ENDED_WITHIN = 500;
-/** Answers that fill all buffers on the way. */
+/** Number of answers that fills all buffers on the way to the caller. */
 const ANSWERS = 120;
 const ANSWER_BYTES = 60_000;
 const NO_REQUEST = 'this is no request\r\n\r\n';
@@ -34,7 +37,7 @@
   tenants: undefined,
 };
 
-/** Connections that are opened at once. */
+/** Number of connections that are opened at once. */
 const CONNECTIONS = 20;
 let backEnd: StandInBackEnd;
 let forwarding: ForwardingHarness;
@@ -47,7 +50,7 @@
   'content-type': 'text/event-stream',
 });
 
-/** Writes events one after the other. */
+/** Writes `EVENTS` events at intervals. */
 const stream: Script = (request, response) => {
   response.writeHead(200, head(request));
   let id = 0;
@@ -59,7 +62,7 @@
   response.on('close', () => clearInterval(timer));
 };
 
-/** Writes one event, and then nothing. */
+/** Writes one event and leaves the answer open. */
 const beginning: Script = (request, response) => {
   response.writeHead(200, head(request));
   response.write(events(1, 1));
@@ -95,7 +98,7 @@
   return `GET /write/a HTTP/1.1\r\nhost: api.example\r\nx-request: ${id}\r\n${more}\r\n`;
 }
 
-/** Whole streams that the caller has. */
+/** Number of complete streams that the caller has received. */
 const wholeStreams = () => received.split('\r\n0\r\n\r\n').length - 1;
 
 async function untilBegun(): Promise<void> {
@@ -108,8 +111,8 @@
   expect(performance.now() - from).toBeLessThan(ENDED_WITHIN);
 }
 
-describe('a stream under way', () => {
-  it('is not cut where bytes that are no request follow its request', async () => {
+describe('a stream in progress', () => {
+  it('is not cut if bytes that are no valid request follow its request', async () => {
     caller.write(request('r1'));
     await untilBegun();
     caller.write(NO_REQUEST);
@@ -118,14 +121,14 @@
     expect(wholeStreams()).toBe(1);
   });
 
-  it('is not cut where they come with its request, and its caller is told that the connection closes', async () => {
+  it('is not cut if they arrive with its request, and has a Connection: close header then', async () => {
     caller.write(`${request('r1')}${NO_REQUEST}`);
     await until(() => isClosed, 'the end of the connection');
     expect(received.toLowerCase()).toContain('connection: close');
     expect(wholeStreams()).toBe(1);
   });
 
-  it('is not cut where they come again and again', async () => {
+  it('is not cut if they arrive repeatedly', async () => {
     caller.write(request('r1'));
     await untilBegun();
     for (let count = 0; count < 5; count++) {
@@ -136,7 +139,7 @@
     expect(wholeStreams()).toBe(1);
   });
 
-  it('is not cut, nor the one behind it, where they follow two requests', async () => {
+  it('is not cut, nor is the next one, if they follow two pipelined requests', async () => {
     caller.write(request('r1'));
     await untilBegun();
     caller.write(`${request('r2')}${NO_REQUEST}`);
@@ -144,7 +147,7 @@
     expect(wholeStreams()).toBe(2);
   });
 
-  it('is not cut where the head of the next request is too long', async () => {
+  it('is not cut if the head of the next request is too long', async () => {
     caller.write(request('r1'));
     await untilBegun();
     caller.write(request('r2', `x-long: ${'x'.repeat(80_000)}\r\n`));
@@ -152,7 +155,7 @@
     expect(wholeStreams()).toBe(1);
   });
 
-  it('is not cut where the body of the next request is malformed', async () => {
+  it('is not cut if the body of the next request is malformed', async () => {
     caller.write(request('r1'));
     await untilBegun();
     caller.write(`${request('r2', 'transfer-encoding: chunked\r\n')}no length\r\n`);
@@ -164,8 +167,8 @@
   it.each<[string, (socket: Socket) => void]>([
     ['closes', (socket) => socket.destroy()],
     ['resets', (socket) => socket.resetAndDestroy()],
-    ['ends its side', (socket) => socket.end()],
-  ])('ends where its caller has sent them and %s', async (_name, go) => {
+    ['half-closes', (socket) => socket.end()],
+  ])('ends if its caller has sent them and %s', async (_name, go) => {
     backEnd.answer(beginning);
     caller.write(request('r1'));
     await untilBegun();
@@ -179,23 +182,23 @@
   });
 });
 
-describe('a connection without an answer under way', () => {
-  it('closes at bytes that are no request', async () => {
+describe('a connection without an answer in progress', () => {
+  it('closes after bytes that are no valid request', async () => {
     caller.write(request('r1'));
     await until(() => wholeStreams() === 1, 'the stream');
     caller.write(NO_REQUEST);
     await expectClosedSoon();
   });
 
-  it('closes at a body that is malformed', async () => {
+  it('closes after a malformed body', async () => {
     caller.write(`${request('r1', 'transfer-encoding: chunked\r\n')}no length\r\n`);
     await expectClosedSoon();
     expect(backEnd.requests).toHaveLength(0);
   });
 });
 
-describe('an answer that has not gone out', () => {
-  it('is not cut where the process takes no more connections', async () => {
+describe('an answer that has not been flushed', () => {
+  it('is not cut when the server stops accepting connections', async () => {
     backEnd.answer(reply(200, 'x'.repeat(ANSWER_BYTES)));
     forwarding.list(['one', backEnd, { slots: ANSWERS }]);
     let bytes = 0;
@@ -215,7 +218,7 @@
 });
 
 describe('a connection that has just been opened', () => {
-  it('has its request answered where the process takes no more connections right after a standstill', async () => {
+  it('has its request answered if the server stops accepting connections right after a stall of the process', async () => {
     backEnd.answer(reply(200, 'whole'));
     forwarding.list(['one', backEnd, { slots: CONNECTIONS }]);
     const [host, port] = forwarding.address.split(':');
--- a/test/forwarding/attempt-answer.test.ts
+++ b/test/forwarding/attempt-answer.test.ts
@@ -1,4 +1,4 @@
-/** What an attempt has sent is passed on as soon as it cannot be replaced any more. */
+/** How much of an answer is buffered before it is forwarded to the caller. */
 import { expect, it } from 'vitest';
 import { AttemptAnswer } from '../../src/forwarding/attempt-answer.js';
 import { events } from './stand-in-back-end.js';
@@ -11,7 +11,7 @@
   return answer;
 }
 
-it('an answer that is no stream is held up to a limit, and passed on as it comes beyond it', () => {
+it('an answer that is no stream is buffered up to a limit, and forwarded without delay beyond it', () => {
   const answer = begun({});
   expect(answer.push(Buffer.alloc(LIMIT))).toBe(false);
   expect(answer.push(Buffer.alloc(1))).toBe(true);
@@ -21,7 +21,7 @@
   expect(answer.takeBuffered()).toBeUndefined();
 });
 
-it('a stream is passed on in whole events', () => {
+it('a stream is forwarded in whole events', () => {
   const answer = begun({ 'content-type': 'text/event-stream' });
   expect(answer.push(Buffer.from('id: 3\ndata: wo'))).toBe(false);
   expect(answer.lastEventId).toBe('2');
--- a/test/forwarding/attempt.test.ts
+++ b/test/forwarding/attempt.test.ts
@@ -1,4 +1,4 @@
-/** What a back end sees of attempts that are said not to have been sent. */
+/** Guards against reporting an attempt as not sent although its back end has received bytes of it. */
 import { createServer, type Server, type Socket } from 'node:net';
 import { setTimeout as sleep } from 'node:timers/promises';
 import { afterEach, beforeEach, describe, expect, it } from 'vitest';
@@ -8,16 +8,16 @@
 import { until } from '../support.js';
 import { NAMES } from './forwarding-harness.js';
 
-/** Interleavings of a reset with a request that are tried. */
+/** Number of interleavings of a connection reset with a request that are tried. */
 const RESETS = 60;
 
 /** How an attempt ended. */
 type Ending = AttemptFailure | { type: 'answered' };
 
-/** A back end that keeps all bytes it gets and answers each request at once. */
+/** Test back end that records all bytes it receives and answers each request at once. */
 class ByteRecorder {
   received = '';
-  /** Connections that were ever accepted. */
+  /** Number of connections accepted so far. */
   accepted = 0;
   readonly sockets = new Set<Socket>();
   readonly #server: Server;
@@ -87,8 +87,8 @@
   return { attempt, ending };
 }
 
-describe('an attempt that is said not to have been sent', () => {
-  it('meets nobody at the address', async () => {
+describe('an attempt that is reported as not sent', () => {
+  it('finds no listener at the address', async () => {
     const { attempt, ending } = attemptOf('refused');
     attempt.send(connections);
     expect(await ending).toMatchObject({ type: 'notSent' });
@@ -97,7 +97,7 @@
     expect(backEnd.received).toBe('');
   });
 
-  it('shows the back end no byte, though its connection opens after it was given up', async () => {
+  it('sends the back end no byte, although its connection opens after it was aborted', async () => {
     await backEnd.start(address);
     const late = attemptOf('late');
     late.attempt.send(connections);
@@ -111,7 +111,7 @@
     expect(backEnd.received).not.toContain('/late');
   });
 
-  it('is told apart from one that went out, where the version of the back end expires', async () => {
+  it('is distinguished from one that was sent, if the version of the back end expires', async () => {
     await backEnd.start(address);
     const early = attemptOf('early');
     early.attempt.send(connections);
@@ -124,14 +124,14 @@
     expect(backEnd.received).not.toContain('/early');
   });
 
-  it('shows the back end no byte where its kept connection is reset at that moment', async () => {
+  it('sends the back end no byte if its kept-alive connection is reset at that moment', async () => {
     await backEnd.start(address);
     const endings: string[] = [];
     for (let index = 0; index < RESETS; index++) {
       const before = attemptOf(`before${index}`);
       before.attempt.send(connections);
       await before.ending;
-      // The library takes the connection for free a moment after the end of the answer.
+      // The HTTP client marks the connection as free shortly after the end of the answer.
       await sleep(2);
       const { attempt, ending } = attemptOf(`reset${index}`);
       if (index % 3 === 0) backEnd.resetAll();
