--- a/test/forwarding/caller-gone.test.ts
+++ b/test/forwarding/caller-gone.test.ts
@@ -1,4 +1,4 @@
-/** Callers that close their connection: whatever runs for them is ended, in whatever state their request is. */
+/** Guards against work that goes on at back ends after the caller has closed its connection, in each state of a request. */
 import { connect, type Socket } from 'node:net';
 import { Worker } from 'node:worker_threads';
 import { afterEach, beforeEach, describe, expect, it } from 'vitest';
@@ -8,10 +8,10 @@
 import { routeNamed } from './routes.js';
 import { events, reply, type Script, StandInBackEnd } from './stand-in-back-end.js';
 
-/** After this nothing may run for a caller that has gone, in milliseconds. */
+/** Time within which work for a caller that has gone must have ended, in milliseconds. */
 const ENDED_WITHIN = 500;
 const LONG_BODY = 180_000;
-/** Events of 60 kB: more than all buffers on the way hold. */
+/** Number of events of 60 kB; more than all buffers on the way to the caller hold. */
 const FLOOD_EVENTS = 500;
 
 const route = (name: string, changes: Partial<Route> = {}) =>
@@ -47,7 +47,7 @@
   await backEnd.stop();
 });
 
-/** A caller with a connection of its own that has sent `text`. */
+/** Opens a connection of its own, as a caller does, and sends `text` on it. */
 async function caller(text: string, reads = true): Promise<Socket> {
   const [host, port] = forwarding.address.split(':');
   const socket = connect({ host, port: Number(port), allowHalfOpen: true });
@@ -64,14 +64,14 @@
   return `${method} ${path} HTTP/1.1\r\nhost: api.example\r\nx-request: gone-${started.length}\r\n${more}\r\n`;
 }
 
-/** How a caller goes. */
+/** Ways in which a caller closes its connection. */
 const ENDINGS: Array<[name: string, go: (socket: Socket) => void]> = [
   ['closes', (socket) => socket.destroy()],
   ['resets', (socket) => socket.resetAndDestroy()],
-  ['ends its side only', (socket) => socket.end()],
+  ['half-closes', (socket) => socket.end()],
 ];
 
-/** Fails unless nothing runs at the back end for the caller soon. */
+/** Closes the caller's connection, and checks that the back end's work ends within `ENDED_WITHIN`. */
 async function expectEnded(go: (socket: Socket) => void, socket: Socket): Promise<void> {
   go(socket);
   const goneAt = performance.now();
@@ -79,7 +79,7 @@
   expect(performance.now() - goneAt).toBeLessThan(ENDED_WITHIN);
 }
 
-/** True once no request is in progress at a back end as forwarding sees it. */
+/** True once the forwarding server counts no request in progress at any back end. */
 function isGivenUp(): boolean {
   return [...forwarding.backEnds.rows.values()].every(({ inFlight }) => inFlight === 0);
 }
@@ -89,7 +89,7 @@
   'content-type': 'text/event-stream',
 });
 
-/** Events without an end, a little at a time. */
+/** Writes small events at intervals, without an end. */
 const trickle: Script = (request, response) => {
   response.writeHead(200, eventHead(request));
   let id = 0;
@@ -97,7 +97,7 @@
   response.on('close', () => clearInterval(timer));
 };
 
-/** Events as fast as they are read. */
+/** Writes events as fast as they are read. */
 const flood: Script = (request, response) => {
   response.writeHead(200, eventHead(request));
   let id = 0;
@@ -147,7 +147,7 @@
     socket.write('x'.repeat(LONG_BODY));
     await until(() => backEnd.open === 1, 'the request at the back end');
     await new Promise((resolve) => setTimeout(resolve, 150));
-    // A back end that does not read cannot see the end that lies behind what it has not read.
+    // A back end that does not read cannot detect the close, which comes after the data that it has not read.
     go(socket);
     const goneAt = performance.now();
     await until(isGivenUp, 'the end of it');
@@ -192,7 +192,7 @@
 });
 
 describe('a caller that does not read for a while', () => {
-  it('gets its stream from the back end that began it, as that one owes nothing meanwhile', async () => {
+  it('gets its whole stream from the first back end, which is not taken for silent meanwhile', async () => {
     backEnd.answer(flood);
     const socket = await caller(head('GET', '/brief/', 'connection: close\r\n'), false);
     await new Promise((resolve) => setTimeout(resolve, 1_500));
@@ -204,7 +204,7 @@
   });
 });
 
-/** Listens, and then stands still: connections beyond its queue get no answer. */
+/** Listens and then blocks its event loop, so that connections beyond its backlog are not accepted. */
 const STANDS_STILL = `
   const { parentPort } = require('node:worker_threads');
   const server = require('node:net').createServer();
@@ -214,7 +214,7 @@
   });
 `;
 
-/** The address of a listener that answers no new connection, its queue being full. */
+/** Address of a listener whose backlog is full, so that new connections to it are not established. */
 async function fullListener(): Promise<string> {
   const worker = new Worker(STANDS_STILL, { eval: true });
   started.push(() => void worker.terminate());
--- a/test/forwarding/failure-of-back-end-lost.test.ts
+++ b/test/forwarding/failure-of-back-end-lost.test.ts
@@ -1,4 +1,4 @@
-/** A back end's own failure is what its caller gets, unless another back end has something better. */
+/** Guards against replacing the error response of a back end by an error of this system when no other back end answers. */
 import { afterEach, beforeEach, expect, it } from 'vitest';
 import type { FleetConfiguration } from '../../src/fleet/configuration.js';
 import { ForwardingHarness } from './forwarding-harness.js';
@@ -33,7 +33,7 @@
 it.each<[string, () => void]>([
   ['is full', () => forwarding.list(['one', one], ['two', two])],
   ['does not exist', () => forwarding.list(['one', one])],
-])('a failure with its text is not lost where the other back end %s', async (_name, list) => {
+])('an error response with its body is not lost if the other back end %s', async (_name, list) => {
   let requests = 0;
   const script: Script = (...call) =>
     (requests++ === 0 ? reply(500, 'what is wrong') : reply(503, '', { 'x-not-run': '1' }))(...call);
--- a/test/forwarding/request-held-at-silent-back-end.test.ts
+++ b/test/forwarding/request-held-at-silent-back-end.test.ts
@@ -1,4 +1,4 @@
-/** A request is not held at a back end that stays silent while another one, or its caller's own repetition, can be served. */
+/** Guards against waiting for a silent back end while another one could answer, or until the caller has no time to retry. */
 import { afterEach, beforeEach, expect, it } from 'vitest';
 import type { FleetConfiguration } from '../../src/fleet/configuration.js';
 import { ForwardingHarness } from './forwarding-harness.js';
@@ -46,7 +46,7 @@
   );
 }
 
-/** Answers the requests for `path`, whichever back end they come to, by these scripts in turn; the last one goes on. */
+/** Answers requests for `path` at any back end by these scripts in turn; the last script answers all further ones. */
 function answerInTurn(path: string, ...scripts: Script[]): void {
   let requests = 0;
   for (const backEnd of backEnds) {
@@ -58,7 +58,7 @@
   }
 }
 
-/** Writes the rest of a stream; `last` is the last event, after which nothing comes where that is not the end. */
+/** Writes the rest of a stream up to the event `last`, and leaves the answer open if more events would follow. */
 function stream(last: number): Script {
   return (request, response) => {
     const from = Number(request.headers['last-event-id'] ?? 0) + 1;
@@ -71,13 +71,13 @@
   };
 }
 
-it('a back end that refused once while another one is silent is asked again', async () => {
+it('a back end that refused once while another one is silent is tried again', async () => {
   list(2);
   answerInTurn('/read/', SILENT, notRun, ok);
   expect(await forwarding.send('/read/a')).toMatchObject({ status: 200, body: 'ok' });
 });
 
-it('a silent back end is asked over another connection once no other one can take the request', async () => {
+it('a silent back end is tried over another connection if no other one can take the request', async () => {
   const seen = new Set<unknown>();
   const [one, two] = backEnds;
   one.answer((request, response, body) => {
@@ -92,19 +92,19 @@
   expect(await forwarding.send('/read/a')).toMatchObject({ status: 200, body: 'ok' });
 });
 
-it('the failure of a back end is passed on where all others are silent', async () => {
+it('the error response of a back end is forwarded if all others are silent', async () => {
   list(2);
   answerInTurn('/read/', SILENT, reply(500, 'mine'));
   expect(await forwarding.send('/read/a')).toMatchObject({ status: 500, body: 'mine' });
 });
 
-it('a caller without a part of the answer is left time to repeat its request', async () => {
+it('a caller without a part of the answer has time left to retry its request', async () => {
   list(1);
   const answer = await forwarding.send('/read/a', { headers: { 'x-time-left': '2000' } });
   expect(answer.status).toBe(502);
 });
 
-it('a request does not run twice at once at a back end that is slow on a kept connection', async () => {
+it('a request does not run twice at once at a back end that is slow on a kept-alive connection', async () => {
   list(1);
   const [one] = backEnds;
   one.answer(ok);
@@ -118,7 +118,7 @@
   expect(mostAtOnce).toBe(1);
 });
 
-it('a begun stream goes to a third back end where the second one answers others alone', async () => {
+it('a stream that has begun is resumed at a third back end if the second one answers only other requests', async () => {
   list(3);
   answerInTurn('/write/', stream(2), SILENT, stream(EVENTS));
   const pings = setInterval(() => void forwarding.send('/ping/a').catch(() => {}), 8);
