--- a/test/forwarding/capacity.test.ts
+++ b/test/forwarding/capacity.test.ts
@@ -1,4 +1,4 @@
-/** Requests for engines when none can take them at once. */
+/** Requests for engines when no engine can take them at once: which are held, which are refused, and with what `Retry-After`. */
 import { setTimeout as sleep } from 'node:timers/promises';
 import { afterEach, beforeEach, describe, expect, it } from 'vitest';
 import { STREAM_ROUTE } from '../../bench/simulation/stream-route.js';
@@ -12,14 +12,14 @@
 const TIMEOUT = STREAM_ROUTE.timeout;
 
 const LISTED = { layers: { from: 0, end: LAYERS, version: 1 } };
-/** What a caller that was refused two seconds ago sends. */
+/** The retry of a caller that has used two seconds of its time before. */
 const COMES_AGAIN = { headers: { 'x-time-left': String(TIMEOUT - 2_000) } };
 const COMES_FIRST = { headers: { 'x-time-left': String(TIMEOUT) } };
 
 let engine: StandInBackEnd;
 let forwarding: ForwardingHarness;
 
-/** The engine's agent tells, as of now. */
+/** Reports the current state of an engine as its agent does. */
 function tell(news: Partial<EngineNews>, of = engine): void {
   forwarding.tell(of, news);
 }
@@ -37,25 +37,25 @@
 });
 
 describe('an engine that lost its weights', () => {
-  it('gets nothing although the list still tells of them', async () => {
+  it('gets no request although the list still has them', async () => {
     tell({ version: 0 });
     expect((await forwarding.send('/write/', COMES_FIRST)).status).toBe(503);
     expect(engine.requests).toHaveLength(0);
   });
 
-  it('is believed by the list where its agent does not reach it', async () => {
+  it('is judged by the list if its agent does not reach it', async () => {
     tell({ version: 0, isReached: false });
     expect((await forwarding.send('/write/', COMES_FIRST)).status).toBe(200);
   });
 
-  it('is believed by the list once its agent has long said nothing', async () => {
+  it('is judged by the list once the last report of its agent is too old', async () => {
     tell({ version: 0, toldAt: performance.now() - 10_000 });
     expect((await forwarding.send('/write/', COMES_FIRST)).status).toBe(200);
   });
 });
 
-describe('an engine that says that it is not the one that was meant', () => {
-  it('is left alone until there is news of it', async () => {
+describe('an engine that answers that it is not the expected one', () => {
+  it('gets no request until its agent reports again', async () => {
     engine.answer(reply(421, '', { 'x-not-run': '1' }));
     expect((await forwarding.send('/write/', COMES_FIRST)).status).toBe(503);
     expect((await forwarding.send('/write/', COMES_FIRST)).status).toBe(503);
@@ -66,9 +66,9 @@
   });
 });
 
-describe('a caller that tells of tokens without end', () => {
+describe('a caller that states an infinite number of tokens', () => {
   it.each(['Infinity,1', '1,Infinity', '1e400,1e400', '-1e400,1'])(
-    'does no harm to others: %s',
+    'does not affect other requests: %s',
     async (tokens) => {
       tell({ version: 1, switchAt: performance.now() + 60_000 });
       const headers = { ...COMES_FIRST.headers, 'x-tokens': tokens };
@@ -81,28 +81,28 @@
 });
 
 describe('while no engine serves', () => {
-  it('a first request is refused and told to come back when one is expected', async () => {
+  it('a first request is refused with a Retry-After at which one is expected', async () => {
     tell({ switchAt: performance.now() + 1_000 });
     const answer = await forwarding.send('/write/', COMES_FIRST);
     expect(answer.status).toBe(503);
     expect(Number(answer.headers['retry-after'])).toBeGreaterThanOrEqual(1);
   });
 
-  it('one that comes again waits for an engine that is expected in its time, and is served by it', async () => {
+  it('a retry waits for an engine that is expected before its deadline, and is served by it', async () => {
     tell({ switchAt: performance.now() + 300 });
     const answer = forwarding.send('/write/', COMES_AGAIN);
     setTimeout(() => tell({ version: 1 }), 300);
     expect(await answer).toMatchObject({ status: 200, body: 'served' });
   });
 
-  it('one that comes again is refused at once where none is expected in its time', async () => {
+  it('a retry is refused at once if none is expected before its deadline', async () => {
     tell({ switchAt: performance.now() + TIMEOUT });
     expect((await forwarding.send('/write/', COMES_AGAIN)).status).toBe(503);
   });
 });
 
-describe('after a loss of power', () => {
-  it('nothing is sent to an engine in whose place another has started, though its record tells of weights', async () => {
+describe('after a power loss', () => {
+  it('nothing is sent to an engine at whose address another has started, although its record has weights', async () => {
     forwarding.list(
       ['one', engine, { ...LISTED, revision: 1 }],
       ['one again', engine, { revision: 2, address: engine.address }],
@@ -111,13 +111,13 @@
     expect(engine.requests).toHaveLength(0);
   });
 
-  it('an engine is used again once the record of its former start has gone', async () => {
+  it('an engine is used again once the record of its previous start is removed', async () => {
     forwarding.list(['one', engine, LISTED], ['one again', engine, LISTED]);
     forwarding.list(['one again', engine, LISTED]);
     expect((await forwarding.send('/write/', COMES_FIRST)).status).toBe(200);
   });
 
-  it('a first request waits where coming back would be too early, and is told to come back once it is not', async () => {
+  it('a first request waits while a retry would come too early, and is refused with Retry-After after that', async () => {
     tell({ switchAt: performance.now() + 3_800 });
     const sentAt = performance.now();
     const answer = await forwarding.send('/write/', COMES_FIRST);
@@ -126,7 +126,7 @@
     expect(Number(answer.headers['retry-after'])).toBe(2);
   });
 
-  it('a first request that waits is served by an engine that serves sooner than expected', async () => {
+  it('a first request that waits is served by an engine that becomes ready sooner than expected', async () => {
     tell({ switchAt: performance.now() + 4_000 });
     const answer = forwarding.send('/write/', COMES_FIRST);
     await sleep(300);
@@ -134,7 +134,7 @@
     expect(await answer).toMatchObject({ status: 200, body: 'served' });
   });
 
-  it('one that has waited is not given up for the queue that it then finds', async () => {
+  it('a request that has waited is not refused for a long queue after that', async () => {
     tell({ switchAt: performance.now() + 4_000 });
     const answer = forwarding.send('/write/', COMES_FIRST);
     await sleep(300);
@@ -142,7 +142,7 @@
     expect(await answer).toMatchObject({ status: 200, body: 'served' });
   });
 
-  it('an entry that has just started, and knows of engines without weights alone, lets a first request wait', async () => {
+  it('an entry that has just started, and knows only engines without weights, holds a first request', async () => {
     forwarding.list(['one', engine]);
     const answer = forwarding.send('/write/', COMES_FIRST);
     await sleep(300);
@@ -150,12 +150,12 @@
     expect(await answer).toMatchObject({ status: 200, body: 'served' });
   });
 
-  it('nobody waits for an engine that is put off again and again', async () => {
+  it('no request waits for an engine whose expected time is postponed repeatedly', async () => {
     const tellAgain = () => tell({ switchAt: performance.now() + 1_000 });
     tellAgain();
     const putOff = setInterval(tellAgain, 50);
     const first = await forwarding.send('/write/', COMES_AGAIN);
-    // One that waits does so for 1.7 s.
+    // A request that is held waits for 1.7 s.
     const isHeld = sleep(1_500).then(() => 'held');
     const second = await Promise.race([
       forwarding.send('/write/', COMES_AGAIN).then(({ status }) => status),
@@ -165,7 +165,7 @@
     expect([first.status, second]).toEqual([503, 503]);
   });
 
-  it('no more wait for the first slots than there are', async () => {
+  it('no more requests wait for the first slots than there are slots', async () => {
     tell({ switchAt: performance.now() + 1_000 });
     let refused = 0;
     const answers = Array.from({ length: 6 }, async () => {
@@ -184,7 +184,7 @@
     expect((await next).status).toBe(200);
   });
 
-  it('one without budget for a repetition is told when an engine is expected', async () => {
+  it('a request without retry budget is refused with a Retry-After at which an engine is expected', async () => {
     engine.answer(reply(421, '', { 'x-not-run': '1' }));
     forwarding.budget.allows = () => false;
     const second = await new StandInBackEnd(reply(200, 'served')).start();
@@ -202,7 +202,7 @@
 });
 
 describe('a request that an engine has refused', () => {
-  it('is counted as a repetition once it goes out again, not while it waits for capacity', async () => {
+  it('is charged as a repetition when it is sent again, not while it waits for capacity', async () => {
     engine.answer(reply(503, '', { 'x-not-run': '1' }));
     tell({ version: 1 });
     const second = await new StandInBackEnd(reply(200, 'served')).start();
@@ -221,7 +221,7 @@
     }
   });
 
-  it('is not counted where no engine takes it in the end', async () => {
+  it('is not charged if no engine takes it in the end', async () => {
     engine.answer(reply(503, '', { 'x-not-run': '1' }));
     tell({ version: 1 });
     expect((await forwarding.send('/write/', COMES_FIRST)).status).toBe(503);
@@ -231,14 +231,14 @@
 });
 
 describe('an engine whose version expires', () => {
-  it('gets requests while they can begin in time, whoever overtakes them', async () => {
+  it('gets requests while they can start before the expiry, even if others overtake them', async () => {
     tell({ version: 1 });
     forwarding.expireIn(3_000);
     expect((await forwarding.send('/write/', COMES_FIRST)).status).toBe(200);
     expect((await forwarding.send('/write/', COMES_AGAIN)).status).toBe(200);
   });
 
-  it('gets none that might begin too late: where its queue is long, or its load is not known', async () => {
+  it('gets no request that might start too late: if its queue is long, or its load unknown', async () => {
     forwarding.expireIn(2_000);
     tell({ version: 1, load: 12 });
     expect((await forwarding.send('/write/', COMES_FIRST)).status).toBe(503);
@@ -249,7 +249,7 @@
     expect((await forwarding.send('/write/', COMES_FIRST)).status).toBe(200);
   });
 
-  it('gives back what has not begun there in time, which another one serves', async () => {
+  it('has requests withdrawn that have not started in time, which another engine then serves', async () => {
     const next = await new StandInBackEnd(reply(200, 'served by the next')).start();
     engine.answer(() => {});
     tell({ version: 1 });
@@ -263,8 +263,8 @@
   });
 });
 
-describe('where every slot is taken', () => {
-  it('one that comes again waits for a slot, and leaves the queue of the engine to first ones', async () => {
+describe('while every slot is taken', () => {
+  it('a retry waits for a slot, and leaves the queue of the engine to first requests', async () => {
     tell({ version: 1, load: 4 });
     const again = forwarding.send('/write/', COMES_AGAIN);
     expect((await forwarding.send('/write/', COMES_FIRST)).status).toBe(200);
@@ -273,7 +273,7 @@
     expect((await again).status).toBe(200);
   });
 
-  it('a first request is refused at once where it could not begin in time', async () => {
+  it('a first request is refused at once if it could not meet its objective', async () => {
     tell({ version: 1, load: 40 });
     const answer = await forwarding.send('/write/', COMES_FIRST);
     expect(answer.status).toBe(503);
@@ -281,11 +281,11 @@
   });
 });
 
-describe('holding requests that come again', () => {
-  /** It would be held for 300 ms. */
+describe('holding retries of callers', () => {
+  /** A retry that is held for at most 300 ms. */
   const HELD_SHORTLY = { headers: { 'x-time-left': '1500' } };
 
-  /** Statuses of `count` requests at once, with the time that each took in milliseconds. */
+  /** Sends `count` requests at once; resolves with their statuses and durations in milliseconds. */
   async function wave(count: number): Promise<Array<{ status: number; took: number }>> {
     return Promise.all(
       Array.from({ length: count }, async () => {
@@ -298,7 +298,7 @@
 
   const isQuick = ({ took }: { took: number }) => took < 150;
 
-  it('ends where it was in vain: others are refused at once, but for a few that try', async () => {
+  it('stops after it has failed: further ones are refused at once, except for a few probes', async () => {
     tell({ version: 1, load: 4 });
     const first = await wave(12);
     expect(first.every(({ status }) => status === 503)).toBe(true);
@@ -309,7 +309,7 @@
     expect(second.filter(isQuick).length).toBe(8);
   });
 
-  it('begins again once those that try are served', async () => {
+  it('starts again once the probes are served', async () => {
     tell({ version: 1, load: 4 });
     await wave(12);
     for (let count = 0; count < 10; count++) {
--- a/test/forwarding/configuration-behind.test.ts
+++ b/test/forwarding/configuration-behind.test.ts
@@ -1,4 +1,4 @@
-/** Guards against refusing for good, with 404 or 401, what a configuration allows that is in force elsewhere already. */
+/** Guards against answering 404 or 401 to requests that a newer configuration, already in force elsewhere, allows. */
 import { afterEach, beforeEach, expect, it } from 'vitest';
 import type { FleetConfiguration } from '../../src/fleet/configuration.js';
 import { ForwardingHarness } from './forwarding-harness.js';
@@ -37,7 +37,7 @@
 const statusOf = async (path: string, key = 'key-a') =>
   (await forwarding.send(path, { headers: { 'x-key': key } })).status;
 
-it('a request that an entry does not know is to come back while a newer configuration is in force elsewhere', async () => {
+it('a request that an entry does not know gets a Retry-After while a newer configuration is in force elsewhere', async () => {
   forwarding.fleet.noteConfigurationElsewhere(2);
   const answer = await forwarding.send('/added/a');
   expect(answer.status).toBe(503);
@@ -46,7 +46,7 @@
   expect(await statusOf('/read/a')).toBe(200);
 });
 
-it('a request that no configuration allows is refused once the newest one is known', async () => {
+it('a request that no configuration allows is rejected once the newest one is known', async () => {
   forwarding.fleet.noteConfigurationElsewhere(2);
   forwarding.fleet.takeConfiguration({ document: Buffer.from(''), configuration: NEWER });
   forwarding.fleet.noteConfigurationElsewhere(1);
