--- a/test/forwarding/idle-connection.test.ts
+++ b/test/forwarding/idle-connection.test.ts
@@ -1,4 +1,7 @@
-/** Guards against requests without an answer: their connection was closed as idle before this process had read them. */
+/**
+ * Guards against closing a connection as idle while a request on it has not been read yet, so that the request got no answer.
+ * This happens if the process is stalled when the request arrives.
+ */
 import { connect, type Socket } from 'node:net';
 import { setTimeout as sleep } from 'node:timers/promises';
 import { afterEach, beforeEach, expect, it } from 'vitest';
@@ -8,7 +11,7 @@
 import { reply, StandInBackEnd } from './stand-in-back-end.js';
 
 const IDLE_TIMEOUT = 300;
-/** A request is sent this long before its connection would be closed; the process then stands still beyond that time. */
+/** The request is sent this long before its connection would be closed; the process is then stalled beyond that time. */
 const SENT_BEFORE_END = 100;
 const STANDSTILL = 500;
 
--- a/test/forwarding/last-send-expires.test.ts
+++ b/test/forwarding/last-send-expires.test.ts
@@ -1,17 +1,15 @@
 /**
- * Two requests began on a version 194 and 232 ms after it had expired. Each had lost its first engine, which closed the
- * connection without an answer, and waited 1.7 s in the queue of a second one. An entry takes back what has not begun 250 ms before
- * the bound, but it asked first whether the request may run once more; on a route that allows two engines it may not, as the
- * one that broke off counts as a run, and so the request was left where it was, to begin whenever its turn came.
+ * Guards against requests that start on an expired version: two did, 194 and 232 ms after the expiry. Each had lost its first
+ * engine, which closed the connection without an answer, and had waited 1.7 s in the queue of a second one.
  *
- * What settled it, from the entry's log of such a request, whose second engine came to it 194 ms after the bound:
+ * An entry withdraws requests that have not started 250 ms before the expiry. It used to check first whether the request may
+ * be sent again. On a route with two attempts it may not, as the broken attempt counts, so the request was not withdrawn. Log
+ * of such a request; first sends at the same time were withdrawn:
  *
  *     attempt failed                type=broken reason=ECONNRESET ageMs=13
  *     sent again                    reason=ECONNRESET sends=1
  *     sent                          send=2 version=1
  *     began on an expired version   version=1 expiredMs=198 send=2 sentMsAgo=1175
- *
- * Nothing was withdrawn in between, while first sends at the same moment were.
  */
 import { afterEach, beforeEach, describe, expect, it } from 'vitest';
 import { STREAM_ROUTE } from '../../bench/simulation/stream-route.js';
@@ -21,7 +19,10 @@
 import { ForwardingHarness } from './forwarding-harness.js';
 import { raw, reply, type Script, StandInBackEnd } from './stand-in-back-end.js';
 
-/** Time from the naming to the expiry of the version that engines hold, in milliseconds: enough for a request to go there. */
+/**
+ * Time from the naming of the next version to the expiry of the one that the engines hold, in milliseconds; long enough for a
+ * request to be sent there.
+ */
 const EXPIRES_IN = 1_000;
 const LISTED = { layers: { from: 0, end: ENGINE_LAYERS, version: 1 } };
 /** Time from the expiry to the start of the late requests, in milliseconds. */
@@ -31,11 +32,11 @@
 
 let engines: StandInBackEnd[];
 let forwarding: ForwardingHarness;
-/** Messages of the entry's log, with what became of attempts. */
+/** Messages of the entry's log; those of failed attempts with the type of the failure. */
 let logged: string[];
 let namedAt: number;
 
-/** Begins with a request `milliseconds` after the next version was told. */
+/** Answers a request `milliseconds` after the next version was named. */
 function beginsAt(milliseconds: number): Script {
   return (...call) => {
     const served = reply(200, 'served', { 'x-version': '1' });
@@ -55,7 +56,7 @@
   forwarding.expireIn(EXPIRES_IN);
 }
 
-/** Checks that requests were withdrawn, and that none waits at an engine any more. */
+/** Checks that requests were withdrawn, and that none is left at an engine. */
 async function expectWithdrawn(): Promise<void> {
   const text = await forwarding.metrics.text();
   expect(text).toMatch(/thistleway_version_withdrawals\{[^}]*\} [1-9]/);
@@ -76,9 +77,9 @@
   await Promise.all(engines.map((engine) => engine.stop()));
 });
 
-describe('a request that has not begun as the version of its engine expires is taken back', () => {
+describe('a request that has not started when the version of its engine expires is withdrawn', () => {
   it('on the last send that its route allows', async () => {
-    // Whichever engine gets it first breaks off; the other one comes to it after the bound.
+    // The engine that gets the request first breaks the connection; the other one starts it after the expiry.
     let arrivals = 0;
     const script: Script = (...call) => (++arrivals === 1 ? breaksOff : beginsAt(EXPIRES_IN + LATE))(...call);
     await serve([script, script]);
@@ -89,27 +90,27 @@
     expect(logged).not.toContain('began on an expired version');
   });
 
-  it('where its route allows no second send', async () => {
+  it('if its route allows no second send', async () => {
     await serve([silent], { repeatability: 'never', maxAttempts: 1 });
     expect((await forwarding.send('/write/')).status).toBe(502);
     await expectWithdrawn();
   });
 
-  it('where its body is not kept', async () => {
+  it('if its body is not buffered', async () => {
     await serve([silent]);
     const body = Buffer.alloc(100_000, 'x');
     expect((await forwarding.send('/write/', { method: 'POST', body })).status).toBe(502);
     await expectWithdrawn();
   });
 
-  it('where the budget has no repetition left', async () => {
+  it('if the retry budget is used up', async () => {
     await serve([silent, silent]);
     while (forwarding.budget.spend(performance.now()));
     expect((await forwarding.send('/write/')).status).toBe(502);
     await expectWithdrawn();
   });
 
-  it('though the head of an answer has come: a request begins with its first token', async () => {
+  it('even if the head of an answer has arrived, as a request starts with its first token', async () => {
     const head: Script = (request, response) => {
       response.writeHead(200, {
         'x-request': String(request.headers['x-request']),
