--- a/test/forwarding/request-timing.test.ts
+++ b/test/forwarding/request-timing.test.ts
@@ -1,4 +1,4 @@
-/** How a request waits, by its time. */
+/** Deadlines, wait limits and queue positions of requests. */
 import { describe, expect, it } from 'vitest';
 import { STREAM_ROUTE } from '../../bench/simulation/stream-route.js';
 import type { FleetConfiguration } from '../../src/fleet/configuration.js';
@@ -10,42 +10,42 @@
 const again = new RequestTiming(ARRIVED, STREAM_ROUTE, 4_000);
 
 describe('the time of a request', () => {
-  it('ends with its route or its caller, whichever is first', () => {
+  it('ends at the time-out of its route or of its caller, whichever comes first', () => {
     expect(first.deadline).toBe(ARRIVED + 6_000);
     expect(again.deadline).toBe(ARRIVED + 4_000);
     expect(new RequestTiming(ARRIVED, STREAM_ROUTE, undefined).deadline).toBe(ARRIVED + 6_000);
   });
 
-  it('tells a caller that comes again by what it has left', () => {
+  it('recognizes the retry of a caller by the time that it has left', () => {
     expect(first.isCallerRetry).toBe(false);
     expect(again.isCallerRetry).toBe(true);
     expect(new RequestTiming(ARRIVED, { ...STREAM_ROUTE, isStream: false }, 4_000).isCallerRetry).toBe(false);
   });
 
-  it('holds a first one for a moment, and one that comes again as long as it can still be served', () => {
+  it('holds a first request briefly, and a retry as long as it can still be served', () => {
     expect(first.holdDeadline(ARRIVED)).toBeLessThan(ARRIVED + 100);
     const short = new RequestTiming(ARRIVED, STREAM_ROUTE, 2_000);
     expect(short.holdDeadline(ARRIVED)).toBe(short.deadline - 1_200);
   });
 
-  it('holds none so long that its caller would leave before the first event', () => {
+  it('holds no request so long that its caller would leave before the first event', () => {
     expect(again.holdDeadline(ARRIVED)).toBe(ARRIVED + 2_400 - 700);
   });
 
-  it('lets a first one queue only as long as it can be in time, and never gives up what was sent for a wait', () => {
+  it('lets a first request queue only as long as it can meet its objective, and refuses none that was sent for a long queue', () => {
     expect(first.maxQueueWait(false)).toBe(240);
     expect(first.maxQueueWait(true)).toBe(1_800);
     expect(again.maxQueueWait(false)).toBe(1_800);
   });
 
-  it('lets a first one wait for a slot only as long as its first event can still come in time', () => {
+  it('lets a first request wait for a slot only as long as its first event can still meet the objective', () => {
     expect(first.slotWaitDeadline(ARRIVED, false, false)).toBe(ARRIVED + 200);
     expect(first.slotWaitDeadline(ARRIVED + 500, true, false)).toBe(ARRIVED + 500 + 1_800);
     expect(first.slotWaitDeadline(ARRIVED, false, true)).toBe(first.latestBegin);
     expect(again.slotWaitDeadline(ARRIVED, false, false)).toBe(again.latestBegin);
   });
 
-  it('puts first ones before those that come again, and those before late ones', () => {
+  it('puts first requests before retries, and retries before late requests', () => {
     expect(first.urgency(1, ARRIVED)).toBe(1);
     expect(again.urgency(1, ARRIVED)).toBeGreaterThan(first.urgency(MAX_RANK, ARRIVED));
     expect(first.urgency(1, ARRIVED + 401)).toBeGreaterThan(again.urgency(MAX_RANK, ARRIVED));
@@ -53,7 +53,7 @@
     expect(first.urgency(MAX_RANK, ARRIVED + 401)).toBe(9);
   });
 
-  it('puts more urgent kinds first among those that come again, and the most urgent among late ones', () => {
+  it('puts more urgent ranks first among retries, and the most urgent rank first among late requests', () => {
     for (let rank = 1; rank <= MAX_RANK; rank++) {
       expect(first.urgency(rank - 1, ARRIVED)).toBeLessThan(first.urgency(rank, ARRIVED));
       expect(again.urgency(rank - 1, ARRIVED)).toBeLessThan(again.urgency(rank, ARRIVED));
@@ -61,7 +61,7 @@
     expect(again.urgency(0, ARRIVED + 401)).toBeLessThan(again.urgency(1, ARRIVED + 401));
   });
 
-  it('knows no more ranks than the queue of a back end has places for', () => {
+  it('distinguishes no more ranks than the queue of a back end', () => {
     expect(first.urgency(MAX_RANK + 5, ARRIVED)).toBe(first.urgency(MAX_RANK, ARRIVED));
   });
 });
@@ -76,7 +76,7 @@
     tenants: tenants.map((priority, place) => ({ name: `t${place}`, keys: [`k${place}`], priority })),
   });
 
-  it('is its place among those of routes and tenants', () => {
+  it('is its position among the priorities of routes and tenants', () => {
     const table = new RouteTable(configuration([5, 2, 5], [7, undefined]));
     expect([2, 5, 7].map((priority) => table.rankOf(priority))).toEqual([0, 1, 2]);
   });
--- a/test/forwarding/standstill.test.ts
+++ b/test/forwarding/standstill.test.ts
@@ -1,4 +1,4 @@
-/** An entry that gets no processor for a while does not take that time for the silence of its back ends. */
+/** Guards against counting time in which the entry was not scheduled as silence of its back ends, and sending requests twice. */
 import { afterEach, beforeEach, expect, it } from 'vitest';
 import { STREAM_ROUTE } from '../../bench/simulation/stream-route.js';
 import type { FleetConfiguration } from '../../src/fleet/configuration.js';
@@ -6,9 +6,9 @@
 import { ForwardingHarness } from './forwarding-harness.js';
 import { events, StandInBackEnd } from './stand-in-back-end.js';
 
-/** Above the longest silence after which a request goes to another back end, in milliseconds. */
+/** Longer than any silence after which a request is sent to another back end, in milliseconds. */
 const STANDSTILL = 1_600;
-/** The back end answers after this, in milliseconds: within what it may take. */
+/** Time to the answer of the back end, in milliseconds; short enough not to count as silence. */
 const ANSWER_TIME = 200;
 
 const CONFIGURATION: FleetConfiguration = {
@@ -45,7 +45,7 @@
   await Promise.all(backEnds.map((backEnd) => backEnd.stop()));
 });
 
-it('a request is sent once though its entry stood still while the back end worked', async () => {
+it('a request is sent once although its entry was stalled while the back end worked', async () => {
   const answer = forwarding.send('/write/a');
   await new Promise((resolve) => setTimeout(resolve, ANSWER_TIME / 2));
   standStill(STANDSTILL);
--- a/test/forwarding/stream-cut-at-first-refusal.test.ts
+++ b/test/forwarding/stream-cut-at-first-refusal.test.ts
@@ -1,4 +1,4 @@
-/** A begun stream whose back end breaks off while no other one is free at that moment: it goes on once one is. */
+/** Guards against cutting a stream whose back end fails while no other one is free at that moment. */
 import { afterEach, beforeEach, describe, expect, it } from 'vitest';
 import type { FleetConfiguration } from '../../src/fleet/configuration.js';
 import type { SlotAnswers } from '../../src/forwarding/engine-slots.js';
@@ -9,7 +9,7 @@
 
 const EVENTS = 6;
 const BEFORE = 2;
-/** Until another back end is free, in milliseconds: well within a caller's patience. */
+/** Time until another back end is free, in milliseconds; much shorter than a caller's patience. */
 const BUSY = 250;
 
 const CONFIGURATION: FleetConfiguration = {
@@ -35,14 +35,14 @@
   'content-type': 'text/event-stream',
 });
 
-/** Writes the beginning of a stream and breaks off. */
+/** Writes the beginning of a stream and closes the connection. */
 const breaking: Script = (request, response) => {
   response.writeHead(200, head(request));
   response.write(events(1, BEFORE));
   setTimeout(() => response.destroy(), 50);
 };
 
-/** Writes what is left of a stream. */
+/** Resumes a stream and writes all that is left of it. */
 const goingOn: Script = (request, response) => {
   response.writeHead(200, head(request));
   response.end(events(Number(request.headers['last-event-id'] ?? 0) + 1, EVENTS));
@@ -56,7 +56,7 @@
   askForSlot = () => {};
   forwarding.slots = {
     ask: (_agent, _wish, answers) => {
-      // Agents answer by datagrams.
+      // Answers asynchronously, as agents answer by datagrams.
       setTimeout(() => askForSlot(answers), 1);
       return NOOP_CLAIM;
     },
@@ -70,14 +70,14 @@
   for (const backEnd of [one, ...others]) await backEnd.stop();
 });
 
-/** Answers as `first` for a while from now on, and then as one that goes on with streams. */
+/** Answers with `first` during `BUSY` from now on, and resumes streams after that. */
 function busyAtFirst(backEnd: StandInBackEnd, first: Script): void {
   const freeAt = performance.now() + BUSY;
   backEnd.answer((...call) => (performance.now() < freeAt ? first : goingOn)(...call));
 }
 
-describe('a begun stream whose back end breaks off', () => {
-  it('is not cut where the other back end is full for a moment', async () => {
+describe('a stream whose back end fails after its first events', () => {
+  it('is not cut if the other back end is full for a moment', async () => {
     const answering = forwarding.send('/write/a');
     await until(() => one.requests.length === 1, 'the request');
     busyAtFirst(others[0], refusal);
@@ -85,7 +85,7 @@
     expect(await answering).toMatchObject(whole);
   });
 
-  it('is not cut where all other back ends are full for a moment', async () => {
+  it('is not cut if all other back ends are full for a moment', async () => {
     const answering = forwarding.send('/write/a');
     await until(() => one.requests.length === 1, 'the request');
     for (const other of others) busyAtFirst(other, refusal);
@@ -96,7 +96,7 @@
     expect(await answering).toMatchObject(whole);
   });
 
-  it('is not cut where the agent of the other back end has no slot for a moment', async () => {
+  it('is not cut if the agent of the other back end has no slot for a moment', async () => {
     const answering = forwarding.send('/write/a');
     await until(() => one.requests.length === 1, 'the request');
     const freeAt = performance.now() + BUSY;
@@ -106,7 +106,7 @@
     expect(await answering).toMatchObject(whole);
   });
 
-  it('goes on at another one that is free', async () => {
+  it('is resumed at another one that is free', async () => {
     const answering = forwarding.send('/write/a');
     await until(() => one.requests.length === 1, 'the request');
     forwarding.list(['one', one], ['other', others[0]]);
--- a/test/forwarding/stream-cut-while-back-ends-are-full.test.ts
+++ b/test/forwarding/stream-cut-while-back-ends-are-full.test.ts
@@ -1,4 +1,4 @@
-/** A back end that breaks a stream off while all others are full for a moment: the stream waits for one of them. */
+/** Guards against cutting a stream whose back end fails while all others are full for a moment. */
 import { afterEach, beforeEach, expect, it } from 'vitest';
 import type { FleetConfiguration } from '../../src/fleet/configuration.js';
 import { until } from '../support.js';
@@ -35,7 +35,7 @@
   await Promise.all([one.stop(), two.stop()]);
 });
 
-/** The first request is broken off after two events; others are refused until `isFree`, and then go on. */
+/** Breaks the first request after two events; further ones are refused until `isFree`, and resumed after that. */
 function breakOffFirst(isFree: () => boolean): void {
   let requests = 0;
   const script: Parameters<StandInBackEnd['answer']>[0] = (request, response, body) => {
@@ -52,7 +52,7 @@
   two.answer(script);
 }
 
-it('a stream whose back end breaks off goes on once another one is free', async () => {
+it('a stream whose back end fails is resumed once another one is free', async () => {
   let isFree = false;
   breakOffFirst(() => isFree);
   setTimeout(() => {
@@ -62,14 +62,14 @@
   expect(answer).toMatchObject({ status: 200, whole: true, body: events(1, 6) });
 });
 
-it('a stream whose back end breaks off is cut where no other one is free before its caller gives up', async () => {
+it('a stream whose back end fails is cut if no other one is free before its caller gives up', async () => {
   breakOffFirst(() => false);
   const answer = await forwarding.send('/write/a');
   expect(answer).toMatchObject({ status: 200, whole: false, body: events(1, 2) });
   await until(() => forwarding.active === 0, 'the request has ended');
 });
 
-it('a stream whose back end breaks off is cut at once where no other one can ever go on with it', async () => {
+it('a stream whose back end fails is cut at once if no other one can ever resume it', async () => {
   forwarding.list(['one', one]);
   breakOffFirst(() => true);
   expect(await forwarding.send('/write/a')).toMatchObject({ whole: false, body: events(1, 2) });
