--- a/test/forwarding/stream-cut-while-back-end-pauses.test.ts
+++ b/test/forwarding/stream-cut-while-back-end-pauses.test.ts
@@ -1,4 +1,4 @@
-/** Guards against cutting or failing an answer whose back end pauses before another one has taken over. */
+/** Guards against cutting or failing an answer because its back end pauses before another one has taken over. */
 import type { ServerResponse } from 'node:http';
 import { afterEach, beforeEach, describe, expect, it } from 'vitest';
 import type { FleetConfiguration } from '../../src/fleet/configuration.js';
@@ -13,9 +13,9 @@
 const EVENTS_BEFORE_PAUSE = 2;
 /** Longer than the silence threshold and shorter than the request timeout, in milliseconds. */
 const PAUSE = 1_000;
-/** A pause that waits for something goes on for this long after it, in milliseconds. */
+/** Time by which a pause outlasts the condition that it waits for, in milliseconds. */
 const PAUSE_REST = 150;
-/** Time between two events after the pause, in milliseconds. */
+/** Interval between two events after the pause, in milliseconds. */
 const EVENT_INTERVAL = 15;
 const SEED = 43;
 
--- a/test/forwarding/stream-moves-off-switching-engine.test.ts
+++ b/test/forwarding/stream-moves-off-switching-engine.test.ts
@@ -1,4 +1,7 @@
-/** Guards against cutting or delaying streams at an engine that takes another version: they move before it, or end there. */
+/**
+ * Guards against cutting or delaying streams at an engine that switches to another version: they move to another engine
+ * before the switch, or complete where they are.
+ */
 import type { ServerResponse } from 'node:http';
 import { afterEach, beforeEach, describe, expect, it } from 'vitest';
 import { STREAM_ROUTE } from '../../bench/simulation/stream-route.js';
@@ -12,7 +15,7 @@
 const INTERVAL = 25;
 /** Events that the first engine sends before it gives notice of its switch. */
 const EVENTS_BEFORE_NOTICE = 3;
-/** Time for some looks at the open attempts, in milliseconds. */
+/** Time in which open attempts are checked several times, in milliseconds. */
 const SEVERAL_CHECKS = 300;
 
 const whole = { status: 200, whole: true, body: events(1, EVENTS) };
@@ -95,8 +98,8 @@
   await Promise.all([switching.stop(), other.stop()]);
 });
 
-describe('a stream at an engine that is about to take another version', () => {
-  it('goes on at another engine, with each event once', async () => {
+describe('a stream at an engine that is about to switch to another version', () => {
+  it('is resumed at another engine, with each event once', async () => {
     await serve();
     const { answer } = await beginStream();
     giveNotice();
@@ -126,7 +129,7 @@
     ['fails before its first event', (_request, response) => response.destroy()],
     ['answers with an error', reply(500, 'mine')],
     ['sends nothing', () => {}],
-  ])('ends at its engine where the other one %s', async (_how, script) => {
+  ])('completes at its engine if the other one %s', async (_how, script) => {
     await serve();
     resumeWith(script);
     const { answer } = await beginStream();
@@ -136,7 +139,7 @@
     expect(switching.cancelled).toBe(0);
   });
 
-  it('is not held up by an engine that is slow to resume it', async () => {
+  it('is not delayed by an engine that is slow to resume it', async () => {
     await serve({ longestPause: 150 });
     resumeWith(() => {});
     const { answer } = await beginStream();
@@ -147,7 +150,7 @@
     expect(await answer).toMatchObject(whole);
   });
 
-  it('goes on at the other engine where its own breaks off during the move', async () => {
+  it('is resumed at the other engine if its own fails during the move', async () => {
     await serve({ longestPause: 2_000 });
     resumeWith(stream(undefined, SEVERAL_CHECKS));
     const { answer } = await beginStream();
@@ -162,7 +165,7 @@
     ['may not be sent again', { maxAttempts: 1 }, 1],
     ['may not be resumed', { repeatability: 'never' }, 1],
     ['has no other engine of its version', {}, 2],
-  ])('ends at its engine where it %s', async (_why, route, version) => {
+  ])('completes at its engine if it %s', async (_why, route, version) => {
     await serve(route);
     const { answer } = await beginStream(version);
     giveNotice();
@@ -171,7 +174,7 @@
     expect(switching.cancelled).toBe(0);
   });
 
-  it('ends at its engine where the budget has no repetition', async () => {
+  it('completes at its engine if the retry budget is used up', async () => {
     await serve();
     forwarding.budget.spend = () => false;
     const { answer } = await beginStream();
--- a/test/forwarding/streams-cut-by-joint-drop.test.ts
+++ b/test/forwarding/streams-cut-by-joint-drop.test.ts
@@ -1,4 +1,4 @@
-/** Engines that switch drop what runs there: an entry must be able to go on with all of it elsewhere. */
+/** Guards against cutting streams when engines drop their requests to switch versions, but others cannot resume all of them. */
 import type { ServerResponse } from 'node:http';
 import { afterEach, beforeEach, expect, it } from 'vitest';
 import { STREAM_ROUTE } from '../../bench/simulation/stream-route.js';
@@ -10,11 +10,11 @@
 import { events, reply, type Script, StandInBackEnd } from './stand-in-back-end.js';
 
 const SLOTS = 8;
-/** As many as an engine takes beside its slots. */
+/** Number of requests that an engine accepts beyond its slots. */
 const QUEUE = 2;
 const EVENTS = 20;
 const INTERVAL = 40;
-/** Streams at each engine that switches. */
+/** Number of streams at each engine that switches. */
 const LOAD = 5;
 
 const CONFIGURATION: FleetConfiguration = {
@@ -22,7 +22,7 @@
   routes: [{ ...STREAM_ROUTE, objective: 2_000, longestPause: 500, timeout: 5_000 }],
 };
 
-/** An engine that refuses what exceeds its slots and its queue. */
+/** An engine that refuses requests beyond its slots and its queue. */
 class Engine {
   readonly running = new Set<ServerResponse>();
   readonly backEnd = new StandInBackEnd((...call) => this.#run(...call));
@@ -48,7 +48,7 @@
     });
   };
 
-  /** Drops what runs, as at an order. */
+  /** Cuts all running requests, as after an order to switch. */
   drop(): void {
     for (const response of this.running) response.destroy();
   }
@@ -103,7 +103,7 @@
   for (const engine of [first, second, third]) answers.push(...(await fill(engine, LOAD)));
   list(engines);
   await new Promise((resolve) => setTimeout(resolve, 2 * INTERVAL));
-  // Each agent has given notice, as its wave is the same in each zone; each plan is reckoned for one engine.
+  // All agents have given notice, as each zone switches in the same wave; but each plan is made for one engine alone.
   const switching = [first, second, third];
   const dropping = switching.filter((engine) => {
     const others = engines.filter((other) => other !== engine);
@@ -137,7 +137,7 @@
   const [answer] = await fill(first, 1);
   await new Promise((resolve) => setTimeout(resolve, 2 * INTERVAL));
   list([first, second]);
-  // The last wave goes this long before that; the agent of the other engine says nothing.
+  // The last wave switches this long before the expiry; the agent of the other engine does not report.
   forwarding.expireIn(1_600);
   const mayDrop = canMoveRequests(CONFIGURATION.routes, stateOf(first), [stateOf(second)]);
   if (mayDrop) first.drop();
