--- a/test/forwarding/restart-order.test.ts
+++ b/test/forwarding/restart-order.test.ts
@@ -1,6 +1,6 @@
 /**
- * Whatever order the news of a back end's starts come in, and whichever are lost: nothing of an older start is used once a
- * newer one is known, what is known of one start never mixes with another, and nothing of an older start is kept for good.
+ * Property tests of a back end that restarts, with reports that arrive in any order or not at all. No state of an older start
+ * is used once a newer one is known, state of two starts is never mixed, and no state of an older start is kept forever.
  */
 import fc from 'fast-check';
 import { describe, expect, it } from 'vitest';
@@ -21,15 +21,15 @@
 import { ENGINE_CONFIGURATION, ENGINE_LAYERS } from './engine-configuration.js';
 
 const RUNS = 400;
-/** Most steps of a run. */
+/** Maximum number of steps of a run. */
 const STEPS = 80;
 const ID = 'one';
 const ADDRESS = '127.0.0.1:1';
 const FIRST_START = 1_000_000;
-/** Entries and reports of the present start that must suffice to put everything right. */
+/** Number of records and reports of the present start after which the state must be correct. */
 const SETTLING = ENTRIES_TO_BELIEVE + 1;
 
-/** What happens; `pick` chooses among what is there. */
+/** One step of a run; `pick` chooses among the available items. */
 type Step =
   | { type: 'restart'; clockStep: number }
   | { type: 'write' }
@@ -42,29 +42,29 @@
   | { type: 'ask' }
   | { type: 'answerFails'; pick: number };
 
-/** News on their way to the entry. */
+/** A message on its way to the entry. */
 type News =
   | { type: 'entry'; record: BackEndRecord }
   | { type: 'report'; start: number; follows: number | undefined }
   | { type: 'load'; load: BackEndLoad }
   | { type: 'list'; state: BackEndListState };
 
-/** A back end that restarts, and an entry that hears of it in any order. */
+/** A back end that restarts, and an entry that gets messages about it in any order. */
 class RestartWorld {
   readonly fleet = new FleetView();
   readonly table = new BackEndTable();
   readonly selector: BackEndSelector;
-  /** What another entry has read. */
+  /** The list that another entry has read. */
   readonly peer = new BackEndList();
-  /** The starts in the order in which they were. */
+  /** The starts in chronological order. */
   readonly starts = [FIRST_START];
-  /** The place of the newest start of which news have come. */
+  /** Index of the newest start about which a message has arrived. */
   newestTold = -1;
   readonly asked: BackEndRow[] = [];
   readonly failed = new Set<BackEndRow>();
   #revision = 0;
   #pool: News[] = [];
-  /** Entries of each start that came after news of a newer one. */
+  /** Records of each start that arrived after a message about a newer one. */
   readonly #late = new Map<number, Set<number>>();
 
   constructor() {
@@ -104,7 +104,7 @@
     else this.#pass(step.type, step.pick);
   }
 
-  /** Everything that is on its way is lost, and the present start goes on as usual. */
+  /** Loses all messages on their way, and then delivers messages of the present start only. */
   settle(): void {
     this.#pool = [];
     for (let round = 0; round < SETTLING; round++) {
@@ -125,7 +125,7 @@
       const row = this.table.rowAt(ADDRESS, news.start);
       if (row !== undefined) this.fleet.takeStart({ id: ID, start: news.start }, news.follows);
       this.table.takeNews(ADDRESS, this.#engineNews(news.start));
-      // A report says nothing while no entry has told whose address it is.
+      // A report has no effect while no record has assigned its address to a back end.
       if (isListed) this.#noteTold(news.start);
     } else if (news.type === 'load') this.table.takeLoads('peer', [news.load]);
     else {
@@ -135,7 +135,7 @@
     }
   }
 
-  /** What is known of one start, found at another. */
+  /** Kinds of state that belong to another start than the one at which they were found. */
   mixed(): string[] {
     const { row } = this;
     if (row === undefined) return [];
@@ -156,12 +156,12 @@
     return found;
   }
 
-  /** The place of the start that the entry takes for the present one; -1 for none. */
+  /** Index of the start that the entry considers the present one; -1 for none. */
   get believed(): number {
     return this.row === undefined ? -1 : this.#placeOf(this.row.record.start!);
   }
 
-  /** So many entries of one start do not come after news of a newer one, as each reading shows the latest alone. */
+  /** True for records that cannot arrive: a read returns only the latest, so few come after a message about a newer start. */
   #isLost({ start, revision }: BackEndRecord): boolean {
     if (this.#placeOf(start!) >= this.newestTold) return false;
     const late = this.#late.get(start!) ?? new Set();
@@ -198,7 +198,7 @@
     return { type: 'entry', record };
   }
 
-  /** The agent may not have seen the start before, as after a restart of its own. */
+  /** Creates a report; the agent may not have seen the previous start, as after a restart of its own. */
   #report(): News & { type: 'report' } {
     const follows = this.#revision % 2 === 0 ? this.starts.at(-2) : undefined;
     return { type: 'report', start: this.present, follows };
@@ -240,7 +240,7 @@
     if (this.row !== undefined) this.asked.push(this.row);
   }
 
-  /** An answer comes to a request that was sent some time ago. */
+  /** Fails a request that was sent some time ago. */
   #failAnswer(pick: number): void {
     if (this.asked.length === 0) return;
     const row = this.asked[pick % this.asked.length];
@@ -276,12 +276,12 @@
 ];
 const restartWith = (clockStep: fc.Arbitrary<number>): fc.Arbitrary<Step> =>
   fc.record({ type: fc.constant('restart'), clockStep });
-/** Clocks go forward, and what a start writes is written before the next one begins. */
+/** Clocks go forward, and a start writes its last record before the next one begins. */
 const orderly = fc.array(fc.oneof(...common, restartWith(fc.integer({ min: 1, max: 5_000 }))), {
   maxLength: STEPS,
   size: 'max',
 });
-/** Clocks step back too, and the last entry of a start may be written after the first of the next. */
+/** Clocks may step back too, and the last record of a start may be written after the first of the next. */
 const disorderly = fc.array(
   fc.oneof(
     ...common,
@@ -291,7 +291,7 @@
   { maxLength: STEPS, size: 'max' },
 );
 
-describe('news of starts in any order', () => {
+describe('messages about starts in any order', () => {
   it('never bring an older start back once a newer one is known', () => {
     fc.assert(
       fc.property(orderly, (steps) => {
@@ -306,7 +306,7 @@
     );
   });
 
-  it('never mix what is known of two starts, nor keep an older one for good, also where clocks step back', () => {
+  it('never mix state of two starts, nor keep an older one forever, even if clocks step back', () => {
     fc.assert(
       fc.property(disorderly, (steps) => {
         const world = new RestartWorld();
@@ -325,7 +325,7 @@
 });
 
 describe('an agent whose calls to its engine overlap', () => {
-  /** A call begins, the engine answers after a while with the start that it has then, and the answer comes later yet. */
+  /** A call: the engine answers after `after` with its start at that time, and the answer arrives `back` later. */
   const call = fc.record({
     askedAt: fc.nat({ max: 500 }),
     after: fc.nat({ max: 60 }),
@@ -338,7 +338,7 @@
     },
   );
 
-  it('never goes back to a former start where clocks go forward, and knows the present one after a call of its own', () => {
+  it('never returns to a previous start if clocks go forward, and knows the present one after a call that does not overlap', () => {
     fc.assert(
       fc.property(
         fc.array(call, { minLength: 1, maxLength: 20, size: 'max' }),
@@ -370,7 +370,7 @@
     );
   });
 
-  it('gives out no slot that a former start has, whatever is asked, granted, given back and lost', () => {
+  it('grants no slot of a previous start, whatever is requested, granted, released and lost', () => {
     const step = fc.oneof(
       fc.record({ type: fc.constant('ask' as const), id: fc.nat({ max: 12 }) }),
       fc.record({ type: fc.constant('release' as const), id: fc.nat({ max: 12 }) }),
--- a/test/forwarding/restart.test.ts
+++ b/test/forwarding/restart.test.ts
@@ -1,4 +1,4 @@
-/** Back ends that start again under their id: nothing that was remembered of the former start is used for the next. */
+/** Guards against using state of a back end's previous process start for the next one, which has the same id. */
 import { afterEach, beforeEach, describe, expect, it, vi } from 'vitest';
 import { BackEndSet } from '../../src/fleet/back-end-identity.js';
 import { BackEndLimits } from '../../src/forwarding/back-end-limits.js';
@@ -43,7 +43,7 @@
   await backEnd.stop();
 });
 
-/** The list tells of a start of the back end. */
+/** Lists the back end with this process start. */
 function start(which: number, isLoaded: boolean): void {
   forwarding.list(['one', backEnd, { start: which, layers: isLoaded ? LAYERS : undefined }]);
 }
@@ -52,7 +52,7 @@
   return forwarding.backEnds.rows.get('one')!;
 }
 
-/** The agent tells that the engine of this start holds version 1 and has 3 requests. */
+/** Reports, as the agent, that the engine with this process start holds version 1 and has 3 requests. */
 function tell(which: number | undefined): void {
   forwarding.backEnds.takeNews(backEnd.address, engineNews(which));
 }
@@ -70,8 +70,8 @@
   };
 }
 
-describe('a back end that starts again under its id', () => {
-  it('has nothing in flight, unread or failed, and none of the marks and figures of before', async () => {
+describe('a back end that restarts with the same id', () => {
+  it('has no requests in flight, no failures, and no other state of the previous start', async () => {
     await forwarding.send('/again/');
     tell(FORMER);
     forwarding.backEnds.takeLoads('other', [{ id: 'one', start: FORMER, inFlight: 7 }]);
@@ -96,13 +96,13 @@
     expect([...forwarding.backEnds.ofService('engines')]).toEqual([row()]);
   });
 
-  it('gets its requests over new connections, and the kept ones to the former start close', async () => {
+  it('gets its requests over new connections, and kept-alive ones to the previous start are closed', async () => {
     const proxy = await new SilentProxy(backEnd.address).start();
     const listed = { address: proxy.address, layers: LAYERS };
     forwarding.list(['one', backEnd, { ...listed, start: FORMER + 1 }]);
     await forwarding.send('/again/');
     expect(proxy.open).toBe(1);
-    // What a kept connection to the former start carries does not reach the next one.
+    // Data on a kept-alive connection to the previous start does not reach the next one.
     proxy.silence();
     forwarding.list(['one', backEnd, { ...listed, start: NEXT }]);
     expect((await forwarding.send('/again/')).status).toBe(200);
@@ -110,7 +110,7 @@
     await proxy.stop();
   });
 
-  it('is not what late news of the former start tell, from its agent or from other entries', () => {
+  it('ignores late reports on the previous start, from its agent or from other entries', () => {
     start(NEXT, false);
     tell(FORMER);
     expect(row().news).toBeUndefined();
@@ -121,7 +121,7 @@
     expect(row()).toMatchObject({ inFlightElsewhere: 2, news: { load: 3 } });
   });
 
-  it('is found by the report of its agent before the store tells', () => {
+  it('is recognized by the report of its agent before the store lists it', () => {
     const former = row();
     forwarding.takeEngineStart(backEnd.address, NEXT);
     tell(NEXT);
@@ -132,7 +132,7 @@
     expect(row().record).toMatchObject({ start: NEXT, layers: undefined });
   });
 
-  it('does not make the connections to others suspect by those to its former start', () => {
+  it('does not make connections to others suspect because of those to its previous start', () => {
     const two = ['two', backEnd, { address: '127.0.0.1:1' }] as const;
     const three = ['three', backEnd, { address: '127.0.0.1:2' }] as const;
     const listWith = (which: number) =>
@@ -150,7 +150,7 @@
     expect(closes).toHaveBeenCalled();
   });
 
-  it('is told to others with its start', async () => {
+  it('is reported to other entries with its start', async () => {
     backEnd.answer(silent);
     const sent = forwarding.open('/again/');
     await until(() => row().inFlight === 1, 'the request there');
@@ -160,7 +160,7 @@
     sent.destroy();
   });
 
-  it('may get a request that the former start refused', () => {
+  it('may get a request that the previous start refused', () => {
     const { fleet, backEnds } = forwarding;
     const selector = new BackEndSelector({
       fleet,
@@ -190,7 +190,7 @@
     expect(selector.select(requirements)?.row).toBe(row());
   });
 
-  it('gets no request again that may run once and was sent to the former start', async () => {
+  it('does not get a request that may run only once and was sent to the previous start', async () => {
     let cut = () => {};
     backEnd.answer((request) => {
       cut = () => request.socket.destroy();
@@ -200,12 +200,12 @@
     start(NEXT, true);
     backEnd.answer(reply(200, 'done'));
     cut();
-    // Not "not run": it may have run before the restart.
+    // 502 and not 503, as the request may have run before the restart.
     expect((await answering).status).toBe(502);
     expect(backEnd.requests).toHaveLength(1);
   });
 
-  it('gets a request again that may run more than once, and its failure at the former start is not held against it', async () => {
+  it('gets a request that may run more than once, and its health does not include the failure at the previous start', async () => {
     let cut = () => {};
     backEnd.answer((request) => {
       cut = () => request.socket.destroy();
@@ -219,7 +219,7 @@
     expect(row().health.failureShare).toBe(0);
   });
 
-  it('may refuse a request that the former start had: that one may have run all the same', async () => {
+  it('may refuse a request that was sent to the previous start, which still may have run it', async () => {
     let cut = () => {};
     backEnd.answer((request) => {
       cut = () => request.socket.destroy();
@@ -233,7 +233,7 @@
     expect(backEnd.requests).toHaveLength(2);
   });
 
-  it('gives no request a slot that its former start granted', async () => {
+  it('gets no request for a slot that its previous start granted', async () => {
     const asked: SlotAnswers[] = [];
     const release = vi.fn();
     const other = new ForwardingHarness('engines');
@@ -258,14 +258,14 @@
     await other.stop();
   });
 
-  it('is the same one where no start is told', () => {
+  it('is considered the same if no start is stated', () => {
     forwarding.list(['plain', backEnd, { layers: LAYERS }]);
     const known = forwarding.backEnds.rows.get('plain');
     forwarding.list(['plain', backEnd, { layers: LAYERS, slots: 8 }]);
     expect(forwarding.backEnds.rows.get('plain')).toBe(known);
     tell(undefined);
     expect(known?.news).toMatchObject({ load: 3 });
-    // As it is after its way in a message.
+    // `undefined` becomes `null` when it is encoded in a message.
     forwarding.backEnds.takeLoads('other', [
       { id: 'plain', start: null as unknown as undefined, inFlight: 2 },
     ]);
