--- a/src/forwarding/attempt-watch.ts
+++ b/src/forwarding/attempt-watch.ts
@@ -6,11 +6,11 @@
 import type { BackEndRow, BackEndTable } from './back-end-table.js';
 import type { BackEndUse } from './back-end-use.js';
 import type { CompletionEstimate } from './completion-estimate.js';
-import { outcomeAtTimeout } from './request-outcome.js';
+import { healthOutcomeAtTimeout } from './request-outcome.js';
 import { type Silence, silenceOf } from './silence.js';
 
 /** Timeout for opening a new connection, in milliseconds. */
-const CONNECT_LIMIT = 400;
+const CONNECT_TIMEOUT = 400;
 
 export interface AttemptWatchComponents {
   backEnds: BackEndTable;
@@ -50,7 +50,7 @@
     const { attempt } = use;
     this.#request.completionEstimate.noteProgress(attempt, now);
     if (!attempt.sent) {
-      if (standstills.runningTime(attempt.startedAt, now) > CONNECT_LIMIT)
+      if (standstills.runningTime(attempt.startedAt, now) > CONNECT_TIMEOUT)
         attempt.fail('no connection in time');
       return;
     }
@@ -65,7 +65,7 @@
   noteTimeout(use: BackEndUse): void {
     const { backEnds } = this.#components;
     if (use.attempt.isOnSilentConnection) use.suspectConnections(backEnds);
-    const outcome = outcomeAtTimeout(use);
+    const outcome = healthOutcomeAtTimeout(use);
     if (outcome !== undefined) this.#noteHealth(use.row, outcome, performance.now());
   }
 
--- a/src/forwarding/forwarded-request.ts
+++ b/src/forwarding/forwarded-request.ts
@@ -40,7 +40,7 @@
 import { holdOutcomeOf, outcomeOfEnding, type RequestEnding } from './request-ending.js';
 import { fingerprintsOf } from './request-fingerprint.js';
 import { RequestLog } from './request-log.js';
-import { outcomeOf } from './request-outcome.js';
+import { healthOutcomeOf } from './request-outcome.js';
 import { retryAfterForCapacity, retryAfterForOtherProcess } from './retry-after.js';
 import { SendPolicy } from './send-policy.js';
 import { StreamMove } from './stream-move.js';
@@ -126,10 +126,10 @@
    * begun to answer, if the request has such content.
    */
   onQuarantined(fingerprints: ReadonlySet<Fingerprint>): void {
-    const isWaiting = !this.#settled && this.#search?.isUnderWay;
-    if (this.#openAttempts.size === 0 && !isWaiting) return;
+    const isSearching = !this.#settled && this.#search?.isUnderWay;
+    if (this.#openAttempts.size === 0 && !isSearching) return;
     if (!this.#content.isAmong(fingerprints) || this.#content.mayBeSent) return;
-    if (isWaiting) this.#giveUpQuarantined();
+    if (isSearching) this.#giveUpQuarantined();
     for (const { attempt, hasBegun } of this.#openAttempts.all())
       if (!hasBegun) attempt.withdraw('quarantined');
   }
@@ -474,7 +474,7 @@
     this.#log.noteFailure(use, failure);
     if (failure.type === 'broken' && failure.isLost) this.#content.noteBroken(row);
     if (failure.type === 'withdrawn') this.#components.expiryFigures.withdrawn++;
-    this.#openAttempts.close(use, outcomeOf(failure));
+    this.#openAttempts.close(use, healthOutcomeOf(failure));
     const isKept = this.#answer.started || this.#openAttempts.size > 0;
     if (isKept && (failure.type === 'refused' || failure.type === 'notSent')) this.#policy.allowResend(row);
     if (mayHaveReachedBackEnd(failure)) this.#policy.noteRepetition();
--- a/src/forwarding/request-outcome.ts
+++ b/src/forwarding/request-outcome.ts
@@ -20,7 +20,7 @@
  * Health outcome for a back end at the time-out of a request: it is silent if it has sent nothing, unless only its connection
  * is silent.
  */
-export function outcomeAtTimeout({
+export function healthOutcomeAtTimeout({
   attempt,
   hasAnswered,
   isOvertaken,
@@ -32,7 +32,7 @@
 }
 
 /** Health outcome for the back end of a failed attempt; undefined if the failure tells nothing about it. */
-export function outcomeOf(failure: AttemptFailure): BackEndOutcome | undefined {
+export function healthOutcomeOf(failure: AttemptFailure): BackEndOutcome | undefined {
   if (failure.type === 'withdrawn') return undefined;
   if (failure.type === 'refused') return failure.status === MISDIRECTED ? 'misdirected' : 'overloaded';
   if (failure.type === 'notSent') return 'silent';
--- a/test/forwarding/caller-gone.test.ts
+++ b/test/forwarding/caller-gone.test.ts
@@ -65,7 +65,7 @@
 }
 
 /** Ways in which a caller closes its connection. */
-const ENDINGS: Array<[name: string, go: (socket: Socket) => void]> = [
+const CLOSE_MODES: Array<[name: string, go: (socket: Socket) => void]> = [
   ['closes', (socket) => socket.destroy()],
   ['resets', (socket) => socket.resetAndDestroy()],
   ['half-closes', (socket) => socket.end()],
@@ -75,12 +75,12 @@
 async function expectEnded(go: (socket: Socket) => void, socket: Socket): Promise<void> {
   go(socket);
   const goneAt = performance.now();
-  await until(() => backEnd.open === 0 && isGivenUp(), 'the end of it');
+  await until(() => backEnd.open === 0 && hasNoRequestInFlight(), 'the end of it');
   expect(performance.now() - goneAt).toBeLessThan(ENDED_WITHIN);
 }
 
 /** True once the forwarding server counts no request in progress at any back end. */
-function isGivenUp(): boolean {
+function hasNoRequestInFlight(): boolean {
   return [...forwarding.backEnds.rows.values()].every(({ inFlight }) => inFlight === 0);
 }
 
@@ -110,7 +110,7 @@
   fill();
 };
 
-describe.each(ENDINGS)('a caller that %s', (_name, go) => {
+describe.each(CLOSE_MODES)('a caller that %s', (_name, go) => {
   it('while its back end works', async () => {
     const socket = await caller(head('GET', '/read/'));
     await until(() => backEnd.requests.length === 1, 'the request');
@@ -150,12 +150,12 @@
     // A back end that does not read cannot detect the close, which comes after the data that it has not read.
     go(socket);
     const goneAt = performance.now();
-    await until(isGivenUp, 'the end of it');
+    await until(hasNoRequestInFlight, 'the end of it');
     expect(performance.now() - goneAt).toBeLessThan(ENDED_WITHIN);
   });
 
   it('while its request waits for a connection to the back end', async () => {
-    const unanswered = await fullListener();
+    const unanswered = await listenerWithFullBacklog();
     forwarding.list(['two', { address: unanswered } as StandInBackEnd]);
     const socket = await caller(head('GET', '/read/'));
     await until(() => forwarding.active === 1, 'the request');
@@ -205,7 +205,7 @@
 });
 
 /** Listens and then blocks its event loop, so that connections beyond its backlog are not accepted. */
-const STANDS_STILL = `
+const BLOCKED_LISTENER = `
   const { parentPort } = require('node:worker_threads');
   const server = require('node:net').createServer();
   server.listen({ port: 0, host: '127.0.0.1', backlog: 1 }, () => {
@@ -215,8 +215,8 @@
 `;
 
 /** Address of a listener whose backlog is full, so that new connections to it are not established. */
-async function fullListener(): Promise<string> {
-  const worker = new Worker(STANDS_STILL, { eval: true });
+async function listenerWithFullBacklog(): Promise<string> {
+  const worker = new Worker(BLOCKED_LISTENER, { eval: true });
   started.push(() => void worker.terminate());
   const port = await new Promise<number>((resolve) => worker.once('message', resolve));
   await new Promise((resolve) => setTimeout(resolve, 50));
--- a/test/forwarding/capacity.test.ts
+++ b/test/forwarding/capacity.test.ts
@@ -13,14 +13,14 @@
 
 const LISTED = { layers: { from: 0, end: LAYERS, version: 1 } };
 /** The retry of a caller that has used two seconds of its time before. */
-const COMES_AGAIN = { headers: { 'x-time-left': String(TIMEOUT - 2_000) } };
-const COMES_FIRST = { headers: { 'x-time-left': String(TIMEOUT) } };
+const RETRY = { headers: { 'x-time-left': String(TIMEOUT - 2_000) } };
+const FIRST_REQUEST = { headers: { 'x-time-left': String(TIMEOUT) } };
 
 let engine: StandInBackEnd;
 let forwarding: ForwardingHarness;
 
 /** Reports the current state of an engine as its agent does. */
-function tell(news: Partial<EngineNews>, of = engine): void {
+function report(news: Partial<EngineNews>, of = engine): void {
   forwarding.tell(of, news);
 }
 
@@ -38,31 +38,31 @@
 
 describe('an engine that lost its weights', () => {
   it('gets no request although the list still has them', async () => {
-    tell({ version: 0 });
-    expect((await forwarding.send('/write/', COMES_FIRST)).status).toBe(503);
+    report({ version: 0 });
+    expect((await forwarding.send('/write/', FIRST_REQUEST)).status).toBe(503);
     expect(engine.requests).toHaveLength(0);
   });
 
   it('is judged by the list if its agent does not reach it', async () => {
-    tell({ version: 0, isReached: false });
-    expect((await forwarding.send('/write/', COMES_FIRST)).status).toBe(200);
+    report({ version: 0, isReached: false });
+    expect((await forwarding.send('/write/', FIRST_REQUEST)).status).toBe(200);
   });
 
   it('is judged by the list once the last report of its agent is too old', async () => {
-    tell({ version: 0, toldAt: performance.now() - 10_000 });
-    expect((await forwarding.send('/write/', COMES_FIRST)).status).toBe(200);
+    report({ version: 0, toldAt: performance.now() - 10_000 });
+    expect((await forwarding.send('/write/', FIRST_REQUEST)).status).toBe(200);
   });
 });
 
 describe('an engine that answers that it is not the expected one', () => {
   it('gets no request until its agent reports again', async () => {
     engine.answer(reply(421, '', { 'x-not-run': '1' }));
-    expect((await forwarding.send('/write/', COMES_FIRST)).status).toBe(503);
-    expect((await forwarding.send('/write/', COMES_FIRST)).status).toBe(503);
+    expect((await forwarding.send('/write/', FIRST_REQUEST)).status).toBe(503);
+    expect((await forwarding.send('/write/', FIRST_REQUEST)).status).toBe(503);
     expect(engine.requests).toHaveLength(1);
     engine.answer(reply(200, 'served'));
-    tell({ version: 1 });
-    expect((await forwarding.send('/write/', COMES_FIRST)).status).toBe(200);
+    report({ version: 1 });
+    expect((await forwarding.send('/write/', FIRST_REQUEST)).status).toBe(200);
   });
 });
 
@@ -70,34 +70,34 @@
   it.each(['Infinity,1', '1,Infinity', '1e400,1e400', '-1e400,1'])(
     'does not affect other requests: %s',
     async (tokens) => {
-      tell({ version: 1, switchAt: performance.now() + 60_000 });
-      const headers = { ...COMES_FIRST.headers, 'x-tokens': tokens };
+      report({ version: 1, switchAt: performance.now() + 60_000 });
+      const headers = { ...FIRST_REQUEST.headers, 'x-tokens': tokens };
       expect((await forwarding.send('/write/', { headers })).status).toBe(200);
-      expect((await forwarding.send('/write/', COMES_FIRST)).status).toBe(200);
+      expect((await forwarding.send('/write/', FIRST_REQUEST)).status).toBe(200);
       forwarding.drain.begin(performance.now());
-      expect((await forwarding.send('/write/', COMES_FIRST)).status).toBe(200);
+      expect((await forwarding.send('/write/', FIRST_REQUEST)).status).toBe(200);
     },
   );
 });
 
 describe('while no engine serves', () => {
   it('a first request is refused with a Retry-After at which one is expected', async () => {
-    tell({ switchAt: performance.now() + 1_000 });
-    const answer = await forwarding.send('/write/', COMES_FIRST);
+    report({ switchAt: performance.now() + 1_000 });
+    const answer = await forwarding.send('/write/', FIRST_REQUEST);
     expect(answer.status).toBe(503);
     expect(Number(answer.headers['retry-after'])).toBeGreaterThanOrEqual(1);
   });
 
   it('a retry waits for an engine that is expected before its deadline, and is served by it', async () => {
-    tell({ switchAt: performance.now() + 300 });
-    const answer = forwarding.send('/write/', COMES_AGAIN);
-    setTimeout(() => tell({ version: 1 }), 300);
+    report({ switchAt: performance.now() + 300 });
+    const answer = forwarding.send('/write/', RETRY);
+    setTimeout(() => report({ version: 1 }), 300);
     expect(await answer).toMatchObject({ status: 200, body: 'served' });
   });
 
   it('a retry is refused at once if none is expected before its deadline', async () => {
-    tell({ switchAt: performance.now() + TIMEOUT });
-    expect((await forwarding.send('/write/', COMES_AGAIN)).status).toBe(503);
+    report({ switchAt: performance.now() + TIMEOUT });
+    expect((await forwarding.send('/write/', RETRY)).status).toBe(503);
   });
 });
 
@@ -107,80 +107,80 @@
       ['one', engine, { ...LISTED, revision: 1 }],
       ['one again', engine, { revision: 2, address: engine.address }],
     );
-    expect((await forwarding.send('/write/', COMES_FIRST)).status).toBe(503);
+    expect((await forwarding.send('/write/', FIRST_REQUEST)).status).toBe(503);
     expect(engine.requests).toHaveLength(0);
   });
 
   it('an engine is used again once the record of its previous start is removed', async () => {
     forwarding.list(['one', engine, LISTED], ['one again', engine, LISTED]);
     forwarding.list(['one again', engine, LISTED]);
-    expect((await forwarding.send('/write/', COMES_FIRST)).status).toBe(200);
+    expect((await forwarding.send('/write/', FIRST_REQUEST)).status).toBe(200);
   });
 
   it('a first request waits while a retry would come too early, and is refused with Retry-After after that', async () => {
-    tell({ switchAt: performance.now() + 3_800 });
+    report({ switchAt: performance.now() + 3_800 });
     const sentAt = performance.now();
-    const answer = await forwarding.send('/write/', COMES_FIRST);
+    const answer = await forwarding.send('/write/', FIRST_REQUEST);
     expect(answer.status).toBe(503);
     expect(performance.now() - sentAt).toBeGreaterThan(300);
     expect(Number(answer.headers['retry-after'])).toBe(2);
   });
 
   it('a first request that waits is served by an engine that becomes ready sooner than expected', async () => {
-    tell({ switchAt: performance.now() + 4_000 });
-    const answer = forwarding.send('/write/', COMES_FIRST);
+    report({ switchAt: performance.now() + 4_000 });
+    const answer = forwarding.send('/write/', FIRST_REQUEST);
     await sleep(300);
-    tell({ version: 1 });
+    report({ version: 1 });
     expect(await answer).toMatchObject({ status: 200, body: 'served' });
   });
 
   it('a request that has waited is not refused for a long queue after that', async () => {
-    tell({ switchAt: performance.now() + 4_000 });
-    const answer = forwarding.send('/write/', COMES_FIRST);
+    report({ switchAt: performance.now() + 4_000 });
+    const answer = forwarding.send('/write/', FIRST_REQUEST);
     await sleep(300);
-    tell({ version: 1, load: 5 });
+    report({ version: 1, load: 5 });
     expect(await answer).toMatchObject({ status: 200, body: 'served' });
   });
 
   it('an entry that has just started, and knows only engines without weights, holds a first request', async () => {
     forwarding.list(['one', engine]);
-    const answer = forwarding.send('/write/', COMES_FIRST);
+    const answer = forwarding.send('/write/', FIRST_REQUEST);
     await sleep(300);
-    tell({ version: 1 });
+    report({ version: 1 });
     expect(await answer).toMatchObject({ status: 200, body: 'served' });
   });
 
   it('no request waits for an engine whose expected time is postponed repeatedly', async () => {
-    const tellAgain = () => tell({ switchAt: performance.now() + 1_000 });
-    tellAgain();
-    const putOff = setInterval(tellAgain, 50);
-    const first = await forwarding.send('/write/', COMES_AGAIN);
+    const postpone = () => report({ switchAt: performance.now() + 1_000 });
+    postpone();
+    const postponing = setInterval(postpone, 50);
+    const first = await forwarding.send('/write/', RETRY);
     // A request that is held waits for 1.7 s.
     const isHeld = sleep(1_500).then(() => 'held');
     const second = await Promise.race([
-      forwarding.send('/write/', COMES_AGAIN).then(({ status }) => status),
+      forwarding.send('/write/', RETRY).then(({ status }) => status),
       isHeld,
     ]);
-    clearInterval(putOff);
+    clearInterval(postponing);
     expect([first.status, second]).toEqual([503, 503]);
   });
 
   it('no more requests wait for the first slots than there are slots', async () => {
-    tell({ switchAt: performance.now() + 1_000 });
+    report({ switchAt: performance.now() + 1_000 });
     let refused = 0;
     const answers = Array.from({ length: 6 }, async () => {
-      const answer = await forwarding.send('/write/', COMES_AGAIN);
+      const answer = await forwarding.send('/write/', RETRY);
       if (answer.status === 503) refused++;
       return answer;
     });
     await until(() => refused === 2, 'two of them to be refused');
     expect(forwarding.active).toBe(4);
-    tell({ version: 1 });
+    report({ version: 1 });
     const statuses = (await Promise.all(answers)).map(({ status }) => status);
     expect(statuses.filter((status) => status === 200)).toHaveLength(4);
-    tell({ version: 0, switchAt: performance.now() + 300 });
-    const next = forwarding.send('/write/', COMES_AGAIN);
-    setTimeout(() => tell({ version: 1 }), 200);
+    report({ version: 0, switchAt: performance.now() + 300 });
+    const next = forwarding.send('/write/', RETRY);
+    setTimeout(() => report({ version: 1 }), 200);
     expect((await next).status).toBe(200);
   });
 
@@ -190,8 +190,8 @@
     const second = await new StandInBackEnd(reply(200, 'served')).start();
     try {
       forwarding.list(['one', engine, LISTED], ['two', second]);
-      tell({ switchAt: performance.now() + 1_200 }, second);
-      const answer = await forwarding.send('/write/', COMES_FIRST);
+      report({ switchAt: performance.now() + 1_200 }, second);
+      const answer = await forwarding.send('/write/', FIRST_REQUEST);
       expect(answer.status).toBe(503);
       expect(engine.requests).toHaveLength(1);
       expect(Number(answer.headers['retry-after'])).toBeGreaterThanOrEqual(1.2);
@@ -204,16 +204,16 @@
 describe('a request that an engine has refused', () => {
   it('is charged as a repetition when it is sent again, not while it waits for capacity', async () => {
     engine.answer(reply(503, '', { 'x-not-run': '1' }));
-    tell({ version: 1 });
+    report({ version: 1 });
     const second = await new StandInBackEnd(reply(200, 'served')).start();
     try {
       forwarding.list(['one', engine, LISTED], ['two', second]);
-      tell({ switchAt: performance.now() + 300 }, second);
-      const answer = forwarding.send('/write/', COMES_AGAIN);
+      report({ switchAt: performance.now() + 300 }, second);
+      const answer = forwarding.send('/write/', RETRY);
       await until(() => engine.requests.length === 1, 'the first engine to refuse it');
       await sleep(200);
       expect(forwarding.budget.granted).toBe(0);
-      tell({ version: 1 }, second);
+      report({ version: 1 }, second);
       expect(await answer).toMatchObject({ status: 200, body: 'served' });
       expect(forwarding.budget.granted).toBe(1);
     } finally {
@@ -223,8 +223,8 @@
 
   it('is not charged if no engine takes it in the end', async () => {
     engine.answer(reply(503, '', { 'x-not-run': '1' }));
-    tell({ version: 1 });
-    expect((await forwarding.send('/write/', COMES_FIRST)).status).toBe(503);
+    report({ version: 1 });
+    expect((await forwarding.send('/write/', FIRST_REQUEST)).status).toBe(503);
     expect(engine.requests).toHaveLength(1);
     expect(forwarding.budget.granted).toBe(0);
   });
@@ -232,29 +232,29 @@
 
 describe('an engine whose version expires', () => {
   it('gets requests while they can start before the expiry, even if others overtake them', async () => {
-    tell({ version: 1 });
+    report({ version: 1 });
     forwarding.expireIn(3_000);
-    expect((await forwarding.send('/write/', COMES_FIRST)).status).toBe(200);
-    expect((await forwarding.send('/write/', COMES_AGAIN)).status).toBe(200);
+    expect((await forwarding.send('/write/', FIRST_REQUEST)).status).toBe(200);
+    expect((await forwarding.send('/write/', RETRY)).status).toBe(200);
   });
 
   it('gets no request that might start too late: if its queue is long, or its load unknown', async () => {
     forwarding.expireIn(2_000);
-    tell({ version: 1, load: 12 });
-    expect((await forwarding.send('/write/', COMES_FIRST)).status).toBe(503);
-    tell({ version: 1, toldAt: performance.now() - 1_000 });
-    expect((await forwarding.send('/write/', COMES_FIRST)).status).toBe(503);
+    report({ version: 1, load: 12 });
+    expect((await forwarding.send('/write/', FIRST_REQUEST)).status).toBe(503);
+    report({ version: 1, toldAt: performance.now() - 1_000 });
+    expect((await forwarding.send('/write/', FIRST_REQUEST)).status).toBe(503);
     expect(engine.requests).toHaveLength(0);
-    tell({ version: 1 });
-    expect((await forwarding.send('/write/', COMES_FIRST)).status).toBe(200);
+    report({ version: 1 });
+    expect((await forwarding.send('/write/', FIRST_REQUEST)).status).toBe(200);
   });
 
   it('has requests withdrawn that have not started in time, which another engine then serves', async () => {
     const next = await new StandInBackEnd(reply(200, 'served by the next')).start();
     engine.answer(() => {});
-    tell({ version: 1 });
+    report({ version: 1 });
     forwarding.expireIn(1_000);
-    const answer = forwarding.send('/write/', COMES_FIRST);
+    const answer = forwarding.send('/write/', FIRST_REQUEST);
     await until(() => engine.requests.length === 1, 'the request there');
     forwarding.list(['one', engine, LISTED], ['two', next, { layers: { from: 0, end: LAYERS, version: 2 } }]);
     expect(await answer).toMatchObject({ status: 200, body: 'served by the next' });
@@ -265,17 +265,17 @@
 
 describe('while every slot is taken', () => {
   it('a retry waits for a slot, and leaves the queue of the engine to first requests', async () => {
-    tell({ version: 1, load: 4 });
-    const again = forwarding.send('/write/', COMES_AGAIN);
-    expect((await forwarding.send('/write/', COMES_FIRST)).status).toBe(200);
+    report({ version: 1, load: 4 });
+    const again = forwarding.send('/write/', RETRY);
+    expect((await forwarding.send('/write/', FIRST_REQUEST)).status).toBe(200);
     expect(engine.requests).toHaveLength(1);
-    tell({ version: 1, load: 0 });
+    report({ version: 1, load: 0 });
     expect((await again).status).toBe(200);
   });
 
   it('a first request is refused at once if it could not meet its objective', async () => {
-    tell({ version: 1, load: 40 });
-    const answer = await forwarding.send('/write/', COMES_FIRST);
+    report({ version: 1, load: 40 });
+    const answer = await forwarding.send('/write/', FIRST_REQUEST);
     expect(answer.status).toBe(503);
     expect(engine.requests).toHaveLength(0);
   });
@@ -283,14 +283,14 @@
 
 describe('holding retries of callers', () => {
   /** A retry that is held for at most 300 ms. */
-  const HELD_SHORTLY = { headers: { 'x-time-left': '1500' } };
+  const SHORT_RETRY = { headers: { 'x-time-left': '1500' } };
 
   /** Sends `count` requests at once; resolves with their statuses and durations in milliseconds. */
   async function wave(count: number): Promise<Array<{ status: number; took: number }>> {
     return Promise.all(
       Array.from({ length: count }, async () => {
         const sentAt = performance.now();
-        const { status } = await forwarding.send('/write/', HELD_SHORTLY);
+        const { status } = await forwarding.send('/write/', SHORT_RETRY);
         return { status, took: performance.now() - sentAt };
       }),
     );
@@ -299,30 +299,30 @@
   const isQuick = ({ took }: { took: number }) => took < 150;
 
   it('stops after it has failed: further ones are refused at once, except for a few probes', async () => {
-    tell({ version: 1, load: 4 });
+    report({ version: 1, load: 4 });
     const first = await wave(12);
     expect(first.every(({ status }) => status === 503)).toBe(true);
     expect(first.some(isQuick)).toBe(false);
-    tell({ version: 1, load: 4 });
+    report({ version: 1, load: 4 });
     const second = await wave(10);
     expect(second.every(({ status }) => status === 503)).toBe(true);
     expect(second.filter(isQuick).length).toBe(8);
   });
 
   it('starts again once the probes are served', async () => {
-    tell({ version: 1, load: 4 });
+    report({ version: 1, load: 4 });
     await wave(12);
     for (let count = 0; count < 10; count++) {
-      tell({ version: 1, load: 4 });
+      report({ version: 1, load: 4 });
       const trial = wave(1);
       await new Promise((resolve) => setTimeout(resolve, 60));
-      tell({ version: 1, load: 0 });
+      report({ version: 1, load: 0 });
       expect((await trial)[0].status).toBe(200);
     }
-    tell({ version: 1, load: 4 });
+    report({ version: 1, load: 4 });
     const all = wave(6);
     await new Promise((resolve) => setTimeout(resolve, 60));
-    tell({ version: 1, load: 0 });
+    report({ version: 1, load: 0 });
     expect((await all).map(({ status }) => status)).toEqual(Array.from({ length: 6 }, () => 200));
   });
 });
--- a/test/forwarding/forwarding.test.ts
+++ b/test/forwarding/forwarding.test.ts
@@ -228,7 +228,7 @@
 
 describe('at the time-out of its route', () => {
   /** Sends `text`; resolves with what was received, and the time from the time-out to the end, in milliseconds. */
-  async function lastWord(text: string): Promise<{ late: number; got: string }> {
+  async function sendUntilTimeout(text: string): Promise<{ late: number; got: string }> {
     const [host, port] = forwarding.address.split(':');
     const socket = connect({ host, port: Number(port) });
     const sentAt = performance.now();
@@ -242,7 +242,7 @@
     `POST ${path} HTTP/1.1\r\nhost: api.example\r\nx-request: late\r\nx-key: key-a\r\n${more}\r\n`;
 
   it('a request whose body is still coming is refused', async () => {
-    const { late, got } = await lastWord(`${head('/short/a', 'content-length: 1000\r\n')}some`);
+    const { late, got } = await sendUntilTimeout(`${head('/short/a', 'content-length: 1000\r\n')}some`);
     expect(got).toMatch(/^HTTP\/1.1 503 /);
     expect(late).toBeLessThan(500);
     expect(first.requests.length).toBe(0);
@@ -250,7 +250,7 @@
 
   it('a request whose long body is still coming, and has been forwarded in part, is answered', async () => {
     const body = 'x'.repeat(100_000);
-    const { late, got } = await lastWord(`${head('/short/a', 'content-length: 190000\r\n')}${body}`);
+    const { late, got } = await sendUntilTimeout(`${head('/short/a', 'content-length: 190000\r\n')}${body}`);
     expect(got).toMatch(/^HTTP\/1.1 504 /);
     expect(late).toBeLessThan(500);
   });
@@ -263,7 +263,7 @@
       });
       response.write(events(1, 2));
     });
-    const { late, got } = await lastWord(head('/short-stream/a', 'content-length: 0\r\n'));
+    const { late, got } = await sendUntilTimeout(head('/short-stream/a', 'content-length: 0\r\n'));
     expect(got).toContain('word 2');
     expect(got).not.toMatch(/\r\n0\r\n\r\n$/);
     expect(late).toBeLessThan(500);
--- a/test/forwarding/last-send-expires.test.ts
+++ b/test/forwarding/last-send-expires.test.ts
@@ -28,7 +28,7 @@
 /** Time from the expiry to the start of the late requests, in milliseconds. */
 const LATE = 194;
 const silent: Script = () => {};
-const breaksOff = raw((socket) => socket.resetAndDestroy());
+const breaksConnection = raw((socket) => socket.resetAndDestroy());
 
 let engines: StandInBackEnd[];
 let forwarding: ForwardingHarness;
@@ -37,7 +37,7 @@
 let namedAt: number;
 
 /** Answers a request `milliseconds` after the next version was named. */
-function beginsAt(milliseconds: number): Script {
+function answersAt(milliseconds: number): Script {
   return (...call) => {
     const served = reply(200, 'served', { 'x-version': '1' });
     setTimeout(() => served(...call), namedAt + milliseconds - performance.now());
@@ -81,7 +81,8 @@
   it('on the last send that its route allows', async () => {
     // The engine that gets the request first breaks the connection; the other one starts it after the expiry.
     let arrivals = 0;
-    const script: Script = (...call) => (++arrivals === 1 ? breaksOff : beginsAt(EXPIRES_IN + LATE))(...call);
+    const script: Script = (...call) =>
+      (++arrivals === 1 ? breaksConnection : answersAt(EXPIRES_IN + LATE))(...call);
     await serve([script, script]);
     expect((await forwarding.send('/write/')).status).toBe(502);
     expect(arrivals).toBe(2);
--- a/test/forwarding/restart-order.test.ts
+++ b/test/forwarding/restart-order.test.ts
@@ -22,12 +22,12 @@
 
 const RUNS = 400;
 /** Maximum number of steps of a run. */
-const STEPS = 80;
+const MAX_STEPS = 80;
 const ID = 'one';
 const ADDRESS = '127.0.0.1:1';
 const FIRST_START = 1_000_000;
 /** Number of records and reports of the present start after which the state must be correct. */
-const SETTLING = ENTRIES_TO_BELIEVE + 1;
+const SETTLING_ROUNDS = ENTRIES_TO_BELIEVE + 1;
 
 /** One step of a run; `pick` chooses among the available items. */
 type Step =
@@ -43,14 +43,14 @@
   | { type: 'answerFails'; pick: number };
 
 /** A message on its way to the entry. */
-type News =
+type Message =
   | { type: 'entry'; record: BackEndRecord }
   | { type: 'report'; start: number; follows: number | undefined }
   | { type: 'load'; load: BackEndLoad }
   | { type: 'list'; state: BackEndListState };
 
 /** A back end that restarts, and an entry that gets messages about it in any order. */
-class RestartWorld {
+class RestartModel {
   readonly fleet = new FleetView();
   readonly table = new BackEndTable();
   readonly selector: BackEndSelector;
@@ -59,11 +59,11 @@
   /** The starts in chronological order. */
   readonly starts = [FIRST_START];
   /** Index of the newest start about which a message has arrived. */
-  newestTold = -1;
+  newestReported = -1;
   readonly asked: BackEndRow[] = [];
   readonly failed = new Set<BackEndRow>();
   #revision = 0;
-  #pool: News[] = [];
+  #inTransit: Message[] = [];
   /** Records of each start that arrived after a message about a newer one. */
   readonly #late = new Map<number, Set<number>>();
 
@@ -93,45 +93,46 @@
 
   take(step: Step): void {
     if (step.type === 'restart') this.starts.push(this.#nextStart(step.clockStep));
-    else if (step.type === 'write') this.#pool.push(this.#entryOf(this.present));
-    else if (step.type === 'lateWrite') this.#pool.push(this.#entryOf(this.starts.at(-2) ?? this.present));
-    else if (step.type === 'report') this.#pool.push(this.#report());
-    else if (step.type === 'load') this.#pool.push(this.#loadOf(this.present));
+    else if (step.type === 'write') this.#inTransit.push(this.#entryOf(this.present));
+    else if (step.type === 'lateWrite')
+      this.#inTransit.push(this.#entryOf(this.starts.at(-2) ?? this.present));
+    else if (step.type === 'report') this.#inTransit.push(this.#report());
+    else if (step.type === 'load') this.#inTransit.push(this.#loadOf(this.present));
     else if (step.type === 'peerReads') this.#peerReads(step.pick);
-    else if (step.type === 'peerTells') this.#pool.push({ type: 'list', state: this.peer.state() });
+    else if (step.type === 'peerTells') this.#inTransit.push({ type: 'list', state: this.peer.state() });
     else if (step.type === 'ask') this.#ask();
     else if (step.type === 'answerFails') this.#failAnswer(step.pick);
-    else this.#pass(step.type, step.pick);
+    else this.#handleMessage(step.type, step.pick);
   }
 
   /** Loses all messages on their way, and then delivers messages of the present start only. */
   settle(): void {
-    this.#pool = [];
-    for (let round = 0; round < SETTLING; round++) {
+    this.#inTransit = [];
+    for (let round = 0; round < SETTLING_ROUNDS; round++) {
       this.deliver(this.#entryOf(this.present));
       this.deliver(this.#report());
       this.deliver(this.#loadOf(this.present));
     }
   }
 
-  deliver(news: News): void {
+  deliver(news: Message): void {
     if (news.type === 'entry') {
       const { record } = news;
       if (this.#isLost(record)) return;
       this.fleet.takeBackEndChanges([{ type: 'changed', record }], record.revision);
-      this.#noteTold(record.start!);
+      this.#noteReported(record.start!);
     } else if (news.type === 'report') {
       const isListed = this.row !== undefined;
       const row = this.table.rowAt(ADDRESS, news.start);
       if (row !== undefined) this.fleet.takeStart({ id: ID, start: news.start }, news.follows);
       this.table.takeNews(ADDRESS, this.#engineNews(news.start));
       // A report has no effect while no record has assigned its address to a back end.
-      if (isListed) this.#noteTold(news.start);
+      if (isListed) this.#noteReported(news.start);
     } else if (news.type === 'load') this.table.takeLoads('peer', [news.load]);
     else {
       if (news.state.records.some((record) => this.#isLost(record))) return;
       this.fleet.takeBackEnds(news.state);
-      for (const { start } of news.state.records) this.#noteTold(start!);
+      for (const { start } of news.state.records) this.#noteReported(start!);
     }
   }
 
@@ -157,13 +158,13 @@
   }
 
   /** Index of the start that the entry considers the present one; -1 for none. */
-  get believed(): number {
+  get assumedStart(): number {
     return this.row === undefined ? -1 : this.#placeOf(this.row.record.start!);
   }
 
   /** True for records that cannot arrive: a read returns only the latest, so few come after a message about a newer start. */
   #isLost({ start, revision }: BackEndRecord): boolean {
-    if (this.#placeOf(start!) >= this.newestTold) return false;
+    if (this.#placeOf(start!) >= this.newestReported) return false;
     const late = this.#late.get(start!) ?? new Set();
     this.#late.set(start!, late.add(revision));
     return late.size >= ENTRIES_TO_BELIEVE;
@@ -179,11 +180,11 @@
     return this.starts.indexOf(start);
   }
 
-  #noteTold(start: number): void {
-    this.newestTold = Math.max(this.newestTold, this.#placeOf(start));
+  #noteReported(start: number): void {
+    this.newestReported = Math.max(this.newestReported, this.#placeOf(start));
   }
 
-  #entryOf(start: number): News & { type: 'entry' } {
+  #entryOf(start: number): Message & { type: 'entry' } {
     const record: BackEndRecord = {
       id: ID,
       start,
@@ -199,12 +200,12 @@
   }
 
   /** Creates a report; the agent may not have seen the previous start, as after a restart of its own. */
-  #report(): News & { type: 'report' } {
+  #report(): Message & { type: 'report' } {
     const follows = this.#revision % 2 === 0 ? this.starts.at(-2) : undefined;
     return { type: 'report', start: this.present, follows };
   }
 
-  #loadOf(start: number): News & { type: 'load' } {
+  #loadOf(start: number): Message & { type: 'load' } {
     return { type: 'load', load: { id: ID, start, inFlight: this.#placeOf(start) + 1 } };
   }
 
@@ -222,17 +223,17 @@
   }
 
   #peerReads(pick: number): void {
-    const entries = this.#pool.filter((news) => news.type === 'entry');
+    const entries = this.#inTransit.filter((news) => news.type === 'entry');
     if (entries.length === 0) return;
     const { record } = entries[pick % entries.length];
     this.peer.apply([{ type: 'changed', record }], record.revision);
   }
 
-  #pass(how: 'deliver' | 'repeat' | 'lose', pick: number): void {
-    if (this.#pool.length === 0) return;
-    const place = pick % this.#pool.length;
-    const news = this.#pool[place];
-    if (how !== 'repeat') this.#pool.splice(place, 1);
+  #handleMessage(how: 'deliver' | 'repeat' | 'lose', pick: number): void {
+    if (this.#inTransit.length === 0) return;
+    const place = pick % this.#inTransit.length;
+    const news = this.#inTransit[place];
+    if (how !== 'repeat') this.#inTransit.splice(place, 1);
     if (how !== 'lose') this.deliver(news);
   }
 
@@ -278,7 +279,7 @@
   fc.record({ type: fc.constant('restart'), clockStep });
 /** Clocks go forward, and a start writes its last record before the next one begins. */
 const orderly = fc.array(fc.oneof(...common, restartWith(fc.integer({ min: 1, max: 5_000 }))), {
-  maxLength: STEPS,
+  maxLength: MAX_STEPS,
   size: 'max',
 });
 /** Clocks may step back too, and the last record of a start may be written after the first of the next. */
@@ -288,18 +289,18 @@
     fc.constant<Step>({ type: 'lateWrite' }),
     restartWith(fc.integer({ min: -5_000, max: 5_000 })),
   ),
-  { maxLength: STEPS, size: 'max' },
+  { maxLength: MAX_STEPS, size: 'max' },
 );
 
 describe('messages about starts in any order', () => {
   it('never bring an older start back once a newer one is known', () => {
     fc.assert(
       fc.property(orderly, (steps) => {
-        const world = new RestartWorld();
+        const model = new RestartModel();
         for (const step of steps) {
-          world.take(step);
-          expect(world.believed).toBe(world.newestTold);
-          expect(world.mixed()).toEqual([]);
+          model.take(step);
+          expect(model.assumedStart).toBe(model.newestReported);
+          expect(model.mixed()).toEqual([]);
         }
       }),
       { numRuns: RUNS, seed: 27 },
@@ -309,15 +310,15 @@
   it('never mix state of two starts, nor keep an older one forever, even if clocks step back', () => {
     fc.assert(
       fc.property(disorderly, (steps) => {
-        const world = new RestartWorld();
+        const model = new RestartModel();
         for (const step of steps) {
-          world.take(step);
-          expect(world.mixed()).toEqual([]);
+          model.take(step);
+          expect(model.mixed()).toEqual([]);
         }
-        world.settle();
-        expect(world.believed).toBe(world.starts.length - 1);
-        expect(world.row).toMatchObject({ news: { start: world.present } });
-        expect(world.mixed()).toEqual([]);
+        model.settle();
+        expect(model.assumedStart).toBe(model.starts.length - 1);
+        expect(model.row).toMatchObject({ news: { start: model.present } });
+        expect(model.mixed()).toEqual([]);
       }),
       { numRuns: RUNS, seed: 28 },
     );
@@ -379,7 +380,7 @@
       fc.constant({ type: 'lose' as const }),
     );
     fc.assert(
-      fc.property(fc.array(step, { maxLength: STEPS, size: 'max' }), (steps) => {
+      fc.property(fc.array(step, { maxLength: MAX_STEPS, size: 'max' }), (steps) => {
         const table = new SlotTable();
         let start = FIRST_START;
         let now = 0;
--- a/test/forwarding/restart.test.ts
+++ b/test/forwarding/restart.test.ts
@@ -20,8 +20,8 @@
 import { routeNamed } from './routes.js';
 import { reply, type Script, StandInBackEnd } from './stand-in-back-end.js';
 
-const FORMER = 100;
-const NEXT = 200;
+const PREVIOUS_START = 100;
+const NEXT_START = 200;
 const LAYERS = { from: 0, end: ENGINE_LAYERS, version: 1 };
 const silent: Script = () => {};
 
@@ -35,7 +35,7 @@
   const again = routeNamed('again', { maxAttempts: 2, targets: [{ service: 'engines', weight: 1 }] });
   const { routes } = ENGINE_CONFIGURATION;
   await forwarding.start({ ...ENGINE_CONFIGURATION, routes: [...routes, once, again] });
-  start(FORMER, true);
+  start(PREVIOUS_START, true);
 });
 
 afterEach(async () => {
@@ -73,14 +73,14 @@
 describe('a back end that restarts with the same id', () => {
   it('has no requests in flight, no failures, and no other state of the previous start', async () => {
     await forwarding.send('/again/');
-    tell(FORMER);
-    forwarding.backEnds.takeLoads('other', [{ id: 'one', start: FORMER, inFlight: 7 }]);
-    const former = row();
-    former.health.note('silent', performance.now(), 0);
-    former.health.note('silent', performance.now(), 0);
-    expect(loadOf(former)).toBe(7);
-    start(NEXT, false);
-    expect(row()).not.toBe(former);
+    tell(PREVIOUS_START);
+    forwarding.backEnds.takeLoads('other', [{ id: 'one', start: PREVIOUS_START, inFlight: 7 }]);
+    const previous = row();
+    previous.health.note('silent', performance.now(), 0);
+    previous.health.note('silent', performance.now(), 0);
+    expect(loadOf(previous)).toBe(7);
+    start(NEXT_START, false);
+    expect(row()).not.toBe(previous);
     expect(row()).toMatchObject({
       inFlight: 0,
       unreadTokens: 0,
@@ -99,37 +99,37 @@
   it('gets its requests over new connections, and kept-alive ones to the previous start are closed', async () => {
     const proxy = await new SilentProxy(backEnd.address).start();
     const listed = { address: proxy.address, layers: LAYERS };
-    forwarding.list(['one', backEnd, { ...listed, start: FORMER + 1 }]);
+    forwarding.list(['one', backEnd, { ...listed, start: PREVIOUS_START + 1 }]);
     await forwarding.send('/again/');
     expect(proxy.open).toBe(1);
     // Data on a kept-alive connection to the previous start does not reach the next one.
     proxy.silence();
-    forwarding.list(['one', backEnd, { ...listed, start: NEXT }]);
+    forwarding.list(['one', backEnd, { ...listed, start: NEXT_START }]);
     expect((await forwarding.send('/again/')).status).toBe(200);
     expect(forwarding.backEnds.silentConnections).toBe(0);
     await proxy.stop();
   });
 
   it('ignores late reports on the previous start, from its agent or from other entries', () => {
-    start(NEXT, false);
-    tell(FORMER);
+    start(NEXT_START, false);
+    tell(PREVIOUS_START);
     expect(row().news).toBeUndefined();
-    forwarding.backEnds.takeLoads('other', [{ id: 'one', start: FORMER, inFlight: 7 }]);
+    forwarding.backEnds.takeLoads('other', [{ id: 'one', start: PREVIOUS_START, inFlight: 7 }]);
     expect(row().inFlightElsewhere).toBe(0);
-    tell(NEXT);
-    forwarding.backEnds.takeLoads('other', [{ id: 'one', start: NEXT, inFlight: 2 }]);
+    tell(NEXT_START);
+    forwarding.backEnds.takeLoads('other', [{ id: 'one', start: NEXT_START, inFlight: 2 }]);
     expect(row()).toMatchObject({ inFlightElsewhere: 2, news: { load: 3 } });
   });
 
   it('is recognized by the report of its agent before the store lists it', () => {
-    const former = row();
-    forwarding.takeEngineStart(backEnd.address, NEXT);
-    tell(NEXT);
-    expect(row()).not.toBe(former);
-    expect(row().record).toMatchObject({ start: NEXT, layers: undefined });
-    expect(row().news).toMatchObject({ start: NEXT });
-    start(FORMER, true);
-    expect(row().record).toMatchObject({ start: NEXT, layers: undefined });
+    const previous = row();
+    forwarding.takeEngineStart(backEnd.address, NEXT_START);
+    tell(NEXT_START);
+    expect(row()).not.toBe(previous);
+    expect(row().record).toMatchObject({ start: NEXT_START, layers: undefined });
+    expect(row().news).toMatchObject({ start: NEXT_START });
+    start(PREVIOUS_START, true);
+    expect(row().record).toMatchObject({ start: NEXT_START, layers: undefined });
   });
 
   it('does not make connections to others suspect because of those to its previous start', () => {
@@ -137,12 +137,12 @@
     const three = ['three', backEnd, { address: '127.0.0.1:2' }] as const;
     const listWith = (which: number) =>
       forwarding.list(['one', backEnd, { start: which }], [...two], [...three]);
-    listWith(FORMER);
+    listWith(PREVIOUS_START);
     const { backEnds } = forwarding;
-    const former = row();
-    backEnds.noteSilentConnection(former, performance.now());
-    listWith(NEXT);
-    backEnds.noteSilentConnection(former, performance.now());
+    const previous = row();
+    backEnds.noteSilentConnection(previous, performance.now());
+    listWith(NEXT_START);
+    backEnds.noteSilentConnection(previous, performance.now());
     const closes = vi.spyOn(backEnds.rows.get('three')!.connections, 'closeIdleSince');
     backEnds.noteSilentConnection(backEnds.rows.get('two')!, performance.now());
     expect(closes).not.toHaveBeenCalled();
@@ -154,8 +154,8 @@
     backEnd.answer(silent);
     const sent = forwarding.open('/again/');
     await until(() => row().inFlight === 1, 'the request there');
-    expect(forwarding.backEnds.loads()).toEqual([{ id: 'one', start: FORMER, inFlight: 1 }]);
-    start(NEXT, true);
+    expect(forwarding.backEnds.loads()).toEqual([{ id: 'one', start: PREVIOUS_START, inFlight: 1 }]);
+    start(NEXT_START, true);
     expect(forwarding.backEnds.loads()).toEqual([]);
     sent.destroy();
   });
@@ -186,7 +186,7 @@
       tried,
     };
     expect(selector.select(requirements)).toBeUndefined();
-    start(NEXT, true);
+    start(NEXT_START, true);
     expect(selector.select(requirements)?.row).toBe(row());
   });
 
@@ -197,7 +197,7 @@
     });
     const answering = forwarding.send('/once/', { method: 'POST', body: 'pay' });
     await until(() => backEnd.requests.length === 1, 'the request there');
-    start(NEXT, true);
+    start(NEXT_START, true);
     backEnd.answer(reply(200, 'done'));
     cut();
     // 502 and not 503, as the request may have run before the restart.
@@ -212,7 +212,7 @@
     });
     const answering = forwarding.send('/again/');
     await until(() => backEnd.requests.length === 1, 'the request there');
-    start(NEXT, true);
+    start(NEXT_START, true);
     backEnd.answer(reply(200, 'done'));
     cut();
     expect((await answering).status).toBe(200);
@@ -226,7 +226,7 @@
     });
     const answering = forwarding.send('/again/');
     await until(() => backEnd.requests.length === 1, 'the request there');
-    start(NEXT, true);
+    start(NEXT_START, true);
     backEnd.answer(reply(503, '', { 'x-not-run': '1' }));
     cut();
     expect((await answering).status).toBe(502);
@@ -245,12 +245,12 @@
     };
     await other.start(ENGINE_CONFIGURATION);
     const listed = (which: number) => other.list(['one', backEnd, { start: which, layers: LAYERS }]);
-    listed(FORMER);
-    other.backEnds.takeNews(backEnd.address, { ...engineNews(FORMER), isSwitching: false });
+    listed(PREVIOUS_START);
+    other.backEnds.takeNews(backEnd.address, { ...engineNews(PREVIOUS_START), isSwitching: false });
     const answering = other.send('/write/');
     await until(() => asked.length === 1, 'the question');
     const dispatches = vi.spyOn(other.backEnds.rows.get('one')!.connections, 'dispatch');
-    listed(NEXT);
+    listed(NEXT_START);
     asked[0].onGranted();
     expect(release).toHaveBeenCalled();
     expect((await answering).status).toBe(200);
--- a/test/forwarding/stream-cut-at-first-refusal.test.ts
+++ b/test/forwarding/stream-cut-at-first-refusal.test.ts
@@ -8,7 +8,7 @@
 import { events, reply, type Script, StandInBackEnd } from './stand-in-back-end.js';
 
 const EVENTS = 6;
-const BEFORE = 2;
+const EVENTS_BEFORE_FAILURE = 2;
 /** Time until another back end is free, in milliseconds; much shorter than a caller's patience. */
 const BUSY = 250;
 
@@ -38,12 +38,12 @@
 /** Writes the beginning of a stream and closes the connection. */
 const breaking: Script = (request, response) => {
   response.writeHead(200, head(request));
-  response.write(events(1, BEFORE));
+  response.write(events(1, EVENTS_BEFORE_FAILURE));
   setTimeout(() => response.destroy(), 50);
 };
 
 /** Resumes a stream and writes all that is left of it. */
-const goingOn: Script = (request, response) => {
+const resuming: Script = (request, response) => {
   response.writeHead(200, head(request));
   response.end(events(Number(request.headers['last-event-id'] ?? 0) + 1, EVENTS));
 };
@@ -51,7 +51,7 @@
 beforeEach(async () => {
   one = await new StandInBackEnd(breaking).start();
   others = [];
-  for (let count = 0; count < 3; count++) others.push(await new StandInBackEnd(goingOn).start());
+  for (let count = 0; count < 3; count++) others.push(await new StandInBackEnd(resuming).start());
   forwarding = new ForwardingHarness('billing');
   askForSlot = () => {};
   forwarding.slots = {
@@ -73,7 +73,7 @@
 /** Answers with `first` during `BUSY` from now on, and resumes streams after that. */
 function busyAtFirst(backEnd: StandInBackEnd, first: Script): void {
   const freeAt = performance.now() + BUSY;
-  backEnd.answer((...call) => (performance.now() < freeAt ? first : goingOn)(...call));
+  backEnd.answer((...call) => (performance.now() < freeAt ? first : resuming)(...call));
 }
 
 describe('a stream whose back end fails after its first events', () => {
--- a/test/forwarding/stream-cut-while-back-end-pauses.test.ts
+++ b/test/forwarding/stream-cut-while-back-end-pauses.test.ts
@@ -48,10 +48,10 @@
     setTimeout(() => {
       response.writeHead(200, head);
       if (from <= EVENTS_BEFORE_PAUSE) response.write(events(from, EVENTS_BEFORE_PAUSE));
-      const goOn = () => writeEventsFrom(response, Math.max(from, EVENTS_BEFORE_PAUSE + 1));
-      if (from > EVENTS_BEFORE_PAUSE) goOn();
-      else if (typeof pause === 'number') setTimeout(goOn, pause);
-      else void until(pause, 'the end of the pause').then(() => setTimeout(goOn, PAUSE_REST), goOn);
+      const writeRest = () => writeEventsFrom(response, Math.max(from, EVENTS_BEFORE_PAUSE + 1));
+      if (from > EVENTS_BEFORE_PAUSE) writeRest();
+      else if (typeof pause === 'number') setTimeout(writeRest, pause);
+      else void until(pause, 'the end of the pause').then(() => setTimeout(writeRest, PAUSE_REST), writeRest);
     }, firstAfter);
   };
 }
@@ -72,7 +72,7 @@
 }
 
 const requestCount = () => one.requests.length + two.requests.length;
-const isOtherAsked = () => requestCount() > 1;
+const isOtherTried = () => requestCount() > 1;
 const whole = { status: 200, whole: true, body: events(1, EVENTS) };
 
 beforeEach(async () => {
@@ -103,28 +103,28 @@
   });
 
   it('is not cut where the other back end refuses it', async () => {
-    answerFirstWith(pausingStream(isOtherAsked), notRun);
+    answerFirstWith(pausingStream(isOtherTried), notRun);
     expect(await forwarding.send('/write/a')).toMatchObject(whole);
   });
 
   it('is not cut where the other back end fails before its first event', async () => {
-    answerFirstWith(pausingStream(isOtherAsked), (_request, response) => response.destroy());
+    answerFirstWith(pausingStream(isOtherTried), (_request, response) => response.destroy());
     expect(await forwarding.send('/write/a')).toMatchObject(whole);
     expect(requestCount()).toBe(2);
   });
 
   it('is not cut where the other back end answers with an error', async () => {
-    answerFirstWith(pausingStream(isOtherAsked), reply(500, 'mine'));
+    answerFirstWith(pausingStream(isOtherTried), reply(500, 'mine'));
     expect(await forwarding.send('/write/a')).toMatchObject(whole);
   });
 
   it('is not cut where the other back end answers with something that is no stream', async () => {
-    answerFirstWith(pausingStream(isOtherAsked), reply(200, 'x'.repeat(100_000)));
+    answerFirstWith(pausingStream(isOtherTried), reply(200, 'x'.repeat(100_000)));
     expect(await forwarding.send('/write/a')).toMatchObject(whole);
   });
 
   it('is not cut where the other back end sends nothing', async () => {
-    answerFirstWith(pausingStream(isOtherAsked), () => {});
+    answerFirstWith(pausingStream(isOtherTried), () => {});
     expect(await forwarding.send('/write/a')).toMatchObject(whole);
     await until(() => one.cancelled + two.cancelled === 1, 'the other back end is cancelled');
   });
@@ -202,8 +202,8 @@
 
   it('is sent to no more back ends than its route allows', async () => {
     const three = await new StandInBackEnd(() => {}).start();
-    const isThirdOrOtherAsked = () => requestCount() + three.requests.length > 1;
-    answerFirstWith(pausingStream(isThirdOrOtherAsked), () => {});
+    const isAnyOtherTried = () => requestCount() + three.requests.length > 1;
+    answerFirstWith(pausingStream(isAnyOtherTried), () => {});
     forwarding.list(['one', one], ['two', two], ['three', three]);
     expect(await forwarding.send('/write/a')).toMatchObject(whole);
     expect(requestCount() + three.requests.length).toBe(2);
--- a/test/forwarding/stream-cut-while-back-ends-are-full.test.ts
+++ b/test/forwarding/stream-cut-while-back-ends-are-full.test.ts
@@ -36,7 +36,7 @@
 });
 
 /** Breaks the first request after two events; further ones are refused until `isFree`, and resumed after that. */
-function breakOffFirst(isFree: () => boolean): void {
+function failFirst(isFree: () => boolean): void {
   let requests = 0;
   const script: Parameters<StandInBackEnd['answer']>[0] = (request, response, body) => {
     const isFirst = requests++ === 0;
@@ -54,7 +54,7 @@
 
 it('a stream whose back end fails is resumed once another one is free', async () => {
   let isFree = false;
-  breakOffFirst(() => isFree);
+  failFirst(() => isFree);
   setTimeout(() => {
     isFree = true;
   }, FULL_FOR);
@@ -63,7 +63,7 @@
 });
 
 it('a stream whose back end fails is cut if no other one is free before its caller gives up', async () => {
-  breakOffFirst(() => false);
+  failFirst(() => false);
   const answer = await forwarding.send('/write/a');
   expect(answer).toMatchObject({ status: 200, whole: false, body: events(1, 2) });
   await until(() => forwarding.active === 0, 'the request has ended');
@@ -71,7 +71,7 @@
 
 it('a stream whose back end fails is cut at once if no other one can ever resume it', async () => {
   forwarding.list(['one', one]);
-  breakOffFirst(() => true);
+  failFirst(() => true);
   expect(await forwarding.send('/write/a')).toMatchObject({ whole: false, body: events(1, 2) });
   expect(one.requests).toHaveLength(1);
 });
