--- a/test/forwarding/capacity.test.ts
+++ b/test/forwarding/capacity.test.ts
@@ -21,7 +21,7 @@
 
 /** Reports the current state of an engine as its agent does. */
 function report(news: Partial<EngineNews>, of = engine): void {
-  forwarding.tell(of, news);
+  forwarding.reportEngine(of, news);
 }
 
 beforeEach(async () => {
--- a/test/forwarding/deadly-content.test.ts
+++ b/test/forwarding/deadly-content.test.ts
@@ -68,7 +68,7 @@
       const other = forwarding.send(`/once/${index}/beside`);
       await neighbour;
       const before = ended;
-      const caller = forwarding.open('/once/deadly');
+      const caller = forwarding.openRequest('/once/deadly');
       let refused = false;
       caller.on('response', () => {
         refused = true;
@@ -92,7 +92,7 @@
         });
       });
       forwarding.list([`b${index}`, backEnd]);
-      const caller = forwarding.open('/once/deadly');
+      const caller = forwarding.openRequest('/once/deadly');
       const refused = new Promise<void>((resolve) => caller.once('response', () => resolve()));
       await Promise.race([run, refused]);
       caller.destroy();
--- a/test/forwarding/forwarding-harness.ts
+++ b/test/forwarding/forwarding-harness.ts
@@ -193,7 +193,7 @@
   }
 
   /** Reports the current state of `engine` as its agent does; the agent grants slots only if `news` has a slot address. */
-  tell(engine: StandInBackEnd, news: Partial<EngineNews> = {}): void {
+  reportEngine(engine: StandInBackEnd, news: Partial<EngineNews> = {}): void {
     this.backEnds.takeNews(engine.address, {
       version: 0,
       isReached: true,
@@ -214,13 +214,13 @@
   }
 
   /** Reports that the agent of the engine at `address` has seen the process start `start`. */
-  takeEngineStart(address: string, start: number): void {
+  reportEngineStart(address: string, start: number): void {
     const row = this.backEnds.rowAt(address, start);
     if (row !== undefined) this.fleet.takeStart({ id: row.record.id, start });
   }
 
   /** Sends a request without a body and returns it, so that the test can close its connection. */
-  open(path: string): ClientRequest {
+  openRequest(path: string): ClientRequest {
     const [host, port] = this.#address.split(':');
     const headers = { host: 'api.example', 'x-request': `r${++this.#requests}`, 'x-key': 'key-a' };
     const sent = httpRequest({ host, port, path, headers });
--- a/test/forwarding/last-send-expires.test.ts
+++ b/test/forwarding/last-send-expires.test.ts
@@ -51,7 +51,7 @@
   forwarding.list(
     ...engines.map((engine, index): Parameters<typeof forwarding.list>[0] => [`e${index}`, engine, LISTED]),
   );
-  for (const engine of engines) forwarding.tell(engine, { version: 1 });
+  for (const engine of engines) forwarding.reportEngine(engine, { version: 1 });
   namedAt = performance.now();
   forwarding.expireIn(EXPIRES_IN);
 }
--- a/test/forwarding/rate-limited-engine.test.ts
+++ b/test/forwarding/rate-limited-engine.test.ts
@@ -45,7 +45,7 @@
   await forwarding.start(ENGINE_CONFIGURATION);
   const layers = { from: 0, end: ENGINE_LAYERS, version: 1 };
   forwarding.list(['engine', engine, { slots: SLOTS, layers }]);
-  forwarding.tell(engine, { version: 1, slotAddress: agentAddress });
+  forwarding.reportEngine(engine, { version: 1, slotAddress: agentAddress });
   return { forwarding, client };
 }
 
--- a/test/forwarding/restart.test.ts
+++ b/test/forwarding/restart.test.ts
@@ -123,7 +123,7 @@
 
   it('is recognized by the report of its agent before the store lists it', () => {
     const previous = row();
-    forwarding.takeEngineStart(backEnd.address, NEXT_START);
+    forwarding.reportEngineStart(backEnd.address, NEXT_START);
     tell(NEXT_START);
     expect(row()).not.toBe(previous);
     expect(row().record).toMatchObject({ start: NEXT_START, layers: undefined });
@@ -152,7 +152,7 @@
 
   it('is reported to other entries with its start', async () => {
     backEnd.answer(silent);
-    const sent = forwarding.open('/again/');
+    const sent = forwarding.openRequest('/again/');
     await until(() => row().inFlight === 1, 'the request there');
     expect(forwarding.backEnds.loads()).toEqual([{ id: 'one', start: PREVIOUS_START, inFlight: 1 }]);
     start(NEXT_START, true);
--- a/test/forwarding/silent-connections.test.ts
+++ b/test/forwarding/silent-connections.test.ts
@@ -109,7 +109,7 @@
       'the trial',
     );
     const seen = backEnd.requests.length;
-    const trial = forwarding.open('/read/');
+    const trial = forwarding.openRequest('/read/');
     await until(() => backEnd.requests.length > seen, 'the trial reaches the back end');
     trial.destroy();
     await until(() => forwarding.backEnds.rows.get('one')!.inFlight === 0, 'the trial has ended');
--- a/test/forwarding/slots.test.ts
+++ b/test/forwarding/slots.test.ts
@@ -127,7 +127,7 @@
 });
 
 it('a caller that leaves gives back its slot, and its place among those that wait', async () => {
-  const left = Array.from({ length: 2 * SLOTS + 1 }, () => forwarding.open('/write/a'));
+  const left = Array.from({ length: 2 * SLOTS + 1 }, () => forwarding.openRequest('/write/a'));
   await until(() => requests() === 2 * SLOTS, 'all slots to be taken');
   for (const one of left) one.destroy();
   await until(() => engines.every(({ agent }) => agent.figures.granted === 0), 'all slots to be given back');
--- a/test/forwarding/stream-cut-at-first-refusal.test.ts
+++ b/test/forwarding/stream-cut-at-first-refusal.test.ts
@@ -102,7 +102,7 @@
     const freeAt = performance.now() + BUSY;
     askForSlot = (answers) => (performance.now() < freeAt ? answers.onRefused() : answers.onGranted());
     forwarding.list(['one', one], ['other', others[0]]);
-    forwarding.tell(others[0], { slotAddress: '127.0.0.1:9' });
+    forwarding.reportEngine(others[0], { slotAddress: '127.0.0.1:9' });
     expect(await answering).toMatchObject(whole);
   });
 
--- a/test/forwarding/stream-cut-while-back-end-pauses.test.ts
+++ b/test/forwarding/stream-cut-while-back-end-pauses.test.ts
@@ -152,7 +152,7 @@
     const answering = forwarding.send('/write/a');
     await until(() => requestCount() === 1, 'the request has arrived');
     const other = one.requests.length === 1 ? two : one;
-    forwarding.tell(other, { slotAddress: '127.0.0.1:9' });
+    forwarding.reportEngine(other, { slotAddress: '127.0.0.1:9' });
     expect(await answering).toMatchObject(whole);
     expect(refusals).toBeGreaterThan(0);
   });
@@ -212,7 +212,7 @@
 
   it('is cancelled at both back ends when its caller leaves', async () => {
     answerFirstWith(pausingStream(60_000), () => {});
-    const sent = forwarding.open('/write/a');
+    const sent = forwarding.openRequest('/write/a');
     await until(() => requestCount() === 2, 'the other back end has the request');
     sent.destroy();
     await until(() => one.cancelled + two.cancelled === 2, 'both back ends are cancelled');
--- a/test/forwarding/stream-moves-off-switching-engine.test.ts
+++ b/test/forwarding/stream-moves-off-switching-engine.test.ts
@@ -78,7 +78,7 @@
   return { answer };
 }
 
-const giveNotice = () => forwarding.tell(switching, { version: 1, isSwitching: true });
+const giveNotice = () => forwarding.reportEngine(switching, { version: 1, isSwitching: true });
 
 beforeEach(async () => {
   lastSent = 0;
--- a/test/forwarding/streams-cut-by-joint-drop.test.ts
+++ b/test/forwarding/streams-cut-by-joint-drop.test.ts
@@ -110,8 +110,8 @@
     const states = others.map((other) => stateOf(other, switching.includes(other)));
     return canMoveRequests(CONFIGURATION.routes, stateOf(engine), states);
   });
-  for (const engine of switching) forwarding.tell(engine.backEnd, { version: 1, isSwitching: true });
-  forwarding.tell(last.backEnd, { version: 1 });
+  for (const engine of switching) forwarding.reportEngine(engine.backEnd, { version: 1, isSwitching: true });
+  forwarding.reportEngine(last.backEnd, { version: 1 });
   for (const engine of dropping) engine.drop();
   const ended = await Promise.all(answers);
   expect({ cut: ended.filter(({ whole }) => !whole).length, dropping: dropping.length }).toMatchObject({
--- a/test/forwarding/version-expiry.test.ts
+++ b/test/forwarding/version-expiry.test.ts
@@ -37,7 +37,7 @@
   };
   await forwarding.start(ENGINE_CONFIGURATION);
   forwarding.list(['one', engine, LISTED]);
-  forwarding.tell(engine, { version: 1 });
+  forwarding.reportEngine(engine, { version: 1 });
 });
 
 afterEach(async () => {
@@ -61,7 +61,7 @@
   it('tell of an answer on a version that had expired, as of an engine that holds another one than it told', async () => {
     engine.answer(reply(200, 'late', { 'x-version': '1' }));
     forwarding.list(['one', engine, LISTED_NEXT]);
-    forwarding.tell(engine, { version: 2 });
+    forwarding.reportEngine(engine, { version: 2 });
     forwarding.expireIn(0);
     expect((await forwarding.send('/write/')).body).toBe('late');
     expect(await forwarding.metrics.text()).toMatch(/thistleway_version_late_begins\{[^}]*\} 1/);
@@ -93,15 +93,15 @@
   it('whose model has got more layers', () =>
     withdrawnThough(() => {
       configure({ services: [{ ...service, engine: { ...service.engine!, layers: 2 * ENGINE_LAYERS } }] });
-      forwarding.tell(engine, { version: 0 });
+      forwarding.reportEngine(engine, { version: 0 });
     }));
 
   it('that tells that it holds no version', () =>
-    withdrawnThough(() => forwarding.tell(engine, { version: 0 })));
+    withdrawnThough(() => forwarding.reportEngine(engine, { version: 0 })));
 
   it('that told so and has left the list since', () =>
     withdrawnThough(() => {
-      forwarding.tell(engine, { version: 0 });
+      forwarding.reportEngine(engine, { version: 0 });
       forwarding.list(['two', next, { ...LISTED_NEXT, leaving: true }]);
     }));
 
@@ -111,7 +111,7 @@
     forwarding.expireIn(1_000);
     const answer = forwarding.send('/write/');
     await until(() => engine.open === 1, 'the request there');
-    forwarding.tell(engine, { version: 2 });
+    forwarding.reportEngine(engine, { version: 2 });
     expect((await answer).status).toBe(504);
     expect(await forwarding.metrics.text()).toMatch(/thistleway_version_withdrawals\{[^}]*\} 0/);
   });
@@ -130,7 +130,7 @@
       await until(() => engine.open === 1, 'the request there');
       configure({ services: [{ ...service, engine: declared }] });
       forwarding.list(['one', engine, LISTED], ['two', other, LISTED]);
-      forwarding.tell(other, { version: 1 });
+      forwarding.reportEngine(other, { version: 1 });
       expect((await answer).status).toBe(502);
       expect(other.requests).toHaveLength(0);
     } finally {
@@ -141,7 +141,7 @@
 
 describe('a request that waits for a slot', () => {
   it('does not go to an engine whose version has expired, though its service has left the configuration', async () => {
-    forwarding.tell(engine, { version: 1, slotAddress: '127.0.0.1:1' });
+    forwarding.reportEngine(engine, { version: 1, slotAddress: '127.0.0.1:1' });
     const answer = forwarding.send('/write/');
     await until(() => asked !== undefined, 'an agent asked');
     configure({ services: [] });
