--- a/src/forwarding/request-timing.ts
+++ b/src/forwarding/request-timing.ts
@@ -1,12 +1,15 @@
 /**
  * The deadline of one request and the limits of its waits that follow from it. A caller retries a refused request once. So
  * a first request that cannot meet its objective is better refused at once, while a caller's retry waits for any free back
- * end until its deadline. Times are in milliseconds of the monotonic clock.
+ * end as long as it can still be served before its deadline. Times are in milliseconds of the monotonic clock.
  */
 import type { Route } from '../fleet/configuration.js';
 import { latestBegin, waitsForCapacity } from '../systems/capacity-wait.js';
 
-/** Maximum wait of any request for a slot or in the queue of a back end, in milliseconds. */
+/**
+ * Maximum wait at a back end before it starts a request, in milliseconds. For a slot of an engine, retries of callers and
+ * held requests wait until `latestBegin` instead.
+ */
 const MAX_WAIT = 1_800;
 /** Share of its objective that a first request for a stream may wait in a queue; the rest is for reading its prompt. */
 const QUEUE_WAIT_SHARE = 0.6;
