--- a/src/forwarding/request-wait.ts
+++ b/src/forwarding/back-end-search.ts
@@ -1,6 +1,6 @@
 /**
- * How one request comes to a back end: it looks for a slot of an engine, or takes a back end that has no agent, or waits for
- * capacity that is in sight. What cannot be served in its time is given up at once.
+ * Finds a back end for one request: claims a slot of an engine, or chooses a back end that has no agent, or holds the
+ * request until capacity that is expected soon is there. A request that cannot be served in its time is given up at once.
  */
 import type { Random } from '../model/random.js';
 import type { Standstills } from '../model/standstills.js';
@@ -9,12 +9,11 @@
 import type { BackEndRow, BackEndTable } from './back-end-table.js';
 import type { DirectPermits } from './direct-permits.js';
 import type { EngineSlots, SlotClaim } from './engine-slots.js';
-import type { HoldEnd, HoldRecord } from './hold-record.js';
+import type { HoldOutcome, HoldRecord } from './hold-record.js';
 import type { RequestTiming } from './request-timing.js';
 import { SlotSeeker } from './slot-seeker.js';
 
-/** What waits are decided with. */
-export interface RequestWaitComponents {
+export interface BackEndSearchComponents {
   selector: BackEndSelector;
   slots: EngineSlots;
   backEnds: BackEndTable;
@@ -23,99 +22,98 @@
   random: Random;
 }
 
-/** The request that waits, as it stands at the moment of each question. */
-export interface WaitingRequest {
+/** The request that needs a back end; each method returns the state at the time of the call. */
+export interface PendingRequest {
   readonly timing: RequestTiming;
   readonly isStream: boolean;
-  /** Its place in the queues of back ends, 0 first. */
+  /** Position in the queues of back ends, 0 first. */
   urgency(now: number): number;
   requirements(): Requirements;
-  /** A back end was sent to before. */
+  /** Whether the request has been sent to a back end before. */
   wasSent(): boolean;
-  /** Its caller has a part of the answer: it goes on. */
-  goesOn(): boolean;
-  /** Whether it can still end before this process does, if it is sent after `wait` milliseconds. */
-  canEnd(wait?: number): boolean;
-  /** Whether the budget has a repetition, where it would be one. */
-  mayBeSent(): boolean;
+  /** Whether the caller has received a part of the answer, so that a back end has to resume it. */
+  isResuming(): boolean;
+  /** Whether the request can complete before this process exits if it is sent after `wait` milliseconds. */
+  canComplete(wait?: number): boolean;
+  /** Whether the retry budget allows the next send; always true if that send is not a repetition. */
+  isAllowedByBudget(): boolean;
 }
 
-/** What comes of it. */
-export interface RequestWaitEvents {
-  /** It is to be sent there; with a claim, it has a slot. */
+/** Results of the search. */
+export interface BackEndSearchEvents {
+  /** A back end has been chosen; `claim` holds the engine slot, if one was granted. */
   onChosen(selection: Selection, claim: SlotClaim | undefined): void;
-  /** No back end can take it. */
+  /** No back end can take the request. */
   onGivenUp(reason: string): void;
-  /** This process has no time for it. */
-  onNoTime(): void;
-  /** A fault of this process. */
-  onFault(cause: unknown): void;
-  /** A change of state, for logs. */
+  /** The request cannot complete before this process exits. */
+  onOutOfTime(): void;
+  /** An internal error. */
+  onError(cause: unknown): void;
+  /** Called with each line to log. */
   onNote(message: string, fields: object): void;
 }
 
-/** The wait of one request. */
-export class RequestWait {
-  readonly #components: RequestWaitComponents;
-  readonly #request: WaitingRequest;
-  readonly #events: RequestWaitEvents;
-  /** Its search for a slot of an engine. */
+/** The search of one request for a back end; it can be started again after it has ended. */
+export class BackEndSearch {
+  readonly #components: BackEndSearchComponents;
+  readonly #request: PendingRequest;
+  readonly #events: BackEndSearchEvents;
   #seeker: SlotSeeker | undefined;
   /** The selection for which a permit is being claimed. */
   #claiming: Selection | undefined;
   /**
-   * Since when it waits for capacity, in milliseconds of the steady clock; searches for a slot meanwhile do not begin it anew:
-   * agents that refused again and again held a first request for all the time of its route in place of 45 ms.
+   * Time at which the request was first held for capacity, in milliseconds of the monotonic clock. A search for a slot in
+   * between does not reset it: otherwise agents that refused repeatedly held a first request for the whole time-out of its
+   * route instead of 45 ms.
    */
   #heldSince: number | undefined;
-  /** It has waited while no back end served: it is owed one of the first slots that come free. */
+  /** True once the request was held while no back end served; it then waits for one of the first slots that become free. */
   #wasHeldForCapacity = false;
-  /** Where it has a place among those that wait until back ends serve. */
-  #place: HoldRecord | undefined;
-  /** Waits of this kind that it counts among, while it waits for one of many back ends to be free. */
+  /** Where the request has reserved one of the limited places for waiting until back ends serve. */
+  #reservation: HoldRecord | undefined;
+  /** Where the request is counted while it is held until one of the serving back ends is free. */
   #hold: HoldRecord | undefined;
 
-  constructor(components: RequestWaitComponents, request: WaitingRequest, events: RequestWaitEvents) {
+  constructor(components: BackEndSearchComponents, request: PendingRequest, events: BackEndSearchEvents) {
     this.#components = components;
     this.#request = request;
     this.#events = events;
   }
 
-  /** True from a search, or the wait for capacity, until a back end is chosen or it is given up. */
+  /** True until a back end is chosen or the search ends. */
   get isUnderWay(): boolean {
     return this.#seeker !== undefined || this.#claiming !== undefined || this.#heldSince !== undefined;
   }
 
-  /** Looks for a back end. */
   begin(): void {
-    if (!this.#request.canEnd()) return this.#events.onNoTime();
+    if (!this.#request.canComplete()) return this.#events.onOutOfTime();
     if (!this.#seekSlot()) this.#chooseWithoutSlot();
   }
 
-  /** Looks again; called by the shared tick while it is under way. */
+  /** Tries again; called periodically while the search is under way. */
   check(now: number, standstills: Standstills): void {
     if (this.#claiming !== undefined) return;
     if (this.#seeker === undefined) return this.begin();
-    if (!this.#request.canEnd()) return this.#events.onNoTime();
+    if (!this.#request.canComplete()) return this.#events.onOutOfTime();
     if (this.#seeker.hasExpired(now)) return this.#events.onGivenUp('back ends full');
     this.#seeker.check(now, standstills);
   }
 
-  /** Ends it, however the request goes on. */
-  end(how: HoldEnd): void {
+  /** Ends the search and releases what it holds. */
+  end(outcome: HoldOutcome): void {
     this.#heldSince = undefined;
     this.#claiming = undefined;
-    this.#endSearch();
-    this.#hold?.end(how);
+    this.#cancelSeeker();
+    this.#hold?.end(outcome);
     this.#hold = undefined;
-    this.#place?.freePlace();
-    this.#place = undefined;
+    this.#reservation?.releasePlace();
+    this.#reservation = undefined;
   }
 
-  /** Looks for a slot of an engine; false where no agent is to be asked. */
+  /** Starts to look for a slot of an engine; returns false if there is no agent to ask. */
   #seekSlot(): boolean {
     const { selector, backEnds, limits, slots, random } = this.#components;
-    const { timing, requirements, wasSent, goesOn, urgency } = this.#request;
+    const { timing, requirements, wasSent, isResuming, urgency } = this.#request;
     if (!selector.shouldAcquireSlot(requirements())) return false;
     const now = performance.now();
     this.#seeker = new SlotSeeker({
@@ -125,16 +123,16 @@
       candidates: () => selector.slotCandidates(requirements()),
       isEligible: (row) => selector.isEligibleWithSlot(row, requirements()),
       rateLimitOf: (row) => limits.rateOf(row.record),
-      urgency: goesOn() ? 0 : urgency(now),
+      urgency: isResuming() ? 0 : urgency(now),
       arrivedAt: timing.arrivedAt,
-      endsAt: timing.waitsForSlotUntil(now, wasSent(), this.#wasHeldForCapacity),
+      endsAt: timing.slotWaitDeadline(now, wasSent(), this.#wasHeldForCapacity),
       onGranted: (row, claim, asked) => this.#takeSlot(row, claim, asked),
       onWait: () => this.#onWaitForSlot(),
       onExhausted: () => {
-        this.#endSearch();
+        this.#cancelSeeker();
         this.#chooseWithoutSlot();
       },
-      onFault: (cause) => this.#events.onFault(cause),
+      onFault: (cause) => this.#events.onError(cause),
     });
     this.#seeker.begin();
     return true;
@@ -151,14 +149,19 @@
     this.#events.onChosen(selection, claim);
   }
 
-  /** No slot is free at once. One that comes again waits only where that has been worth it lately. */
+  /** No slot is free at once. A caller's retry keeps waiting only if such waits have been successful lately. */
   #onWaitForSlot(): void {
-    if (this.#request.goesOn() || this.#request.wasSent() || this.#wasHeldForCapacity || this.#beginHold())
+    if (
+      this.#request.isResuming() ||
+      this.#request.wasSent() ||
+      this.#wasHeldForCapacity ||
+      this.#beginHold()
+    )
       return;
     this.#events.onGivenUp('back ends full');
   }
 
-  #endSearch(): void {
+  #cancelSeeker(): void {
     this.#seeker?.cancel();
     this.#seeker = undefined;
   }
@@ -166,8 +169,8 @@
   #chooseWithoutSlot(): void {
     const selection = this.#components.selector.select(this.#request.requirements());
     if (selection === undefined) return this.#holdOrGiveUp();
-    const isOwed = this.#request.wasSent() || this.#wasHeldForCapacity;
-    if (selection.expectedWait > this.#request.timing.longestWait(isOwed))
+    const wasSentOrHeld = this.#request.wasSent() || this.#wasHeldForCapacity;
+    if (selection.expectedWait > this.#request.timing.maxQueueWait(wasSentOrHeld))
       return this.#events.onGivenUp('back ends full');
     if (this.#components.selector.needsPermit(selection.row)) return void this.#claimPermit(selection);
     this.end('sent');
@@ -189,43 +192,46 @@
       this.end('sent');
       this.#events.onChosen(selection, undefined);
     } catch (cause) {
-      this.#events.onFault(cause);
+      this.#events.onError(cause);
     }
   }
 
-  /** Waits for capacity that is in sight; gives up at once where it is not. */
+  /** Holds the request if capacity is expected in its time, and gives up otherwise. */
   #holdOrGiveUp(): void {
-    const { canEnd, goesOn, mayBeSent } = this.#request;
+    const { canComplete, isResuming, isAllowedByBudget } = this.#request;
     const now = performance.now();
     const capacity = this.#components.selector.timeToCapacity(this.#request.requirements().service);
     const wasHeld = this.#heldSince !== undefined;
     this.#heldSince ??= now;
-    if (!canEnd(capacity)) return this.#events.onNoTime();
-    if (capacity === undefined && !mayBeSent()) return this.#events.onGivenUp('no budget');
-    const waits = !goesOn() && this.#waitsFor(capacity, this.#heldSince, now);
-    if (!waits) return this.#giveUp(capacity, now - this.#heldSince);
+    if (!canComplete(capacity)) return this.#events.onOutOfTime();
+    if (capacity === undefined && !isAllowedByBudget()) return this.#events.onGivenUp('no budget');
+    const mayWait = !isResuming() && this.#shouldHold(capacity, this.#heldSince, now);
+    if (!mayWait) return this.#giveUp(capacity, now - this.#heldSince);
     if (!wasHeld) this.#events.onNote('held', { capacityMs: Math.round(capacity ?? 0) });
   }
 
-  /** @param capacity - time until a back end serves; undefined where some do, so that one of them is free soon or not */
-  #waitsFor(capacity: number | undefined, heldSince: number, now: number): boolean {
+  /**
+   * Whether to hold the request.
+   * @param capacity - time until the first back end serves; undefined if some serve but none of them can take the request
+   */
+  #shouldHold(capacity: number | undefined, heldSince: number, now: number): boolean {
     const { timing, isStream, requirements } = this.#request;
     if (capacity === undefined && this.#wasHeldForCapacity) return now < timing.latestBegin;
-    if (capacity === undefined) return isStream && now < timing.holdsUntil(heldSince) && this.#beginHold();
+    if (capacity === undefined) return isStream && now < timing.holdDeadline(heldSince) && this.#beginHold();
     const forecast = this.#components.backEnds.forecastOf(requirements().service);
     if (!forecast.note(now + capacity, now) || !timing.waitsForCapacity(now, capacity)) return false;
-    if (now + capacity <= timing.latestBegin && !this.#takePlace()) return false;
+    if (now + capacity <= timing.latestBegin && !this.#reservePlace()) return false;
     this.#wasHeldForCapacity = true;
     return true;
   }
 
-  /** A place among those that wait for the first slots; false where all of these are spoken for. */
-  #takePlace(): boolean {
-    if (this.#place !== undefined) return true;
+  /** Reserves one of the places for requests that wait for the first slots; returns false if all of them are taken. */
+  #reservePlace(): boolean {
+    if (this.#reservation !== undefined) return true;
     const { service } = this.#request.requirements();
     const holds = this.#components.backEnds.holdsOf(service);
-    if (!holds.takePlace(this.#components.selector.slotShare(service))) return false;
-    this.#place = holds;
+    if (!holds.reservePlace(this.#components.selector.slotShare(service))) return false;
+    this.#reservation = holds;
     return true;
   }
 
@@ -235,9 +241,12 @@
     this.#events.onGivenUp('no back end');
   }
 
-  /** Counts the wait of a request that comes again; false where it is not to wait. A first one waits for a moment only. */
+  /**
+   * Counts the wait of a caller's retry; returns false if the request must not wait. First requests are not counted, as they
+   * wait only briefly.
+   */
   #beginHold(): boolean {
-    if (!this.#request.timing.isLastChance || this.#hold !== undefined) return true;
+    if (!this.#request.timing.isCallerRetry || this.#hold !== undefined) return true;
     const holds = this.#components.backEnds.holdsOf(this.#request.requirements().service);
     if (!holds.allowsMore) return false;
     holds.begin();
--- a/src/forwarding/caller-answer.ts
+++ b/src/forwarding/caller-answer.ts
@@ -4,29 +4,28 @@
 import type { IncomingMessage, ServerResponse } from 'node:http';
 import type { AnswerHead, Attempt } from './attempt.js';
 import type { AttemptAnswer } from './attempt-answer.js';
-import type { FinalAnswer } from './forwarding-errors.js';
+import type { ErrorResponse } from './forwarding-errors.js';
 import { endToEndHeaders, LAST_EVENT_ID } from './header-names.js';
 
-/** The answer to one request. */
 export class CallerAnswer {
   readonly #request: IncomingMessage;
   readonly #response: ServerResponse;
-  readonly #isLeaving: () => boolean;
+  readonly #mustClose: () => boolean;
   /** Id of the last event written to the caller. */
   #lastEventId: string | undefined;
   #isEventStream = false;
   #forwardedAt = Number.NEGATIVE_INFINITY;
 
-  /** @param isLeaving - whether the caller is to use its connection no more */
-  constructor(request: IncomingMessage, response: ServerResponse, isLeaving: () => boolean) {
+  /** @param mustClose - whether the response must tell the caller to close its connection */
+  constructor(request: IncomingMessage, response: ServerResponse, mustClose: () => boolean) {
     this.#request = request;
     this.#response = response;
-    this.#isLeaving = isLeaving;
+    this.#mustClose = mustClose;
     const requested = request.headers[LAST_EVENT_ID];
     this.#lastEventId = requested === undefined ? undefined : String(requested);
   }
 
-  /** True once the caller has a part of it. */
+  /** True once a part of the answer has been written. */
   get started(): boolean {
     return this.#response.headersSent;
   }
@@ -36,12 +35,12 @@
     return this.#isEventStream;
   }
 
-  /** The event after which it would go on. */
+  /** Id of the event after which another back end would resume the answer. */
   get lastEventId(): string | undefined {
     return this.#lastEventId;
   }
 
-  /** When a part of it was last forwarded, in milliseconds of the steady clock. */
+  /** Time at which a part of the answer was last written, in milliseconds of the monotonic clock. */
   get forwardedAt(): number {
     return this.#forwardedAt;
   }
@@ -67,12 +66,12 @@
   }
 
   /** Responds with an error of this system, or cuts an answer that has begun, which must not look complete. */
-  fail({ status, retryAfter }: FinalAnswer, requestIdHeader: Record<string, string>): void {
+  fail({ status, retryAfter }: ErrorResponse, requestIdHeader: Record<string, string>): void {
     if (this.started || this.#response.destroyed) return this.cut();
     const headers: Record<string, string> = { 'content-length': '0', ...requestIdHeader };
     if (retryAfter !== undefined) headers['retry-after'] = retryAfter.toFixed(2);
     // The unread rest of a request body would be parsed as the next request.
-    if (this.#isLeaving() || !this.#request.complete) headers.connection = 'close';
+    if (this.#mustClose() || !this.#request.complete) headers.connection = 'close';
     this.#response.writeHead(status, headers);
     this.#response.end();
   }
@@ -97,14 +96,14 @@
     this.#isEventStream = answer.isEventStream;
     const left = new Set(answer.isEventStream ? ['content-length'] : []);
     const kept = endToEndHeaders(rawHeaders, headers.connection, left);
-    if (this.#isLeaving()) kept.push('Connection', 'close');
-    // An answer that ends with its connection may have been cut: it must not get a frame that says that it is whole.
+    if (this.#mustClose()) kept.push('Connection', 'close');
+    // An answer delimited by the end of its connection may be truncated. Chunked encoding would mark it as complete.
     if (isUnframed(headers)) this.#response.useChunkedEncodingByDefault = false;
     this.#response.writeHead(status, kept);
   }
 }
 
-/** True for an answer that ends with its connection. */
+/** True for an answer that is delimited only by the end of its connection. */
 function isUnframed(headers: AnswerHead['headers']): boolean {
   return headers['content-length'] === undefined && headers['transfer-encoding'] === undefined;
 }
--- a/src/forwarding/cut-figures.ts
+++ b/src/forwarding/cut-answer-metrics.ts
@@ -1,12 +1,11 @@
-/** Answers that were cut after their caller had a part of them, for metrics: how many, by how their latest attempt ended. */
+/** Metric of answers that were cut after their caller had received a part, by the failure of their latest attempt. */
 import type { Metrics } from '../observability/metrics.js';
 
-/** Reasons that are counted apart; the texts of system errors could grow without bound. */
-const MOST_REASONS = 16;
+/** Maximum number of distinct reasons; bounded because reasons include the texts of system errors. */
+const MAX_REASONS = 16;
 const OTHER_REASON = 'other';
 
-/** The figures of one process. */
-export class CutFigures {
+export class CutAnswerMetrics {
   readonly #counts = new Map<string, number>();
 
   constructor(metrics: Metrics) {
@@ -20,9 +19,9 @@
     ]);
   }
 
-  /** @param reason - how the latest attempt failed, or why the answer was cut where none did */
+  /** @param reason - failure of the latest attempt, or why the answer was cut if no attempt failed */
   note(reason: string): void {
-    const isCounted = this.#counts.has(reason) || this.#counts.size < MOST_REASONS;
+    const isCounted = this.#counts.has(reason) || this.#counts.size < MAX_REASONS;
     const label = isCounted ? reason : OTHER_REASON;
     this.#counts.set(label, (this.#counts.get(label) ?? 0) + 1);
   }
--- a/src/forwarding/forwarded-request.ts
+++ b/src/forwarding/forwarded-request.ts
@@ -1,13 +1,14 @@
 /**
- * One caller's request, from its arrival to its final answer: the back ends it is sent to, what of their answers is passed
- * on, and when it is given up.
+ * Handles one request from its arrival to its final answer: chooses back ends, forwards their answer to the caller, and
+ * decides when to retry and when to fail.
  *
- * A request is sent again only where that is safe: after proof that it did not run, or where its route says that it may
- * run again. An answer is passed on only once its first part is there, so that a failure before that stays unseen.
+ * A request is sent again only if that is safe: if it provably did not run, or if its route allows it to run more than
+ * once. Nothing is sent to the caller before the first part of an answer has arrived, so that the caller does not notice
+ * failures before that.
  *
  * An attempt at a silent back end stays open until another back end has sent a part of the answer: the silent one may only
- * be pausing, and the others may refuse, fail or be silent too. So does the attempt of a stream that moves off an engine
- * which is about to take another version.
+ * be pausing, and the others may refuse, fail or be silent too. Likewise, when a stream moves off an engine that is about
+ * to switch to another version, the attempt at that engine stays open until another engine has resumed the stream.
  */
 import type { IncomingMessage, ServerResponse } from 'node:http';
 import type { Readable } from 'node:stream';
@@ -15,33 +16,39 @@
 import { latestBegin } from '../systems/capacity-wait.js';
 import type { Fingerprint } from '../systems/poison-requests.js';
 import { type AdmittedRequest, admit, headersToSend, type RejectedRequest } from './admitted-request.js';
-import { type AnswerHead, type AnswerSummary, Attempt, type AttemptFailure, wentOut } from './attempt.js';
+import {
+  type AnswerHead,
+  type AnswerSummary,
+  Attempt,
+  type AttemptFailure,
+  mayHaveReachedBackEnd,
+} from './attempt.js';
 import { AttemptAnswer } from './attempt-answer.js';
 import { AttemptWatch } from './attempt-watch.js';
+import { BackEndSearch, type PendingRequest } from './back-end-search.js';
 import type { Selection } from './back-end-selector.js';
 import { type BackEndRow, loadOf } from './back-end-table.js';
 import { BackEndUse } from './back-end-use.js';
 import { CallerAnswer } from './caller-answer.js';
 import { type CallerBody, readCallerBody } from './caller-body.js';
+import { CompletionEstimate } from './completion-estimate.js';
 import type { SlotClaim } from './engine-slots.js';
-import { type ForwardingError, finalAnswer } from './forwarding-errors.js';
+import { errorResponseOf, type ForwardingError } from './forwarding-errors.js';
 import type { ForwardingComponents } from './forwarding-server.js';
 import { OpenAttempts } from './open-attempts.js';
 import { readRateLimit } from './rate-limit-notice.js';
-import { holdEndOf, outcomeOfEnding, type RequestEnding } from './request-ending.js';
+import { holdOutcomeOf, outcomeOfEnding, type RequestEnding } from './request-ending.js';
 import { fingerprintsOf } from './request-fingerprint.js';
 import { RequestLog } from './request-log.js';
-import { outcomeOf } from './request-outcome.js';
-import { RequestWait, type WaitingRequest } from './request-wait.js';
-import { retryElsewhere, retryOnceServed } from './retry-after.js';
+import { healthOutcomeOf } from './request-outcome.js';
+import { retryAfterForCapacity, retryAfterForOtherProcess } from './retry-after.js';
 import { SendPolicy } from './send-policy.js';
 import { StreamMove } from './stream-move.js';
 import { SuspectContent } from './suspect-content.js';
-import { TimeToEnd } from './time-to-end.js';
 
 /** Interval between searches for a replacement for a silent or switching back end, in milliseconds. */
 const SEARCH_INTERVAL = 200;
-const FIRST_FAILURE = 400;
+const FIRST_ERROR_STATUS = 400;
 const INTERNAL_ERROR = 500;
 const MILLISECONDS = 1_000;
 
@@ -49,31 +56,28 @@
 export class ForwardedRequest {
   readonly #components: ForwardingComponents;
   readonly #request: IncomingMessage;
-  /** When it arrived, in milliseconds of the steady clock. */
+  /** Arrival time, in milliseconds of the monotonic clock. */
   readonly arrivedAt = performance.now();
   readonly #id: string;
-  /** Set before anything is sent. */
+  /** Set by `#admit`, before anything is sent; so are the other fields with `!`. */
   #admitted!: AdmittedRequest;
-  #timeToEnd!: TimeToEnd;
+  #completionEstimate!: CompletionEstimate;
   #timer: NodeJS.Timeout | undefined;
   #body: CallerBody = { type: 'none' };
   readonly #content: SuspectContent;
   readonly #openAttempts: OpenAttempts;
   readonly #log: RequestLog;
-  /** Set before anything is sent. */
   #policy!: SendPolicy;
-  /** Its way to a back end; set before anything is sent. */
-  #wait!: RequestWait;
-  /** Set before anything is sent. */
+  #search!: BackEndSearch;
   #watch!: AttemptWatch;
-  /** Earliest time of the next search for a replacement, in milliseconds of the steady clock. */
+  /** Earliest time of the next search for a replacement, in milliseconds of the monotonic clock. */
   #nextSearchAt = Number.NEGATIVE_INFINITY;
   readonly #move = new StreamMove();
   readonly #answer: CallerAnswer;
-  /** The attempt whose back end answered with a failure; its answer is used if no other back end answers. */
+  /** The latest attempt that got an error response (5xx); the caller gets that response if no other back end answers. */
   #failedAnswer: BackEndUse | undefined;
   #settled = false;
-  readonly #onCallerEnded = () => this.#endCaller();
+  readonly #onCallerEnded = () => this.#onCallerHalfClosed();
 
   constructor(components: ForwardingComponents, request: IncomingMessage, response: ServerResponse) {
     this.#components = components;
@@ -90,50 +94,53 @@
     });
     this.#openAttempts = new OpenAttempts({
       content: this.#content,
-      timeToEnd: () => this.#timeToEnd,
+      completionEstimate: () => this.#completionEstimate,
       usualFailureShare: () => components.backEnds.usualFailureShare(this.#admitted.service),
     });
     this.#answer = new CallerAnswer(request, response, () => components.drain.isUnderWay);
     response.on('close', () => this.#onCallerGone());
-    // The answer closes only once what is buffered has gone out, which a caller that has gone does not read.
+    // `close` of the response waits until buffered data has been written, which a caller that has gone never reads.
     request.socket.once('end', this.#onCallerEnded);
     response.on('error', () => {});
     request.on('error', () => {});
   }
 
-  /** Routes the request and sends it. */
+  /** Admits the request, reads its body and starts the search for a back end. */
   async start(): Promise<void> {
     const rejected = this.#admit();
     if (rejected !== undefined) return this.#fail(rejected.error, rejected.route);
-    this.#timer = setTimeout(() => this.#onTimeout(), this.#admitted.timing.endsAt - this.arrivedAt);
+    this.#timer = setTimeout(() => this.#onTimeout(), this.#admitted.timing.deadline - this.arrivedAt);
     this.#body = await readCallerBody(this.#request, this.#admitted.table.configuration.limits.bodyBytes);
     if (this.#settled) return;
     if (this.#body.type === 'tooLarge') return this.#fail({ type: 'bodyTooLarge' });
-    if (this.#body.type === 'cut') return this.#fail({ type: 'malformed', reason: 'cut body' });
+    if (this.#body.type === 'cut') return this.#fail({ type: 'malformed', reason: 'incomplete body' });
     this.#components.budgetOf(this.#admitted.service).earn(performance.now());
     const decision = await this.#content.admit(this.#admitted.service);
     if (this.#settled) return this.#content.noteEnded();
     if (decision.type === 'quarantined') return this.#refuseQuarantined(decision.retryAfter);
-    this.#wait.begin();
+    this.#search.begin();
   }
 
-  /** Back ends crash under these contents: it is taken back where it has one of them and has not begun. */
+  /**
+   * Called when content that crashes back ends has been quarantined: stops the search and withdraws attempts that have not
+   * begun to answer, if the request has such content.
+   */
   onQuarantined(fingerprints: ReadonlySet<Fingerprint>): void {
-    const isWaiting = !this.#settled && this.#wait?.isUnderWay;
-    if (this.#openAttempts.size === 0 && !isWaiting) return;
+    const isSearching = !this.#settled && this.#search?.isUnderWay;
+    if (this.#openAttempts.size === 0 && !isSearching) return;
     if (!this.#content.matchesAny(fingerprints) || this.#content.mayBeSent) return;
-    if (isWaiting) this.#giveUpQuarantined();
+    if (isSearching) this.#giveUpQuarantined();
     for (const { attempt, hasBegun } of this.#openAttempts.all())
       if (!hasBegun) attempt.withdraw('quarantined');
   }
 
-  /** Ends a request that this process cannot handle: a fault of its own takes down one request, never the process. */
+  /** Fails the request after an internal error, so that the error affects only this request and not the process. */
   abandon(cause: unknown): void {
     this.#log.noteAbandoned(cause);
-    this.#fail({ type: 'backEndFailed', reason: 'fault of this process' });
+    this.#fail({ type: 'backEndFailed', reason: 'internal error' });
   }
 
-  /** Ends a request that has not ended when this process does: whoever has no part of an answer yet is told. */
+  /** Ends the request because the process exits: fails it with an error response, or cuts an answer that has begun. */
   stop(): void {
     if (this.#settled) return;
     if (!this.#answer.started) {
@@ -144,14 +151,14 @@
     this.#end({ type: 'cut', reason: 'stop', isStop: true });
   }
 
-  /** Checks the open attempts, and looks for a replacement if all are silent; called by the shared tick. */
+  /** Checks the open attempts, and looks for a replacement if all are silent; called at each `CHECK_INTERVAL` of the server. */
   check(now: number, standstills: Standstills): void {
     if (this.#settled) return;
-    if (this.#wait?.isUnderWay) this.#wait.check(now, standstills);
+    if (this.#search?.isUnderWay) this.#search.check(now, standstills);
     for (const use of this.#openAttempts.all()) this.#watch.check(use, now, standstills);
     if (this.#settled) return;
     if (this.#move.isOverdue(now, this.#admitted.route.longestPause)) this.#endMove('late');
-    if (this.#wait.isUnderWay) return;
+    if (this.#search.isUnderWay) return;
     if (this.#needsBackEnd) this.#findReplacement(now);
     else this.#moveOffSwitchingEngine(now);
   }
@@ -165,34 +172,34 @@
   #findReplacement(now: number): void {
     if (now < this.#nextSearchAt) return;
     if (!this.#policy.mayRunAgain) {
-      // The open attempts are the last ones.
+      // No further back end may run the request, so the open attempts are its last ones.
       if (this.#openAttempts.size === 0) this.#giveUp('attempts used up');
       return;
     }
     if (!this.#policy.maySendAgain) return this.#giveUp('no budget');
     this.#policy.allowOtherConnections();
     this.#policy.noteRepetition();
-    this.#wait.begin();
+    this.#search.begin();
   }
 
-  /** Looks for another engine for a stream whose engine is about to take another version; the stream goes on meanwhile. */
+  /** Looks for another engine for a stream whose engine is about to switch versions; the stream continues meanwhile. */
   #moveOffSwitchingEngine(now: number): void {
     if (this.#openAttempts.size !== 1 || now < this.#nextSearchAt) return;
     const [use] = this.#openAttempts.all();
     if (!this.#answer.isEventStream || use.row.news?.isSwitching !== true) return;
-    // Another engine must go on with the same version, so it has to be known.
+    // Another engine must resume the stream with the same version, so the version must be known.
     if (this.#policy.version === undefined || !this.#policy.mayRunAgain) return;
     if (!this.#policy.maySendAgain) return this.#endSearch('no budget');
     this.#move.begin(use);
     this.#policy.noteRepetition();
-    this.#wait.begin();
+    this.#search.begin();
   }
 
-  /** Ends a move that has not succeeded; the attempt that the stream was to leave goes on. */
+  /** Ends a move that has not succeeded; the original attempt continues, and its withheld events are forwarded. */
   #endMove(reason: string): void {
     if (!this.#move.isUnderWay) return;
     this.#nextSearchAt = performance.now() + SEARCH_INTERVAL;
-    this.#components.moveFigures.givenUp++;
+    this.#components.moveMetrics.givenUp++;
     const source = this.#move.end();
     if (source === undefined) return;
     this.#log.note('move given up', { backEnd: source.row.record.id, reason });
@@ -201,15 +208,20 @@
     this.#answer.forward(source.answer, source.attempt);
   }
 
-  /** Takes in what the configuration says of it; returns why it cannot be sent. */
+  /** Looks up route, service and tenant, and creates what depends on them; returns the reason if the request is rejected. */
   #admit(): RejectedRequest | undefined {
     const admission = admit(this.#request, this.arrivedAt, this.#components);
     if (!admission.ok) return admission.error;
     this.#admitted = admission.value;
     const { route, answerTokens, timing } = admission.value;
-    this.#timeToEnd = new TimeToEnd(this.#components, route.name, answerTokens, timing.endsAt);
+    this.#completionEstimate = new CompletionEstimate(
+      this.#components,
+      route.name,
+      answerTokens,
+      timing.deadline,
+    );
     this.#policy = this.#createPolicy(admission.value);
-    this.#wait = this.#createWait(admission.value);
+    this.#search = this.#createSearch(admission.value);
     this.#watch = this.#createWatch(admission.value);
     return undefined;
   }
@@ -229,7 +241,7 @@
   #createWatch(admitted: AdmittedRequest): AttemptWatch {
     return new AttemptWatch(this.#components, {
       admitted,
-      timeToEnd: this.#timeToEnd,
+      completionEstimate: this.#completionEstimate,
       hasPart: () => this.#answer.started,
       isCallerBlocked: () => this.#answer.isBlocked,
       maySendAgain: () => this.#policy.maySendAgain,
@@ -238,24 +250,24 @@
     });
   }
 
-  #createWait({ route, timing, rank }: AdmittedRequest): RequestWait {
-    const request: WaitingRequest = {
+  #createSearch({ route, timing, rank }: AdmittedRequest): BackEndSearch {
+    const request: PendingRequest = {
       timing,
       isStream: route.isStream,
       urgency: (now) => timing.urgency(rank, now),
       requirements: () => this.#policy.requirements(),
       wasSent: () => this.#policy.sends > 0,
-      goesOn: () => this.#answer.started,
-      canEnd: (wait) => this.#canEnd(wait),
-      mayBeSent: () => this.#policy.isAllowedByBudget,
+      isResuming: () => this.#answer.started,
+      canComplete: (wait) => this.#canComplete(wait),
+      isAllowedByBudget: () => this.#policy.isAllowedByBudget,
     };
-    return new RequestWait(this.#components, request, {
+    return new BackEndSearch(this.#components, request, {
       onChosen: (selection, claim) => this.#send(selection, claim),
       onGivenUp: (reason) => this.#giveUp(reason),
-      onNoTime: () => this.#refuseForStop(),
-      onFault: (cause) => this.abandon(cause),
+      onOutOfTime: () => this.#refuseForStop(),
+      onError: (cause) => this.abandon(cause),
       onNote: (message, fields) => {
-        if (!this.#hasSearchedInVain) this.#log.note(message, fields);
+        if (!this.#hasFailedSearch) this.#log.note(message, fields);
       },
     });
   }
@@ -267,7 +279,7 @@
       return refuse();
     }
     const { row } = selection;
-    // It goes there over another connection than one that is silent.
+    // An open attempt at this back end is on a silent connection; the new attempt uses another connection.
     this.#openAttempts.abortAt(row, 'silent connection');
     this.#policy.noteSent(row);
     const { limits } = this.#components;
@@ -286,15 +298,15 @@
     const use = this.#createAttempt(selection, claim);
     const { attempt } = use;
     this.#move.noteSent(use);
-    this.#timeToEnd.noteSent(attempt);
+    this.#completionEstimate.noteSent(attempt);
     attempt.send(row.connections);
   }
 
   /** Returns a function that gives up if the request may not be sent; otherwise spends the budget for a repetition. */
   #refusalBeforeSend(): (() => void) | undefined {
-    if (!this.#canEnd()) return () => this.#refuseForStop();
+    if (!this.#canComplete()) return () => this.#refuseForStop();
     if (!this.#content.mayBeSent) return () => this.#giveUpQuarantined();
-    return this.#policy.pay() ? undefined : () => this.#giveUp('no budget');
+    return this.#policy.chargeBudget() ? undefined : () => this.#giveUp('no budget');
   }
 
   #createAttempt(selection: Selection, claim: SlotClaim | undefined): BackEndUse {
@@ -323,20 +335,27 @@
     return use;
   }
 
-  /** Whether it can still end before this process does, if it is sent after `wait` milliseconds; a begun answer goes on. */
-  #canEnd(wait = 0): boolean {
-    return this.#answer.started || this.#timeToEnd.suffices(performance.now(), wait);
+  /**
+   * Whether the request can complete before this process exits if it is sent after `wait` milliseconds. Always true for an
+   * answer that has begun, which is resumed in any case.
+   */
+  #canComplete(wait = 0): boolean {
+    return this.#answer.started || this.#completionEstimate.canComplete(performance.now(), wait);
   }
 
-  /** Refuses what this process has no time for: another one can take it now. */
+  /** Refuses a request that cannot complete before this process exits; another process can take it at once. */
   #refuseForStop(): void {
     if (this.#openAttempts.size > 0) return this.#endSearch('stop');
     const reason = 'stop';
     if (this.#openAttempts.runs > 0) return this.#fail({ type: 'backEndFailed', reason });
-    this.#fail({ type: 'unavailable', reason, retryAfter: retryElsewhere(this.#components.random) });
+    this.#fail({
+      type: 'unavailable',
+      reason,
+      retryAfter: retryAfterForOtherProcess(this.#components.random),
+    });
   }
 
-  /** It is sent to no further back end. */
+  /** Ends the search for a back end because the content of the request is quarantined; open attempts continue. */
   #giveUpQuarantined(): void {
     const reason = 'quarantined';
     if (this.#openAttempts.size > 0) return this.#endSearch(reason);
@@ -345,7 +364,7 @@
     this.#refuseQuarantined(this.#content.retryAfter);
   }
 
-  /** @param milliseconds - until one like it may be tried */
+  /** @param milliseconds - time until a request with this content may be tried again */
   #refuseQuarantined(milliseconds: number): void {
     this.#log.note('quarantined', { fingerprint: this.#content.fingerprints[0] });
     this.#fail({ type: 'quarantined', retryAfter: milliseconds / MILLISECONDS });
@@ -381,7 +400,7 @@
     use.answer.begin(head);
     if (this.#answer.started && !use.answer.isEventStream)
       return use.attempt.fail(`status ${head.status} without events to a stream that goes on`);
-    this.#noteBegin(use);
+    this.#noteExpiredVersion(use);
   }
 
   #versionOf({ answer }: BackEndUse): number | undefined {
@@ -389,8 +408,8 @@
     return version > 0 ? version : undefined;
   }
 
-  /** Records an answer that begins on an expired version. */
-  #noteBegin(use: BackEndUse): void {
+  /** Logs and counts an answer that begins on an expired version of the weights. */
+  #noteExpiredVersion(use: BackEndUse): void {
     const version = this.#versionOf(use);
     if (version === undefined) return;
     const { selector, expiryFigures } = this.#components;
@@ -409,7 +428,7 @@
 
   #onData(use: BackEndUse, chunk: Buffer): void {
     use.notePart();
-    if (!use.answer.push(chunk) || this.#move.holdsBack(use)) return;
+    if (!use.answer.push(chunk) || this.#move.withholds(use)) return;
     if (!this.#move.isSource(use)) this.#selectAttempt(use);
     this.#answer.forward(use.answer, use.attempt);
   }
@@ -417,36 +436,36 @@
   /** Selects `use` as the source of the answer; cancels the search and the other attempts, so that no event is sent twice. */
   #selectAttempt(use: BackEndUse): void {
     if (!this.#answer.started) this.#policy.version = this.#versionOf(use);
-    if (this.#openAttempts.size === 1 && !this.#wait.isUnderWay) return;
+    if (this.#openAttempts.size === 1 && !this.#search.isUnderWay) return;
     const backEnds = [...this.#openAttempts.all()].map(({ row }) => row.record.id);
     this.#log.note('attempt selected', {
       backEnd: use.row.record.id,
       backEnds,
       after: this.#answer.lastEventId,
     });
-    if (this.#move.end() !== undefined) this.#components.moveFigures.moved++;
-    this.#wait.end('cancelled');
+    if (this.#move.end() !== undefined) this.#components.moveMetrics.moved++;
+    this.#search.end('cancelled');
     this.#openAttempts.abortAll('another back end answers', use);
   }
 
   #onEnd(use: BackEndUse): void {
     use.notePromptRead();
     const { status } = use.answer;
-    if (status >= INTERNAL_ERROR && !this.#answer.started && this.#tryAgainAfter(use, `status ${status}`))
+    if (status >= INTERNAL_ERROR && !this.#answer.started && this.#retryAfterError(use, `status ${status}`))
       return;
     this.#end({ type: 'answered', use });
   }
 
-  /** Retries after an error response of the back end; returns false if the request may not be sent again. */
-  #tryAgainAfter(use: BackEndUse, reason: string): boolean {
+  /** Drops an error response if another attempt is active or the request may be sent again; returns false otherwise. */
+  #retryAfterError(use: BackEndUse, reason: string): boolean {
     const hasActiveAttempt = this.#openAttempts.hasActiveBeside(use);
     if (!hasActiveAttempt && !this.#policy.maySendAgain) return false;
     this.#openAttempts.close(use, 'failed');
     this.#failedAnswer = use;
     this.#policy.noteRepetition();
-    if (hasActiveAttempt || this.#wait.isUnderWay) return true;
+    if (hasActiveAttempt || this.#search.isUnderWay) return true;
     this.#log.note('sent again', { reason, sends: this.#policy.sends });
-    this.#wait.begin();
+    this.#search.begin();
     return true;
   }
 
@@ -455,63 +474,63 @@
     this.#log.noteFailure(use, failure);
     if (failure.type === 'broken' && failure.isLost) this.#content.noteBroken(row);
     if (failure.type === 'withdrawn') this.#components.expiryFigures.withdrawn++;
-    this.#openAttempts.close(use, outcomeOf(failure));
+    this.#openAttempts.close(use, healthOutcomeOf(failure));
     const isKept = this.#answer.started || this.#openAttempts.size > 0;
-    if (isKept && (failure.type === 'refused' || failure.type === 'notSent')) this.#policy.allowLater(row);
-    if (wentOut(failure)) this.#policy.noteRepetition();
-    if (this.#move.isSource(use) || !this.#wait.isUnderWay) this.#endMove(failure.type);
+    if (isKept && (failure.type === 'refused' || failure.type === 'notSent')) this.#policy.allowResend(row);
+    if (mayHaveReachedBackEnd(failure)) this.#policy.noteRepetition();
+    if (this.#move.isSource(use) || !this.#search.isUnderWay) this.#endMove(failure.type);
     // Another attempt is open, or a search is in progress.
-    if (this.#openAttempts.size > 0 || this.#wait.isUnderWay) return;
-    if (wentOut(failure) && failure.type !== 'refused') return this.#onBroken(failure.reason);
+    if (this.#openAttempts.size > 0 || this.#search.isUnderWay) return;
+    if (mayHaveReachedBackEnd(failure) && failure.type !== 'refused') return this.#onBroken(failure.reason);
     if (this.#policy.isExhausted) return this.#giveUp('back ends refuse');
     if (!this.#policy.isAllowedByBudget) return this.#giveUp('no budget');
     if (this.#body.type === 'streamed' && failure.type === 'refused') return this.#giveUp('body not kept');
     if (!this.#content.mayBeSent) return this.#giveUpQuarantined();
-    this.#wait.begin();
+    this.#search.begin();
   }
 
   #onBroken(reason: string): void {
     if (this.#policy.maySendAgain) {
       this.#log.note('sent again', { reason, sends: this.#policy.sends, after: this.#answer.lastEventId });
-      return this.#wait.begin();
+      return this.#search.begin();
     }
     if (this.#answer.started) return this.#giveUp(reason);
     this.#fail({ type: 'backEndFailed', reason });
   }
 
-  /** No back end can take the request now. */
+  /** Called when no back end can take the request now: keeps waiting if that may still help, and otherwise ends it. */
   #giveUp(reason: string): void {
-    if (this.#openAttempts.size > 0 && this.#waitsForSilent) return this.#endSearch(reason);
-    if (this.#answer.started) return this.#canGoOnLater() ? this.#endSearch(reason) : this.#cut(reason);
+    if (this.#openAttempts.size > 0 && this.#mayWaitForSilent) return this.#endSearch(reason);
+    if (this.#answer.started) return this.#canResumeLater() ? this.#endSearch(reason) : this.#cut(reason);
     if (this.#openAttempts.runs > 0) return this.#fail({ type: 'backEndFailed', reason });
     const { selector, random } = this.#components;
-    const retryAfter = retryOnceServed(this.#admitted.service, selector, random);
+    const retryAfter = retryAfterForCapacity(this.#admitted.service, selector, random);
     this.#fail({ type: 'unavailable', reason, retryAfter });
   }
 
-  /** Whether it is left at silent back ends, though no other one can take it now. */
-  get #waitsForSilent(): boolean {
+  /** Whether to keep waiting for the silent back ends when no other one can take the request now. */
+  get #mayWaitForSilent(): boolean {
     if (this.#answer.started) return true;
     if (this.#failedAnswer !== undefined && this.#openAttempts.areAllSilent) return false;
-    return performance.now() < this.#admitted.timing.waitsForSilentUntil;
+    return performance.now() < this.#admitted.timing.silentWaitDeadline;
   }
 
   /** Ends a search that found no replacement; the next one starts after `SEARCH_INTERVAL`. */
   #endSearch(reason: string): void {
-    this.#wait.end('inVain');
+    this.#search.end('unserved');
     this.#endMove(reason);
-    if (!this.#hasSearchedInVain) this.#log.note('no replacement found', { reason });
+    if (!this.#hasFailedSearch) this.#log.note('no replacement found', { reason });
     this.#nextSearchAt = performance.now() + SEARCH_INTERVAL;
   }
 
-  get #hasSearchedInVain(): boolean {
+  get #hasFailedSearch(): boolean {
     return this.#nextSearchAt !== Number.NEGATIVE_INFINITY;
   }
 
-  /** Whether another back end may resume a begun answer before its caller gives up. */
-  #canGoOnLater(): boolean {
+  /** Whether another back end may resume an answer that has begun before the caller loses patience. */
+  #canResumeLater(): boolean {
     const { route, timing } = this.#admitted;
-    const latest = latestBegin(this.#answer.forwardedAt, timing.endsAt, route.patience);
+    const latest = latestBegin(this.#answer.forwardedAt, timing.deadline, route.patience);
     if (performance.now() + SEARCH_INTERVAL > latest) return false;
     return (
       this.#policy.mayRunAgain && this.#components.selector.mayBecomeEligible(this.#policy.requirements())
@@ -525,8 +544,8 @@
     this.#fail(this.#openAttempts.mayHaveRun ? { type: 'timedOut' } : { type: 'expired' });
   }
 
-  /** The caller has closed its side, so that it will not read what is buffered for it either. */
-  #endCaller(): void {
+  /** The caller has closed its side of the connection, so it does not read what is still buffered for it either. */
+  #onCallerHalfClosed(): void {
     if (this.#settled) return;
     this.#onCallerGone();
     this.#answer.cut();
@@ -557,7 +576,7 @@
       case 'answered':
         return this.#answer.end(ending.use.answer);
       case 'failed':
-        return this.#answer.fail(finalAnswer(ending.error), this.#idHeader());
+        return this.#answer.fail(errorResponseOf(ending.error), this.#idHeader());
       case 'cut':
         return this.#answer.cut();
     }
@@ -568,7 +587,7 @@
     clearTimeout(this.#timer);
     this.#request.socket.off('end', this.#onCallerEnded);
     if (ending.type === 'answered' && this.#openAttempts.has(ending.use)) this.#closeAnswered(ending.use);
-    this.#wait?.end(holdEndOf(ending));
+    this.#search?.end(holdOutcomeOf(ending));
     this.#openAttempts.abortAll(ending.type === 'left' ? 'caller left' : 'request ended');
     this.#content.noteEnded();
   }
@@ -580,7 +599,7 @@
     const took = this.#openAttempts.close(use, isFailure ? 'failed' : 'served');
     if (isFailure) return;
     // A back end may reject a request without running it.
-    if (status < FIRST_FAILURE) this.#content.noteServed();
+    if (status < FIRST_ERROR_STATUS) this.#content.noteServed();
     use.noteServed(took);
     this.#log.note('served', {
       backEnd: use.row.record.id,
--- a/src/forwarding/forwarding-server.ts
+++ b/src/forwarding/forwarding-server.ts
@@ -1,4 +1,4 @@
-/** The interface for callers of back ends at their own address. */
+/** HTTP server that accepts requests of callers and forwards them to back ends. */
 import type { IncomingMessage, ServerResponse } from 'node:http';
 import { createServer, type Server } from 'node:http';
 import { Server as ConnectionServer } from 'node:net';
@@ -17,44 +17,43 @@
 import type { BackEndLimits } from './back-end-limits.js';
 import type { BackEndSelector } from './back-end-selector.js';
 import type { BackEndTable } from './back-end-table.js';
-import { CutFigures } from './cut-figures.js';
+import type { CompletionEstimateComponents } from './completion-estimate.js';
+import { CutAnswerMetrics } from './cut-answer-metrics.js';
 import type { DirectPermits } from './direct-permits.js';
-import { type ArrivalsWithOutcome, DrainFigures } from './drain-figures.js';
+import { DrainMetrics, type OutcomeArrivals } from './drain-metrics.js';
 import type { EngineSlots } from './engine-slots.js';
 import { ForwardedRequest } from './forwarded-request.js';
 import type { HeaderNames } from './header-names.js';
 import type { PoisonGuard } from './poison-guard.js';
 import type { RequestOutcome } from './request-outcome.js';
-import { StreamMoveFigures } from './stream-move-figures.js';
-import type { TimeToEndComponents } from './time-to-end.js';
+import { StreamMoveMetrics } from './stream-move-metrics.js';
 import { VersionExpiryFigures } from './version-expiry-figures.js';
 
-/** Time between two looks at requests in progress, in milliseconds. */
+/** Interval at which requests in progress are checked, in milliseconds. */
 const CHECK_INTERVAL = 50;
-/** Head of a request, in bytes: above what configurations allow. */
-const MOST_HEADER_BYTES = 65_536;
-/** Idle connections of callers outlast what they were told by this, in milliseconds. */
-const IDLE_MARGIN = 1_000;
+/** Maximum size of a request head in bytes; above the limits that a configuration may set. */
+const MAX_HEADER_BYTES = 65_536;
+/** Time for which connections stay open beyond the configured time-outs, in milliseconds. */
+const TIMEOUT_MARGIN = 1_000;
 const DEFAULT_IDLE_TIMEOUT = 30_000;
-/** Last answers are given this long to go out at a stop, in milliseconds: callers that do not read are not waited for. */
-const FLUSH_LIMIT = 150;
+/** Time that the last answers have to be written when the server stops, in milliseconds; bounded as callers may not read. */
+const FLUSH_TIMEOUT = 150;
 /**
- * Once no new connections are taken, those whose callers could not be told to leave them stay open for this, in
- * milliseconds: after the close, when the last ones have just been opened, and after an answer that began before the order
- * to stop. A caller that is busy sends its next request within a round trip, far less.
+ * Once no new connections are accepted, those whose callers have not been sent `Connection: close` stay open for this time,
+ * in milliseconds. It is counted from the close, as the last ones have only just been opened then, and from the end of an
+ * answer to a request that arrived before the order to stop. A busy caller sends its next request within a round trip, far less.
  */
-const LINGER = 300;
-/** Turns of the event loop in a row without a new connection after which none waits, and the most that are waited for. */
+const LINGER_TIME = 300;
+/** Consecutive turns of the event loop without a new connection after which none is pending, and the limit of all turns. */
 const QUIET_TURNS = 4;
-const MOST_TURNS = 100;
+const MAX_TURNS = 100;
 /** Bounds of the latency histogram, in seconds. */
 const LATENCY_BUCKETS = [0.01, 0.025, 0.05, 0.1, 0.2, 0.4, 0.8, 1.5, 3, 6, 12];
 
-/** What requests are forwarded with. */
-export interface ForwardingComponents extends TimeToEndComponents {
+export interface ForwardingComponents extends CompletionEstimateComponents {
   names: HeaderNames;
-  /** Names that callers may not set, as this system does. */
-  headersSet: ReadonlySet<string>;
+  /** Names of headers that this system sets; they are removed from requests of callers. */
+  reservedHeaders: ReadonlySet<string>;
   fleet: FleetView;
   backEnds: BackEndTable;
   limits: BackEndLimits;
@@ -64,31 +63,30 @@
   random: Random;
   log: Log;
   expiryFigures: VersionExpiryFigures;
-  moveFigures: StreamMoveFigures;
-  cutFigures: CutFigures;
+  moveMetrics: StreamMoveMetrics;
+  cutMetrics: CutAnswerMetrics;
   poison: PoisonGuard;
   budgetOf(service: string): RetryWindow;
   onSettled(request: ForwardedRequest, outcome: RequestOutcome, milliseconds: number): void;
 }
 
-/** Accepts requests at an address. */
 export class ForwardingServer implements Startable {
   readonly #address: string;
   readonly #components: ForwardingComponents;
   readonly #active = new Set<ForwardedRequest>();
   readonly #counters: Partial<Record<RequestOutcome, number>> = {};
   readonly #latency: Histogram;
-  readonly #drainFigures: DrainFigures;
+  readonly #drainMetrics: DrainMetrics;
   #server: Server | undefined;
   #timer: NodeJS.Timeout | undefined;
   readonly #standstills = new Standstills(CHECK_INTERVAL, performance.now());
-  /** Time in which this process got no processor while requests were in progress, in milliseconds. */
-  #stoodStill = 0;
+  /** Total time in which this process was not scheduled while requests were in progress, in milliseconds. */
+  #stalledTime = 0;
   #acceptedAt = 0;
   #isClosed = false;
-  /** Since when callers may be sending on connections that they were not told to leave: the close, and early answers. */
-  #lingersSince = Number.NEGATIVE_INFINITY;
-  /** Answers that have not gone out. */
+  /** Latest time from which `LINGER_TIME` counts. */
+  #lingerStartedAt = Number.NEGATIVE_INFINITY;
+  /** Responses that have not been written completely. */
   readonly #responses = new Set<ServerResponse>();
   #onFlushed: () => void = () => {};
 
@@ -96,7 +94,7 @@
     address: string,
     components: Omit<
       ForwardingComponents,
-      'onSettled' | 'durations' | 'expiryFigures' | 'moveFigures' | 'cutFigures'
+      'onSettled' | 'durations' | 'expiryFigures' | 'moveMetrics' | 'cutMetrics'
     >,
     metrics: Metrics,
   ) {
@@ -105,8 +103,8 @@
       ...components,
       durations: new LongestDurations(),
       expiryFigures: new VersionExpiryFigures(metrics),
-      moveFigures: new StreamMoveFigures(metrics),
-      cutFigures: new CutFigures(metrics),
+      moveMetrics: new StreamMoveMetrics(metrics),
+      cutMetrics: new CutAnswerMetrics(metrics),
       onSettled: (request, outcome, milliseconds) => this.#onSettled(request, outcome, milliseconds),
     };
     components.poison.onQuarantined = (fingerprints) => {
@@ -119,7 +117,7 @@
       buckets: LATENCY_BUCKETS,
       registers: [metrics.registry],
     });
-    this.#drainFigures = new DrainFigures(metrics);
+    this.#drainMetrics = new DrainMetrics(metrics);
     metrics.add([
       {
         name: 'forwarded',
@@ -131,7 +129,7 @@
       {
         name: 'stood_still_milliseconds',
         help: 'Time in which this process got no processor while requests were in progress',
-        read: () => this.#stoodStill,
+        read: () => this.#stalledTime,
       },
       {
         name: 'silent_connections',
@@ -141,20 +139,20 @@
     ]);
   }
 
-  /** Requests in progress. */
+  /** Number of requests in progress. */
   get active(): number {
     return this.#active.size;
   }
 
-  /** What became of requests that arrived after the order to stop. */
-  get arrivalsWhileDraining(): Readonly<Partial<Record<RequestOutcome, ArrivalsWithOutcome>>> {
-    return this.#drainFigures.byOutcome;
+  /** Requests that arrived after the order to stop, by outcome. */
+  get arrivalsWhileDraining(): Readonly<Partial<Record<RequestOutcome, OutcomeArrivals>>> {
+    return this.#drainMetrics.byOutcome;
   }
 
   async start(): Promise<void> {
     const [host, port] = this.#address.split(':');
     const server = createServer(
-      { maxHeaderSize: MOST_HEADER_BYTES, keepAliveTimeout: DEFAULT_IDLE_TIMEOUT, requestTimeout: 0 },
+      { maxHeaderSize: MAX_HEADER_BYTES, keepAliveTimeout: DEFAULT_IDLE_TIMEOUT, requestTimeout: 0 },
       (request, response) => this.#accept(request, response),
     );
     new UnreadableConnections(server, (_error, socket) => socket.destroy());
@@ -167,58 +165,58 @@
     this.#components.fleet.listen({
       onConfiguration: ({ configuration }) => {
         if (this.#isClosed) return;
-        server.keepAliveTimeout = configuration.limits.idleTimeout + IDLE_MARGIN;
-        server.headersTimeout = configuration.limits.headerTimeout + IDLE_MARGIN;
+        server.keepAliveTimeout = configuration.limits.idleTimeout + TIMEOUT_MARGIN;
+        server.headersTimeout = configuration.limits.headerTimeout + TIMEOUT_MARGIN;
       },
     });
   }
 
-  /** Time since the latest request came, in milliseconds. */
-  get quietFor(): number {
+  /** Time since the latest request arrived, in milliseconds. */
+  get timeSinceLastRequest(): number {
     return performance.now() - this.#acceptedAt;
   }
 
   /**
-   * Takes no new connection and ends idle ones. Those in use end with their answers: at once where the caller was told, and
-   * otherwise when it has had the time to send its next request there, whose answer tells it.
+   * Accepts no new connections and closes idle ones. A connection in use closes at the end of its answer if that has
+   * `Connection: close`. Otherwise it stays open for `LINGER_TIME`, so that the answer to the caller's next request can have it.
    */
   async close(): Promise<void> {
     if (this.#server === undefined) return;
-    await acceptWaiting(this.#server);
+    await acceptPendingConnections(this.#server);
     this.#isClosed = true;
-    this.#lingersSince = performance.now();
-    this.#server.keepAliveTimeout = LINGER;
-    // The `close` of an HTTP server also ends the connections that it takes for idle.
+    this.#lingerStartedAt = performance.now();
+    this.#server.keepAliveTimeout = LINGER_TIME;
+    // `close` of an HTTP server would also close connections that it considers idle.
     ConnectionServer.prototype.close.call(this.#server);
-    setTimeout(() => setImmediate(() => this.#closeIdleConnections()), LINGER).unref();
+    setTimeout(() => setImmediate(() => this.#closeIdleConnections()), LINGER_TIME).unref();
   }
 
-  /** Connections that were just accepted count as idle, too, until their first request is read. */
+  /** Closes idle connections; those just accepted count as idle too, until their first request has been read. */
   #closeIdleConnections(): void {
-    if (!this.#isAnswerGoingOut) this.#server?.closeIdleConnections();
+    if (!this.#isFlushing) this.#server?.closeIdleConnections();
   }
 
   /**
-   * True while the end of an answer is written, but not out. The HTTP server takes its connection for idle, although the
-   * caller does not have the whole answer yet. Connections that are left open for this serve what still comes there.
+   * True while an ended response has not been flushed. The HTTP server considers its connection idle then, although the
+   * caller does not have the whole answer yet. Connections that stay open for this reason still serve requests.
    */
-  get #isAnswerGoingOut(): boolean {
+  get #isFlushing(): boolean {
     return [...this.#responses].some(
       ({ writableEnded, writableFinished }) => writableEnded && !writableFinished,
     );
   }
 
-  /** True once each answer is out and no caller may still be using a connection that it was not told to leave. */
-  get isSettled(): boolean {
-    return this.#responses.size === 0 && performance.now() - this.#lingersSince > LINGER;
+  /** True once each answer has been written and `LINGER_TIME` is over for all connections. */
+  get isDrained(): boolean {
+    return this.#responses.size === 0 && performance.now() - this.#lingerStartedAt > LINGER_TIME;
   }
 
   async stop(): Promise<void> {
     clearInterval(this.#timer);
-    // What is still read while the last answers go out is refused.
+    // Requests that are read while the last answers are written are refused.
     this.#components.drain.finish(performance.now());
     for (const request of this.#active) request.stop();
-    await endsWithin(this.#flushed(), FLUSH_LIMIT);
+    await endsWithin(this.#flushed(), FLUSH_TIMEOUT);
     this.#server?.closeAllConnections();
     this.#server?.close();
     this.#server = undefined;
@@ -234,11 +232,11 @@
     forwarded.start().catch((cause) => forwarded.abandon(cause));
   }
 
-  #arrivedAfterOrder({ arrivedAt }: ForwardedRequest): boolean {
+  #arrivedWhileDraining({ arrivedAt }: ForwardedRequest): boolean {
     return (this.#components.drain.elapsed(arrivedAt) ?? -1) >= 0;
   }
 
-  /** Resolves when each answer has gone out, or its caller has. */
+  /** Resolves when each response has been written or its connection has closed. */
   #flushed(): Promise<void> {
     return new Promise((resolve) => {
       this.#onFlushed = resolve;
@@ -260,23 +258,23 @@
     const now = performance.now();
     const stoodStill = this.#standstills.tick(now);
     if (stoodStill > 0) this.#noteStandstill(stoodStill);
-    for (const request of this.#active) this.#checkOne(request, now);
+    for (const request of this.#active) this.#checkRequest(request, now);
     if (this.#active.size > 0) return;
     clearInterval(this.#timer);
     this.#timer = undefined;
   }
 
-  /** What was due meanwhile comes late: time-outs, withdrawals, answers to others. */
+  /** Logs and counts a stall of this process, which delays time-outs, withdrawals and answers. */
   #noteStandstill(milliseconds: number): void {
-    this.#stoodStill += milliseconds;
+    this.#stalledTime += milliseconds;
     this.#components.log.warn('stood still', {
       milliseconds: Math.round(milliseconds),
       inProgress: this.active,
     });
   }
 
-  /** A fault at one request ends that one. */
-  #checkOne(request: ForwardedRequest, now: number): void {
+  /** Checks one request; an error in it ends only that request. */
+  #checkRequest(request: ForwardedRequest, now: number): void {
     try {
       request.check(now, this.#standstills);
     } catch (cause) {
@@ -286,23 +284,23 @@
 
   #onSettled(request: ForwardedRequest, outcome: RequestOutcome, milliseconds: number): void {
     this.#active.delete(request);
-    if (!this.#arrivedAfterOrder(request)) this.#lingersSince = performance.now();
+    if (!this.#arrivedWhileDraining(request)) this.#lingerStartedAt = performance.now();
     this.#counters[outcome] = (this.#counters[outcome] ?? 0) + 1;
     this.#latency.observe({ outcome }, milliseconds / 1_000);
-    if (!this.#arrivedAfterOrder(request)) return;
-    this.#drainFigures.note(outcome, this.#components.drain.elapsed(request.arrivedAt) ?? 0);
+    if (!this.#arrivedWhileDraining(request)) return;
+    this.#drainMetrics.note(outcome, this.#components.drain.elapsed(request.arrivedAt) ?? 0);
   }
 }
 
 /**
- * Waits until the event loop has accepted and read what was waiting, as after a standstill: a server that closes resets the
- * connections that wait for it.
+ * Waits until the event loop has accepted the pending connections, of which there may be many after a stall of this process:
+ * closing the server resets connections that it has not accepted.
  */
-async function acceptWaiting(server: Server): Promise<void> {
+async function acceptPendingConnections(server: Server): Promise<void> {
   let accepted = 0;
   const count = () => accepted++;
   server.on('connection', count);
-  for (let turns = 0, quietTurns = 0; turns < MOST_TURNS && quietTurns < QUIET_TURNS; turns++) {
+  for (let turns = 0, quietTurns = 0; turns < MAX_TURNS && quietTurns < QUIET_TURNS; turns++) {
     const before = accepted;
     await new Promise((resolve) => setImmediate(resolve));
     quietTurns = accepted === before ? quietTurns + 1 : 0;
--- a/src/forwarding/hold-record.ts
+++ b/src/forwarding/hold-record.ts
@@ -1,64 +1,64 @@
 /**
- * Whether it has been worth the wait lately to hold requests for a free back end. While back ends stay full, a caller is
- * better refused at once than after a wait; a few requests are held all the same, and tell when that is over.
+ * Tracks how often holding requests for a free back end has succeeded lately. While back ends stay full, it is better to
+ * refuse a caller at once than after a wait; a few requests are still held as probes to detect when this is over.
  */
 
-/** Weight of the newest end of a wait: seven in a row change what is done. */
-const END_WEIGHT = 0.1;
-/** Share of waits that must have ended at a back end. */
-const LEAST_SENT_SHARE = 0.5;
-/** Requests that may be held at the same time whatever became of others. */
-const MOST_TRIALS = 2;
+/** Weight of the newest wait in the moving average: seven in a row with the same result change the decision. */
+const OUTCOME_WEIGHT = 0.1;
+/** Share of waits that must have ended with a send for more requests to be held. */
+const MIN_SENT_SHARE = 0.5;
+/** Number of requests that may be held at the same time as probes, whatever the share. */
+const MAX_PROBES = 2;
 
 /** How a wait ended. */
-export type HoldEnd =
-  /** A back end has taken the request. */
+export type HoldOutcome =
+  /** The request was sent to a back end. */
   | 'sent'
-  /** None has in its time. */
-  | 'inVain'
-  /** Its caller left before. */
+  /** The request was not sent to any back end in its time. */
+  | 'unserved'
+  /** The caller closed its connection. */
   | 'left'
   /** No longer needed, as an open attempt has answered. */
   | 'cancelled';
 
-/** The waits for back ends of one service. */
+/** The waits for free back ends of one service. */
 export class HoldRecord {
   #held = 0;
   #sentShare = 1;
-  #placesTaken = 0;
+  #reservedPlaces = 0;
 
-  /** False where one more request is to be refused at once. */
+  /** False if the next request must be refused at once. */
   get allowsMore(): boolean {
-    return this.#sentShare >= LEAST_SENT_SHARE || this.#held < MOST_TRIALS;
+    return this.#sentShare >= MIN_SENT_SHARE || this.#held < MAX_PROBES;
   }
 
-  /** A request waits from now on. */
+  /** Records the start of a wait. */
   begin(): void {
     this.#held++;
   }
 
-  /** A request waits no more. */
-  end(how: HoldEnd): void {
+  /** Records the end of a wait. */
+  end(outcome: HoldOutcome): void {
     this.#held--;
-    if (how === 'left' || how === 'cancelled') return;
-    const sample = how === 'sent' ? 1 : 0;
-    this.#sentShare += END_WEIGHT * (sample - this.#sentShare);
+    if (outcome === 'left' || outcome === 'cancelled') return;
+    const sample = outcome === 'sent' ? 1 : 0;
+    this.#sentShare += OUTCOME_WEIGHT * (sample - this.#sentShare);
   }
 
   /**
-   * A request is to wait until back ends serve again; false where as many wait as this process has slots of them to expect.
-   * Those beyond would be held, and refused in the end: after a loss of power 816 of credit was held in vain on a site of 42
-   * entries, 150 without such waits.
-   * @param places - slots that come free at once, divided among all entries
+   * Reserves a place for a request that waits until back ends serve again; returns false if as many requests wait as this
+   * process can expect slots. Requests beyond that would be held, and refused in the end: after a loss of power 816 of credit
+   * was held in vain on a site of 42 entries, 150 without such waits.
+   * @param places - slots that become free at once, divided among all entries
    */
-  takePlace(places: number): boolean {
-    if (this.#placesTaken >= Math.max(1, places)) return false;
-    this.#placesTaken++;
+  reservePlace(places: number): boolean {
+    if (this.#reservedPlaces >= Math.max(1, places)) return false;
+    this.#reservedPlaces++;
     return true;
   }
 
-  /** A request that had a place waits no more. */
-  freePlace(): void {
-    this.#placesTaken--;
+  /** Releases a place that `reservePlace` has reserved. */
+  releasePlace(): void {
+    this.#reservedPlaces--;
   }
 }
--- a/src/forwarding/request-log.ts
+++ b/src/forwarding/request-log.ts
@@ -4,15 +4,15 @@
 import type { DrainSchedule } from '../systems/drain-schedule.js';
 import type { AttemptFailure } from './attempt.js';
 import type { BackEndUse } from './back-end-use.js';
-import type { CutFigures } from './cut-figures.js';
-import { finalAnswer } from './forwarding-errors.js';
+import type { CutAnswerMetrics } from './cut-answer-metrics.js';
+import { errorResponseOf } from './forwarding-errors.js';
 import type { RequestEnding } from './request-ending.js';
 
 export interface RequestLogComponents {
   log: Log;
   drain: DrainSchedule;
   fleet: FleetView;
-  cutFigures: CutFigures;
+  cutMetrics: CutAnswerMetrics;
 }
 
 /** The properties of a request that are logged. */
@@ -78,13 +78,13 @@
 
   /**
    * @param use - the first attempt that is open
-   * @param routeName - the route of the request; undefined where it has none
+   * @param routeName - the route of the request; undefined if none matched
    */
   noteEnding(ending: RequestEnding, use: BackEndUse | undefined, routeName: string | undefined): void {
     if (ending.type === 'left')
       return this.note('caller left', { backEnd: use?.row.record.id, ageMs: this.age });
     if (ending.type !== 'failed') return;
-    const { status } = finalAnswer(ending.error);
+    const { status } = errorResponseOf(ending.error);
     const route = ending.routeName ?? routeName;
     this.note('ended', { status, ...ending.error, ageMs: this.age, route });
   }
@@ -94,13 +94,13 @@
     use: BackEndUse | undefined,
     context: CutContext,
   ): void {
-    const { fleet, cutFigures } = this.#components;
+    const { fleet, cutMetrics } = this.#components;
     const now = performance.now();
     const open =
       use === undefined ? {} : { backEnd: use.row.record.id, silentMs: Math.round(now - use.progressAt) };
     // With an open attempt no earlier failure is the cause.
     const cause = use === undefined ? (this.#latestFailure?.reason ?? reason) : reason;
-    cutFigures.note(cause);
+    cutMetrics.note(cause);
     this.note('answer cut', {
       reason,
       ...open,
--- a/test/forwarding/deadly-content.test.ts
+++ b/test/forwarding/deadly-content.test.ts
@@ -69,7 +69,7 @@
       const other = forwarding.send(`/once/${index}/beside`);
       await neighbour;
       const before = ended;
-      const caller = forwarding.open('/once/deadly');
+      const caller = forwarding.openRequest('/once/deadly');
       let refused = false;
       caller.on('response', () => {
         refused = true;
@@ -93,7 +93,7 @@
         });
       });
       forwarding.list([`b${index}`, backEnd]);
-      const caller = forwarding.open('/once/deadly');
+      const caller = forwarding.openRequest('/once/deadly');
       const refused = new Promise<void>((resolve) => caller.once('response', () => resolve()));
       await Promise.race([run, refused]);
       caller.destroy();
--- a/test/forwarding/request-timing.test.ts
+++ b/test/forwarding/request-timing.test.ts
@@ -1,68 +1,70 @@
-/** How a request waits, by its time. */
+/** Deadlines, wait limits and queue positions of requests. */
 import { describe, expect, it } from 'vitest';
 import { STREAM_ROUTE } from '../../bench/simulation/stream-route.js';
 import type { FleetConfiguration } from '../../src/fleet/configuration.js';
 import { RouteTable } from '../../src/fleet/route-table.js';
-import { MOST_RANK, RequestTiming } from '../../src/forwarding/request-timing.js';
+import { MAX_RANK, RequestTiming } from '../../src/forwarding/request-timing.js';
 
-const ARRIVED = 10_000;
-const first = new RequestTiming(ARRIVED, STREAM_ROUTE, 6_030);
-const again = new RequestTiming(ARRIVED, STREAM_ROUTE, 4_000);
+const ARRIVED_AT = 10_000;
+const first = new RequestTiming(ARRIVED_AT, STREAM_ROUTE, 6_030);
+const retry = new RequestTiming(ARRIVED_AT, STREAM_ROUTE, 4_000);
 
 describe('the time of a request', () => {
-  it('ends with its route or its caller, whichever is first', () => {
-    expect(first.endsAt).toBe(ARRIVED + 6_000);
-    expect(again.endsAt).toBe(ARRIVED + 4_000);
-    expect(new RequestTiming(ARRIVED, STREAM_ROUTE, undefined).endsAt).toBe(ARRIVED + 6_000);
+  it('ends at the time-out of its route or of its caller, whichever comes first', () => {
+    expect(first.deadline).toBe(ARRIVED_AT + 6_000);
+    expect(retry.deadline).toBe(ARRIVED_AT + 4_000);
+    expect(new RequestTiming(ARRIVED_AT, STREAM_ROUTE, undefined).deadline).toBe(ARRIVED_AT + 6_000);
   });
 
-  it('tells a caller that comes again by what it has left', () => {
-    expect(first.isLastChance).toBe(false);
-    expect(again.isLastChance).toBe(true);
-    expect(new RequestTiming(ARRIVED, { ...STREAM_ROUTE, isStream: false }, 4_000).isLastChance).toBe(false);
+  it('recognizes the retry of a caller by the time that it has left', () => {
+    expect(first.isCallerRetry).toBe(false);
+    expect(retry.isCallerRetry).toBe(true);
+    expect(new RequestTiming(ARRIVED_AT, { ...STREAM_ROUTE, isStream: false }, 4_000).isCallerRetry).toBe(
+      false,
+    );
   });
 
-  it('holds a first one for a moment, and one that comes again as long as it can still be served', () => {
-    expect(first.holdsUntil(ARRIVED)).toBeLessThan(ARRIVED + 100);
-    const short = new RequestTiming(ARRIVED, STREAM_ROUTE, 2_000);
-    expect(short.holdsUntil(ARRIVED)).toBe(short.endsAt - 1_200);
+  it('holds a first request briefly, and a retry as long as it can still be served', () => {
+    expect(first.holdDeadline(ARRIVED_AT)).toBeLessThan(ARRIVED_AT + 100);
+    const short = new RequestTiming(ARRIVED_AT, STREAM_ROUTE, 2_000);
+    expect(short.holdDeadline(ARRIVED_AT)).toBe(short.deadline - 1_200);
   });
 
-  it('holds none so long that its caller would leave before the first event', () => {
-    expect(again.holdsUntil(ARRIVED)).toBe(ARRIVED + 2_400 - 700);
+  it('holds no request so long that its caller would leave before the first event', () => {
+    expect(retry.holdDeadline(ARRIVED_AT)).toBe(ARRIVED_AT + 2_400 - 700);
   });
 
-  it('lets a first one queue only as long as it can be in time, and never gives up what was sent for a wait', () => {
-    expect(first.longestWait(false)).toBe(240);
-    expect(first.longestWait(true)).toBe(1_800);
-    expect(again.longestWait(false)).toBe(1_800);
+  it('lets a first request queue only as long as it can meet its objective, and refuses none that was sent for a long queue', () => {
+    expect(first.maxQueueWait(false)).toBe(240);
+    expect(first.maxQueueWait(true)).toBe(1_800);
+    expect(retry.maxQueueWait(false)).toBe(1_800);
   });
 
-  it('lets a first one wait for a slot only as long as its first event can still come in time', () => {
-    expect(first.waitsForSlotUntil(ARRIVED, false, false)).toBe(ARRIVED + 200);
-    expect(first.waitsForSlotUntil(ARRIVED + 500, true, false)).toBe(ARRIVED + 500 + 1_800);
-    expect(first.waitsForSlotUntil(ARRIVED, false, true)).toBe(first.latestBegin);
-    expect(again.waitsForSlotUntil(ARRIVED, false, false)).toBe(again.latestBegin);
+  it('lets a first request wait for a slot only as long as its first event can still meet the objective', () => {
+    expect(first.slotWaitDeadline(ARRIVED_AT, false, false)).toBe(ARRIVED_AT + 200);
+    expect(first.slotWaitDeadline(ARRIVED_AT + 500, true, false)).toBe(ARRIVED_AT + 500 + 1_800);
+    expect(first.slotWaitDeadline(ARRIVED_AT, false, true)).toBe(first.latestBegin);
+    expect(retry.slotWaitDeadline(ARRIVED_AT, false, false)).toBe(retry.latestBegin);
   });
 
-  it('puts first ones before those that come again, and those before late ones', () => {
-    expect(first.urgency(1, ARRIVED)).toBe(1);
-    expect(again.urgency(1, ARRIVED)).toBeGreaterThan(first.urgency(MOST_RANK, ARRIVED));
-    expect(first.urgency(1, ARRIVED + 401)).toBeGreaterThan(again.urgency(MOST_RANK, ARRIVED));
-    expect(again.urgency(1, ARRIVED + 401)).toBe(first.urgency(1, ARRIVED + 401));
-    expect(first.urgency(MOST_RANK, ARRIVED + 401)).toBe(9);
+  it('puts first requests before retries, and retries before late requests', () => {
+    expect(first.urgency(1, ARRIVED_AT)).toBe(1);
+    expect(retry.urgency(1, ARRIVED_AT)).toBeGreaterThan(first.urgency(MAX_RANK, ARRIVED_AT));
+    expect(first.urgency(1, ARRIVED_AT + 401)).toBeGreaterThan(retry.urgency(MAX_RANK, ARRIVED_AT));
+    expect(retry.urgency(1, ARRIVED_AT + 401)).toBe(first.urgency(1, ARRIVED_AT + 401));
+    expect(first.urgency(MAX_RANK, ARRIVED_AT + 401)).toBe(9);
   });
 
-  it('puts more urgent kinds first among those that come again, and the most urgent among late ones', () => {
-    for (let rank = 1; rank <= MOST_RANK; rank++) {
-      expect(first.urgency(rank - 1, ARRIVED)).toBeLessThan(first.urgency(rank, ARRIVED));
-      expect(again.urgency(rank - 1, ARRIVED)).toBeLessThan(again.urgency(rank, ARRIVED));
+  it('puts more urgent ranks first among retries, and the most urgent rank first among late requests', () => {
+    for (let rank = 1; rank <= MAX_RANK; rank++) {
+      expect(first.urgency(rank - 1, ARRIVED_AT)).toBeLessThan(first.urgency(rank, ARRIVED_AT));
+      expect(retry.urgency(rank - 1, ARRIVED_AT)).toBeLessThan(retry.urgency(rank, ARRIVED_AT));
     }
-    expect(again.urgency(0, ARRIVED + 401)).toBeLessThan(again.urgency(1, ARRIVED + 401));
+    expect(retry.urgency(0, ARRIVED_AT + 401)).toBeLessThan(retry.urgency(1, ARRIVED_AT + 401));
   });
 
-  it('knows no more ranks than the queue of a back end has places for', () => {
-    expect(first.urgency(MOST_RANK + 5, ARRIVED)).toBe(first.urgency(MOST_RANK, ARRIVED));
+  it('distinguishes no more ranks than the queue of a back end', () => {
+    expect(first.urgency(MAX_RANK + 5, ARRIVED_AT)).toBe(first.urgency(MAX_RANK, ARRIVED_AT));
   });
 });
 
@@ -76,7 +78,7 @@
     tenants: tenants.map((priority, place) => ({ name: `t${place}`, keys: [`k${place}`], priority })),
   });
 
-  it('is its place among those of routes and tenants', () => {
+  it('is its position among the priorities of routes and tenants', () => {
     const table = new RouteTable(configuration([5, 2, 5], [7, undefined]));
     expect([2, 5, 7].map((priority) => table.rankOf(priority))).toEqual([0, 1, 2]);
   });
--- a/test/forwarding/silent-connections.test.ts
+++ b/test/forwarding/silent-connections.test.ts
@@ -109,7 +109,7 @@
       'the end of the suspension',
     );
     const seen = backEnd.requests.length;
-    const trial = forwarding.open('/read/');
+    const trial = forwarding.openRequest('/read/');
     await until(() => backEnd.requests.length > seen, 'the probe to reach the back end');
     trial.destroy();
     await until(() => forwarding.backEnds.rows.get('one')!.inFlight === 0, 'the probe to end');
--- a/test/forwarding/slots.test.ts
+++ b/test/forwarding/slots.test.ts
@@ -127,7 +127,7 @@
 });
 
 it('a caller that leaves releases its slot or its place in the queue', async () => {
-  const left = Array.from({ length: 2 * SLOTS + 1 }, () => forwarding.open('/write/a'));
+  const left = Array.from({ length: 2 * SLOTS + 1 }, () => forwarding.openRequest('/write/a'));
   await until(() => requests() === 2 * SLOTS, 'all slots to be taken');
   for (const one of left) one.destroy();
   await until(() => engines.every(({ agent }) => agent.figures.granted === 0), 'all slots to be released');
--- a/test/forwarding/stream-cut-at-first-refusal.test.ts
+++ b/test/forwarding/stream-cut-at-first-refusal.test.ts
@@ -1,4 +1,4 @@
-/** A begun stream whose back end breaks off while no other one is free at that moment: it goes on once one is. */
+/** Guards against cutting a stream whose back end fails while no other one is free at that moment. */
 import { afterEach, beforeEach, describe, expect, it } from 'vitest';
 import type { FleetConfiguration } from '../../src/fleet/configuration.js';
 import type { SlotAnswers } from '../../src/forwarding/engine-slots.js';
@@ -8,8 +8,8 @@
 import { events, reply, type Script, StandInBackEnd } from './stand-in-back-end.js';
 
 const EVENTS = 6;
-const BEFORE = 2;
-/** Until another back end is free, in milliseconds: well within a caller's patience. */
+const EVENTS_BEFORE_FAILURE = 2;
+/** Time until another back end is free, in milliseconds; much shorter than a caller's patience. */
 const BUSY = 250;
 
 const CONFIGURATION: FleetConfiguration = {
@@ -35,15 +35,15 @@
   'content-type': 'text/event-stream',
 });
 
-/** Writes the beginning of a stream and breaks off. */
+/** Writes the beginning of a stream and closes the connection. */
 const breaking: Script = (request, response) => {
   response.writeHead(200, head(request));
-  response.write(events(1, BEFORE));
+  response.write(events(1, EVENTS_BEFORE_FAILURE));
   setTimeout(() => response.destroy(), 50);
 };
 
-/** Writes what is left of a stream. */
-const goingOn: Script = (request, response) => {
+/** Resumes a stream and writes all that is left of it. */
+const resuming: Script = (request, response) => {
   response.writeHead(200, head(request));
   response.end(events(Number(request.headers['last-event-id'] ?? 0) + 1, EVENTS));
 };
@@ -51,12 +51,12 @@
 beforeEach(async () => {
   one = await new StandInBackEnd(breaking).start();
   others = [];
-  for (let count = 0; count < 3; count++) others.push(await new StandInBackEnd(goingOn).start());
+  for (let count = 0; count < 3; count++) others.push(await new StandInBackEnd(resuming).start());
   forwarding = new ForwardingHarness('billing');
   askForSlot = () => {};
   forwarding.slots = {
     ask: (_agent, _wish, answers) => {
-      // Agents answer by datagrams.
+      // Answers asynchronously, as agents answer by datagrams.
       setTimeout(() => askForSlot(answers), 1);
       return NOOP_CLAIM;
     },
@@ -70,14 +70,14 @@
   for (const backEnd of [one, ...others]) await backEnd.stop();
 });
 
-/** Answers as `first` for a while from now on, and then as one that goes on with streams. */
+/** Answers with `first` during `BUSY` from now on, and resumes streams after that. */
 function busyAtFirst(backEnd: StandInBackEnd, first: Script): void {
   const freeAt = performance.now() + BUSY;
-  backEnd.answer((...call) => (performance.now() < freeAt ? first : goingOn)(...call));
+  backEnd.answer((...call) => (performance.now() < freeAt ? first : resuming)(...call));
 }
 
-describe('a begun stream whose back end breaks off', () => {
-  it('is not cut where the other back end is full for a moment', async () => {
+describe('a stream whose back end fails after its first events', () => {
+  it('is not cut if the other back end is full for a moment', async () => {
     const answering = forwarding.send('/write/a');
     await until(() => one.requests.length === 1, 'the request');
     busyAtFirst(others[0], refusal);
@@ -85,7 +85,7 @@
     expect(await answering).toMatchObject(whole);
   });
 
-  it('is not cut where all other back ends are full for a moment', async () => {
+  it('is not cut if all other back ends are full for a moment', async () => {
     const answering = forwarding.send('/write/a');
     await until(() => one.requests.length === 1, 'the request');
     for (const other of others) busyAtFirst(other, refusal);
@@ -96,17 +96,17 @@
     expect(await answering).toMatchObject(whole);
   });
 
-  it('is not cut where the agent of the other back end has no slot for a moment', async () => {
+  it('is not cut if the agent of the other back end has no slot for a moment', async () => {
     const answering = forwarding.send('/write/a');
     await until(() => one.requests.length === 1, 'the request');
     const freeAt = performance.now() + BUSY;
     askForSlot = (answers) => (performance.now() < freeAt ? answers.onRefused() : answers.onGranted());
     forwarding.list(['one', one], ['other', others[0]]);
-    forwarding.tell(others[0], { slotAddress: '127.0.0.1:9' });
+    forwarding.reportEngine(others[0], { slotAddress: '127.0.0.1:9' });
     expect(await answering).toMatchObject(whole);
   });
 
-  it('goes on at another one that is free', async () => {
+  it('is resumed at another one that is free', async () => {
     const answering = forwarding.send('/write/a');
     await until(() => one.requests.length === 1, 'the request');
     forwarding.list(['one', one], ['other', others[0]]);
--- a/test/forwarding/stream-cut-while-back-end-pauses.test.ts
+++ b/test/forwarding/stream-cut-while-back-end-pauses.test.ts
@@ -1,4 +1,4 @@
-/** Guards against cutting or failing an answer whose back end pauses before another one has taken over. */
+/** Guards against cutting or failing an answer because its back end pauses before another one has taken over. */
 import type { ServerResponse } from 'node:http';
 import { afterEach, beforeEach, describe, expect, it } from 'vitest';
 import type { FleetConfiguration } from '../../src/fleet/configuration.js';
@@ -13,9 +13,9 @@
 const EVENTS_BEFORE_PAUSE = 2;
 /** Longer than the silence threshold and shorter than the request timeout, in milliseconds. */
 const PAUSE = 1_000;
-/** A pause that waits for something goes on for this long after it, in milliseconds. */
+/** Time by which a pause outlasts the condition that it waits for, in milliseconds. */
 const PAUSE_REST = 150;
-/** Time between two events after the pause, in milliseconds. */
+/** Interval between two events after the pause, in milliseconds. */
 const EVENT_INTERVAL = 15;
 const SEED = 43;
 
@@ -48,10 +48,10 @@
     setTimeout(() => {
       response.writeHead(200, head);
       if (from <= EVENTS_BEFORE_PAUSE) response.write(events(from, EVENTS_BEFORE_PAUSE));
-      const goOn = () => writeEventsFrom(response, Math.max(from, EVENTS_BEFORE_PAUSE + 1));
-      if (from > EVENTS_BEFORE_PAUSE) goOn();
-      else if (typeof pause === 'number') setTimeout(goOn, pause);
-      else void until(pause, 'the end of the pause').then(() => setTimeout(goOn, PAUSE_REST), goOn);
+      const writeRest = () => writeEventsFrom(response, Math.max(from, EVENTS_BEFORE_PAUSE + 1));
+      if (from > EVENTS_BEFORE_PAUSE) writeRest();
+      else if (typeof pause === 'number') setTimeout(writeRest, pause);
+      else void until(pause, 'the end of the pause').then(() => setTimeout(writeRest, PAUSE_REST), writeRest);
     }, firstAfter);
   };
 }
@@ -72,7 +72,7 @@
 }
 
 const requestCount = () => one.requests.length + two.requests.length;
-const isOtherAsked = () => requestCount() > 1;
+const isOtherTried = () => requestCount() > 1;
 const whole = { status: 200, whole: true, body: events(1, EVENTS) };
 
 beforeEach(async () => {
@@ -103,28 +103,28 @@
   });
 
   it('is not cut where the other back end refuses it', async () => {
-    answerFirstWith(pausingStream(isOtherAsked), notRun);
+    answerFirstWith(pausingStream(isOtherTried), notRun);
     expect(await forwarding.send('/write/a')).toMatchObject(whole);
   });
 
   it('is not cut where the other back end fails before its first event', async () => {
-    answerFirstWith(pausingStream(isOtherAsked), (_request, response) => response.destroy());
+    answerFirstWith(pausingStream(isOtherTried), (_request, response) => response.destroy());
     expect(await forwarding.send('/write/a')).toMatchObject(whole);
     expect(requestCount()).toBe(2);
   });
 
   it('is not cut where the other back end answers with an error', async () => {
-    answerFirstWith(pausingStream(isOtherAsked), reply(500, 'mine'));
+    answerFirstWith(pausingStream(isOtherTried), reply(500, 'mine'));
     expect(await forwarding.send('/write/a')).toMatchObject(whole);
   });
 
   it('is not cut where the other back end answers with something that is no stream', async () => {
-    answerFirstWith(pausingStream(isOtherAsked), reply(200, 'x'.repeat(100_000)));
+    answerFirstWith(pausingStream(isOtherTried), reply(200, 'x'.repeat(100_000)));
     expect(await forwarding.send('/write/a')).toMatchObject(whole);
   });
 
   it('is not cut where the other back end sends nothing', async () => {
-    answerFirstWith(pausingStream(isOtherAsked), () => {});
+    answerFirstWith(pausingStream(isOtherTried), () => {});
     expect(await forwarding.send('/write/a')).toMatchObject(whole);
     await until(() => one.cancelled + two.cancelled === 1, 'the other back end is cancelled');
   });
@@ -152,7 +152,7 @@
     const answering = forwarding.send('/write/a');
     await until(() => requestCount() === 1, 'the request has arrived');
     const other = one.requests.length === 1 ? two : one;
-    forwarding.tell(other, { slotAddress: '127.0.0.1:9' });
+    forwarding.reportEngine(other, { slotAddress: '127.0.0.1:9' });
     expect(await answering).toMatchObject(whole);
     expect(refusals).toBeGreaterThan(0);
   });
@@ -202,8 +202,8 @@
 
   it('is sent to no more back ends than its route allows', async () => {
     const three = await new StandInBackEnd(() => {}).start();
-    const isThirdOrOtherAsked = () => requestCount() + three.requests.length > 1;
-    answerFirstWith(pausingStream(isThirdOrOtherAsked), () => {});
+    const isAnyOtherTried = () => requestCount() + three.requests.length > 1;
+    answerFirstWith(pausingStream(isAnyOtherTried), () => {});
     forwarding.list(['one', one], ['two', two], ['three', three]);
     expect(await forwarding.send('/write/a')).toMatchObject(whole);
     expect(requestCount() + three.requests.length).toBe(2);
@@ -212,7 +212,7 @@
 
   it('is cancelled at both back ends when its caller leaves', async () => {
     answerFirstWith(pausingStream(60_000), () => {});
-    const sent = forwarding.open('/write/a');
+    const sent = forwarding.openRequest('/write/a');
     await until(() => requestCount() === 2, 'the other back end has the request');
     sent.destroy();
     await until(() => one.cancelled + two.cancelled === 2, 'both back ends are cancelled');
--- a/test/forwarding/version-expiry.test.ts
+++ b/test/forwarding/version-expiry.test.ts
@@ -37,7 +37,7 @@
   };
   await forwarding.start(ENGINE_CONFIGURATION);
   forwarding.list(['one', engine, LISTED]);
-  forwarding.tell(engine, { version: 1 });
+  forwarding.reportEngine(engine, { version: 1 });
 });
 
 afterEach(async () => {
@@ -61,7 +61,7 @@
   it('count an answer on an expired version, from an engine that holds a different version than reported', async () => {
     engine.answer(reply(200, 'late', { 'x-version': '1' }));
     forwarding.list(['one', engine, LISTED_NEXT]);
-    forwarding.tell(engine, { version: 2 });
+    forwarding.reportEngine(engine, { version: 2 });
     forwarding.expireIn(0);
     expect((await forwarding.send('/write/')).body).toBe('late');
     expect(await forwarding.metrics.text()).toMatch(/thistleway_version_late_begins\{[^}]*\} 1/);
@@ -94,15 +94,15 @@
   it('whose model now has more layers', () =>
     expectWithdrawal(() => {
       configure({ services: [{ ...service, engine: { ...service.engine!, layers: 2 * ENGINE_LAYERS } }] });
-      forwarding.tell(engine, { version: 0 });
+      forwarding.reportEngine(engine, { version: 0 });
     }));
 
   it('that reports that it holds no version', () =>
-    expectWithdrawal(() => forwarding.tell(engine, { version: 0 })));
+    expectWithdrawal(() => forwarding.reportEngine(engine, { version: 0 })));
 
   it('that reported so and has since been removed from the list', () =>
     expectWithdrawal(() => {
-      forwarding.tell(engine, { version: 0 });
+      forwarding.reportEngine(engine, { version: 0 });
       forwarding.list(['two', next, { ...LISTED_NEXT, leaving: true }]);
     }));
 
@@ -112,7 +112,7 @@
     forwarding.expireIn(1_000);
     const answer = forwarding.send('/write/');
     await until(() => engine.open === 1, 'the request at the engine');
-    forwarding.tell(engine, { version: 2 });
+    forwarding.reportEngine(engine, { version: 2 });
     expect((await answer).status).toBe(504);
     expect(await forwarding.metrics.text()).toMatch(/thistleway_version_withdrawals\{[^}]*\} 0/);
   });
@@ -131,7 +131,7 @@
       await until(() => engine.open === 1, 'the request at the engine');
       configure({ services: [{ ...service, engine: declared }] });
       forwarding.list(['one', engine, LISTED], ['two', other, LISTED]);
-      forwarding.tell(other, { version: 1 });
+      forwarding.reportEngine(other, { version: 1 });
       expect((await answer).status).toBe(502);
       expect(other.requests).toHaveLength(0);
     } finally {
@@ -142,7 +142,7 @@
 
 describe('a request that waits for a slot', () => {
   it('is not sent to an engine whose version has expired, although its service was removed from the configuration', async () => {
-    forwarding.tell(engine, { version: 1, slotAddress: '127.0.0.1:1' });
+    forwarding.reportEngine(engine, { version: 1, slotAddress: '127.0.0.1:1' });
     const answer = forwarding.send('/write/');
     await until(() => asked !== undefined, 'a request for a slot');
     configure({ services: [] });
--- a/tools/guard-table.mjs
+++ b/tools/guard-table.mjs
@@ -120,7 +120,7 @@
   },
   {
     fault: 'a request is sent to a rate-limited back end without a permit',
-    file: 'src/forwarding/request-wait.ts',
+    file: 'src/forwarding/back-end-search.ts',
     find: 'if (this.#components.selector.needsPermit(selection.row))',
     replace: 'if (false)',
     test: 'test/roles/rate-limit.test.ts',
@@ -928,7 +928,7 @@
   {
     fault: 'an entry that leaves takes requests that it cannot end',
     file: 'src/forwarding/forwarded-request.ts',
-    find: 'this.#answer.started || this.#timeToEnd.suffices(performance.now(), wait)',
+    find: 'this.#answer.started || this.#completionEstimate.canComplete(performance.now(), wait)',
     replace: 'wait >= 0',
     test: 'test/roles/direct-entry-drain.test.ts',
   },
@@ -942,7 +942,7 @@
   {
     fault: 'a connection whose caller could not be told to leave it stays open',
     file: 'src/forwarding/forwarding-server.ts',
-    find: 'this.#server.keepAliveTimeout = LINGER;',
+    find: 'this.#server.keepAliveTimeout = LINGER_TIME;',
     replace: '',
     test: 'test/roles/direct-entry-drain.test.ts',
   },
@@ -1027,7 +1027,7 @@
     fault: 'requests wait for slots with which they would be late',
     file: 'src/forwarding/request-timing.ts',
     find: 'SLOT_WAIT_SHARE * this.#route.objective',
-    replace: 'WAIT_SHARE * this.#route.objective',
+    replace: 'QUEUE_WAIT_SHARE * this.#route.objective',
     test: 'test/forwarding/request-timing.test.ts',
   },
   {
@@ -1131,7 +1131,7 @@
   {
     fault: 'more requests wait for the first slots than there are',
     file: 'src/forwarding/hold-record.ts',
-    find: 'if (this.#placesTaken >= Math.max(1, places)) return false;',
+    find: 'if (this.#reservedPlaces >= Math.max(1, places)) return false;',
     replace: '',
     test: 'test/forwarding/capacity.test.ts',
   },
@@ -1215,7 +1215,7 @@
   },
   {
     fault: 'each search for a slot begins the time anew for which a first request is held',
-    file: 'src/forwarding/request-wait.ts',
+    file: 'src/forwarding/back-end-search.ts',
     find: 'this.#seeker = new SlotSeeker({',
     replace: 'this.#heldSince = undefined;\n    this.#seeker = new SlotSeeker({',
     test: 'test/forwarding/slots.test.ts',
