--- a/src/weights/agent-sources.ts
+++ b/src/weights/agent-sources.ts
@@ -8,8 +8,8 @@
 import { holds, objectSource, originSource, partsOf, processSource } from './piece-sources.js';
 
 /** Asking for a piece again while it is on its way would fill a narrow link with copies: it has until this, in milliseconds. */
-export const BATCH_LIMIT = 4_000;
-const ORIGIN_LIMIT = 4_000;
+export const BATCH_TIMEOUT = 4_000;
+const ORIGIN_TIMEOUT = 4_000;
 /**
  * Without a piece for this long, in milliseconds times `impatience`, the object store, far entries and the origin are
  * asked too. Links between regions carry about one copy a second: agents at the store would delay the entries, on whose
@@ -17,12 +17,12 @@
  */
 const OBJECT_PATIENCE = 1_200;
 const OBJECT_PATIENCE_BESIDE_ENTRY = 2_000;
-const FAR_PATIENCE = 2_000;
-const OBJECT_PARALLEL = 2;
+const OTHER_ZONE_PATIENCE = 2_000;
+const OBJECT_CONCURRENCY = 2;
 const ORIGIN_PATIENCE = 6_000;
 /** Each agent of a zone turns to the origin this much later, in milliseconds: it accepts some 50 connections of all. */
-const ORIGIN_STEP = 1_000;
-const ORIGIN_PARALLEL = 2;
+const ORIGIN_STAGGER = 1_000;
+const ORIGIN_CONCURRENCY = 2;
 
 /** What the sources are made of. */
 export interface AgentSourceOptions {
@@ -33,28 +33,28 @@
   /** Spreads agents that do not know of one another over the pieces. */
   offset: number;
   /** 1 to 2: agents do not turn to a dear source all at once. */
-  impatience: number;
+  patienceFactor: number;
 }
 
 /** The sources of one version, in order of preference. */
 export function agentSources(options: AgentSourceOptions): PieceSource[] {
-  const { plan, manifest, objects, originAt, offset, impatience } = options;
+  const { plan, manifest, objects, originAt, offset, patienceFactor: impatience } = options;
   const stored = new Set<number>();
   const sources: PieceSource[] = [];
   for (const { address, held, isNear } of plan.holders) {
-    const there = held.find((one) => keyOf(one) === keyOf(manifest));
-    if (there === undefined) continue;
-    for (const index of there.stored) stored.add(index);
+    const advertised = held.find((one) => keyOf(one) === keyOf(manifest));
+    if (advertised === undefined) continue;
+    for (const index of advertised.stored) stored.add(index);
     sources.push(
       processSource({
         name: `entry ${address}`,
         address,
         manifest,
-        has: holds(ChunkSet.fromBytes(there.count, there.have)),
-        patience: isNear ? 0 : FAR_PATIENCE * impatience,
+        has: holds(ChunkSet.fromBytes(advertised.count, advertised.have)),
+        patience: isNear ? 0 : OTHER_ZONE_PATIENCE * impatience,
         parallel: 1,
         batchSize: SMALL_BATCH,
-        batchTime: BATCH_LIMIT,
+        batchTime: BATCH_TIMEOUT,
         offset,
       }),
     );
@@ -67,8 +67,8 @@
       manifest,
       stored,
       patience: (plan.hasNearEntry ? OBJECT_PATIENCE_BESIDE_ENTRY : OBJECT_PATIENCE) * impatience,
-      parallel: OBJECT_PARALLEL,
-      batchTime: BATCH_LIMIT,
+      parallel: OBJECT_CONCURRENCY,
+      batchTime: BATCH_TIMEOUT,
       offset,
     }),
   );
@@ -77,9 +77,9 @@
     originSource({
       origin: originAt(plan.origin),
       version: manifest,
-      patience: ORIGIN_PATIENCE * impatience + ORIGIN_STEP * plan.position,
-      parallel: ORIGIN_PARALLEL,
-      batchTime: ORIGIN_LIMIT,
+      patience: ORIGIN_PATIENCE * impatience + ORIGIN_STAGGER * plan.position,
+      parallel: ORIGIN_CONCURRENCY,
+      batchTime: ORIGIN_TIMEOUT,
       mayDraw: () => true,
       offset: offset % manifest.digests.length,
     }),
--- a/src/weights/collection-duty.ts
+++ b/src/weights/collection-duty.ts
@@ -18,9 +18,9 @@
 import { drawOrder, drawPatience, QUICK_STAND_INS } from '../systems/origin-draw.js';
 import {
   type EntryHolding,
+  type EntryRank,
   entrySources,
-  OBJECT_LIMIT,
-  type PlaceInOrder,
+  OBJECT_TIMEOUT,
   STAND_IN_PATIENCE,
 } from './entry-sources.js';
 import {
@@ -237,17 +237,17 @@
       manifest: held.manifest,
       holders: this.#holders(version),
       agents: agents(),
-      isAlone: !peers().some(({ zone }) => zone === self.zone),
+      isOnlyEntryOfZone: !peers().some(({ zone }) => zone === self.zone),
       objects,
       stored: this.#storedParts(collection),
       origin: isListed ? this.#origin() : undefined,
       isServed,
-      quietFor: performance.now() - (fetcher?.progressAt ?? begunAt),
+      sinceLastPiece: performance.now() - (fetcher?.progressAt ?? begunAt),
     });
   }
 
   /** This entry's place in the order of those responsible. */
-  #place({ version }: Collection): PlaceInOrder {
+  #place({ version }: Collection): EntryRank {
     const { self, peers } = this.#options;
     const entries = [self, ...peers()];
     const key = keyOf(version);
@@ -339,7 +339,7 @@
     const part = this.#nextToPut(collection, held);
     if (part === undefined || signal.aborted) return false;
     const bytes = Buffer.concat(part.pieces.map((piece) => held.piece(piece)!));
-    const put = await this.#options.objects.put(part.key, bytes, withLimit(signal, OBJECT_LIMIT));
+    const put = await this.#options.objects.put(part.key, bytes, withLimit(signal, OBJECT_TIMEOUT));
     if (put.ok) collection.stored.add(part.index);
     this.#options.onHeldChanged(true);
     return put.ok;
--- a/src/weights/engine-loader.ts
+++ b/src/weights/engine-loader.ts
@@ -14,7 +14,7 @@
 import type { EngineReport, HeldPieces, WeightsPlan } from '../protocol/reports.js';
 import type { ObservedEngine } from '../systems/slot-table.js';
 import { SMALL_BATCH } from '../systems/upload-limit.js';
-import { agentSources, BATCH_LIMIT } from './agent-sources.js';
+import { agentSources, BATCH_TIMEOUT } from './agent-sources.js';
 import { EngineStage } from './engine-stage.js';
 import { EngineStarts } from './engine-starts.js';
 import { EngineSwitch } from './engine-switch.js';
@@ -28,7 +28,7 @@
 import { findManifest } from './manifest-search.js';
 import { type FetchPace, PieceFetcher } from './piece-fetcher.js';
 import type { PieceOriginFactory, PieceSource } from './piece-source.js';
-import { ReportNews } from './report-news.js';
+import { ReportThrottle } from './report-throttle.js';
 import type { EngineState, StagedEngine } from './staged-engine.js';
 import { shouldSkip, switchTime } from './switch-schedule.js';
 
@@ -97,7 +97,7 @@
   #isAdvancing = false;
   /** Ends the reading of the stage; undefined where none has begun since the engine was reached. */
   #stageReading: AbortController | undefined;
-  readonly #reportNews = new ReportNews();
+  readonly #reportNews = new ReportThrottle();
   /** Time that the latest fetch took, in milliseconds. */
   #fetchTime = FIRST_FETCH;
 
@@ -149,7 +149,7 @@
 
   /** Tells an entry that has just been connected. */
   report(): void {
-    this.#reportNews.forget();
+    this.#reportNews.reset();
     this.#tell();
   }
 
@@ -279,7 +279,7 @@
       sources,
       mayAsk,
       pace,
-      overdue: BATCH_LIMIT,
+      overdue: BATCH_TIMEOUT,
       random,
       log,
     });
@@ -346,7 +346,14 @@
     const { objects, originAt, address } = this.#options;
     const plan = this.#plan!;
     const impatience = this.#impatience;
-    return agentSources({ plan, manifest, objects, originAt, offset: hash32(address), impatience });
+    return agentSources({
+      plan,
+      manifest,
+      objects,
+      originAt,
+      offset: hash32(address),
+      patienceFactor: impatience,
+    });
   }
 
   /** Lays the newest whole version into the stage, and orders the engine to take it when its turn has come. */
@@ -470,7 +477,7 @@
       switchesIn: this.#switchesIn(),
       held: this.#held(),
     };
-    if (this.#reportNews.take(report, performance.now())) this.#options.tell(report);
+    if (this.#reportNews.admit(report, performance.now())) this.#options.tell(report);
   }
 
   #held(): HeldPieces[] {
--- a/src/weights/entry-sources.ts
+++ b/src/weights/entry-sources.ts
@@ -10,26 +10,26 @@
 import { holds, objectSource, originSource, partsOf, processSource } from './piece-sources.js';
 
 /** Time for one object, in milliseconds. */
-export const OBJECT_LIMIT = 3_000;
+export const OBJECT_TIMEOUT = 3_000;
 /** Time for a batch from another process, and for a piece of the origin, in milliseconds. */
-const BATCH_LIMIT = 2_000;
-const ORIGIN_LIMIT = 1_500;
+const BATCH_TIMEOUT = 2_000;
+const ORIGIN_TIMEOUT = 1_500;
 /** Pieces of one answer of an entry, and of an agent whose link is narrow. */
-const ENTRY_BATCH = 12;
-const AGENT_BATCH = 2;
+const ENTRY_BATCH_SIZE = 12;
+const AGENT_BATCH_SIZE = 2;
 /** Batches that are open at the same time at one entry. */
-const ENTRY_PARALLEL = 2;
+const ENTRY_CONCURRENCY = 2;
 /**
  * Batches that are open at the same time at one entry of another zone, and the bytes of each: all that processes of two
  * regions tell one another shares the link between them, and waits behind what is on its way there.
  */
-const FAR_PARALLEL = 1;
-const FAR_BATCH_BYTES = 200_000;
+const OTHER_ZONE_CONCURRENCY = 1;
+const OTHER_ZONE_BATCH_BYTES = 200_000;
 /** Without news for this long an entry that is not responsible fetches as well, in milliseconds, times its place. */
 export const STAND_IN_PATIENCE = 1_200;
 /** Other entries of the zone than the one before this are asked after this time without a piece, in milliseconds: about
  * twice the time in which a piece that has come somewhere is told of and asked for. */
-const NEAR_PATIENCE = 300;
+const SAME_ZONE_PATIENCE = 300;
 /**
  * Entries of other zones are asked after this, in milliseconds: their bytes are dear, those of the origin are dearer. The
  * first of a zone asks them at once for a version that has just been named: nobody nearer has the piece sooner, and whoever
@@ -37,15 +37,15 @@
  * turn, three times, carried 22 to 30 MB between regions where half of each copy came from another zone, and filled the
  * links there for 0.5 s, so that messages were lost.
  */
-const FAR_PATIENCE = 300;
+const OTHER_ZONE_PATIENCE = 300;
 /**
  * Parts that are read from the object store at the same time. An entry that has heard no other of its zone may not be
  * the only one: those that start together would share the link between regions for a copy each.
  */
-const OBJECT_PARALLEL = 2;
+const OBJECT_CONCURRENCY = 2;
 
 /** An entry's place in the order of those responsible for a version, 0 being the first. */
-export interface PlaceInOrder {
+export interface EntryRank {
   inZone: number;
   overall: number;
   /** The entry of its zone of which it takes pieces; undefined for the first. */
@@ -63,13 +63,13 @@
 /** What the sources are made of. */
 export interface EntrySourceOptions {
   self: { id: string; zone: string };
-  place: PlaceInOrder;
+  place: EntryRank;
   manifest: PieceManifest;
   holders: readonly EntryHolding[];
   /** Agents that are connected here. */
   agents: readonly EngineAgentRow[];
   /** No other entry of the zone was heard. */
-  isAlone: boolean;
+  isOnlyEntryOfZone: boolean;
   objects: ObjectStore;
   /** Parts that are known to lie in the object store. */
   stored: ReadonlySet<number>;
@@ -78,16 +78,16 @@
   /** Engines serve the version. */
   isServed: boolean;
   /** Time since the latest piece came, in milliseconds. */
-  quietFor: number;
+  sinceLastPiece: number;
 }
 
 /** The sources of one version, in order of preference. */
 export function entrySources(options: EntrySourceOptions): PieceSource[] {
   return [
     ...options.holders.map((holder) => entrySource(holder, options)),
-    storedSource(options),
+    objectStoreSource(options),
     ...options.agents.flatMap((agent) => agentSource(agent, options)),
-    ...drawnSource(options),
+    ...originSources(options),
   ];
 }
 
@@ -97,34 +97,41 @@
 ): PieceSource {
   const { parent } = place;
   const isNear = peer.zone === self.zone;
-  const nearPatience = parent === undefined || peer.id === parent ? 0 : NEAR_PATIENCE;
+  const sameZonePatience = parent === undefined || peer.id === parent ? 0 : SAME_ZONE_PATIENCE;
   return processSource({
     name: `entry ${peer.address}`,
     address: peer.address,
     manifest,
     has: holds(have),
-    patience: isNear ? nearPatience : farPatience(place, isServed),
-    parallel: isNear ? ENTRY_PARALLEL : FAR_PARALLEL,
-    batchSize: isNear ? ENTRY_BATCH : farBatch(manifest),
-    batchTime: BATCH_LIMIT,
+    patience: isNear ? sameZonePatience : otherZonePatience(place, isServed),
+    parallel: isNear ? ENTRY_CONCURRENCY : OTHER_ZONE_CONCURRENCY,
+    batchSize: isNear ? ENTRY_BATCH_SIZE : otherZoneBatchSize(manifest),
+    batchTime: BATCH_TIMEOUT,
     // Entries take different pieces first, which they then have for one another.
     offset: hash32(self.id),
   });
 }
 
 /** Pieces that are asked for at a time in another zone. */
-function farBatch({ pieceBytes }: PieceManifest): number {
-  return Math.max(1, Math.min(ENTRY_BATCH, Math.floor(FAR_BATCH_BYTES / pieceBytes)));
+function otherZoneBatchSize({ pieceBytes }: PieceManifest): number {
+  return Math.max(1, Math.min(ENTRY_BATCH_SIZE, Math.floor(OTHER_ZONE_BATCH_BYTES / pieceBytes)));
 }
 
-function storedSource({ self, place, manifest, isAlone, objects, stored }: EntrySourceOptions): PieceSource {
+function objectStoreSource({
+  self,
+  place,
+  manifest,
+  isOnlyEntryOfZone: isAlone,
+  objects,
+  stored,
+}: EntrySourceOptions): PieceSource {
   return objectSource({
     objects,
     manifest,
     stored,
     patience: standInPatience(place),
-    parallel: isAlone ? 1 : OBJECT_PARALLEL,
-    batchTime: OBJECT_LIMIT,
+    parallel: isAlone ? 1 : OBJECT_CONCURRENCY,
+    batchTime: OBJECT_TIMEOUT,
     offset: hash32(self.id),
   });
 }
@@ -133,28 +140,28 @@
   { address, report }: EngineAgentRow,
   { place, manifest }: EntrySourceOptions,
 ): PieceSource[] {
-  const there = report?.held.find((other) => keyOf(other) === keyOf(manifest));
-  if (there === undefined) return [];
+  const advertised = report?.held.find((other) => keyOf(other) === keyOf(manifest));
+  if (advertised === undefined) return [];
   const source = processSource({
     name: `agent ${address}`,
     address,
     manifest,
-    has: holds(ChunkSet.fromBytes(there.count, there.have)),
+    has: holds(ChunkSet.fromBytes(advertised.count, advertised.have)),
     patience: standInPatience(place),
     parallel: 1,
-    batchSize: AGENT_BATCH,
-    batchTime: BATCH_LIMIT,
+    batchSize: AGENT_BATCH_SIZE,
+    batchTime: BATCH_TIMEOUT,
   });
   return [source];
 }
 
-function drawnSource(options: EntrySourceOptions): PieceSource[] {
-  const { place, manifest, holders, stored, origin, isServed, quietFor } = options;
+function originSources(options: EntrySourceOptions): PieceSource[] {
+  const { place, manifest, holders, stored, origin, isServed, sinceLastPiece: quietFor } = options;
   if (origin === undefined) return [];
   const storedPieces = new Set(
     partsOf(manifest).flatMap(({ index, pieces }) => (stored.has(index) ? pieces : [])),
   );
-  const isElsewhere = (index: number) =>
+  const isAvailableElsewhere = (index: number) =>
     storedPieces.has(index) ||
     holders.some(({ have, drawing }) => have.has(index) || drawing.includes(index));
   const isDrawnElsewhere = holders.some(({ have, drawing }) => have.size > 0 || drawing.length > 0);
@@ -164,17 +171,17 @@
     version: manifest,
     patience: plan.patience,
     parallel: plan.parallel,
-    batchTime: ORIGIN_LIMIT,
-    mayDraw: (index) => isDrawn(isElsewhere(index), quietFor, place.overall),
+    batchTime: ORIGIN_TIMEOUT,
+    mayDraw: (index) => isDrawn(isAvailableElsewhere(index), quietFor, place.overall),
     offset: plan.firstOf(manifest.digests.length),
   });
   return [source];
 }
 
-function farPatience(place: PlaceInOrder, isServed: boolean): number {
-  return place.inZone === 0 && !isServed ? 0 : FAR_PATIENCE + standInPatience(place);
+function otherZonePatience(place: EntryRank, isServed: boolean): number {
+  return place.inZone === 0 && !isServed ? 0 : OTHER_ZONE_PATIENCE + standInPatience(place);
 }
 
-function standInPatience({ inZone }: PlaceInOrder): number {
+function standInPatience({ inZone }: EntryRank): number {
   return inZone * STAND_IN_PATIENCE;
 }
--- a/src/weights/piece-fetcher.ts
+++ b/src/weights/piece-fetcher.ts
@@ -151,7 +151,7 @@
     for (const source of this.#options.sources()) {
       const row = this.#row(source);
       if (now - this.#progressAt < source.patience && now >= row.resortedUntil) continue;
-      while (row.open < source.parallel && now >= row.restsUntil && this.#open < pace.open) {
+      while (row.open < source.concurrency && now >= row.restsUntil && this.#open < pace.open) {
         const next = source.nextBatch(this.#wanted(now));
         const batch = source.isDivisible ? next.slice(0, pace.batch) : next;
         if (batch.length === 0) break;
@@ -176,7 +176,7 @@
     const askedAt = performance.now();
     for (const index of batch) this.#asked.set(index, askedAt);
     if (source.isOrigin) this.#beginDrawing(batch);
-    const limit = withLimit(signal, source.batchTime);
+    const limit = withLimit(signal, source.batchTimeout);
     const answer = await source.fetch(batch, limit);
     for (const index of batch) this.#drawing.delete(index);
     row.open--;
--- a/src/weights/piece-source.ts
+++ b/src/weights/piece-source.ts
@@ -15,9 +15,9 @@
   /** It is asked only when no piece came from anywhere for this long, in milliseconds. */
   readonly patience: number;
   /** Batches that are open at the same time. */
-  readonly parallel: number;
+  readonly concurrency: number;
   /** Time for one batch, in milliseconds. */
-  readonly batchTime: number;
+  readonly batchTimeout: number;
   /** It is the origin, of which a piece is to be drawn once. */
   readonly isOrigin: boolean;
   /** False where a part of a batch costs as much as all of it. */
--- a/src/weights/piece-sources.ts
+++ b/src/weights/piece-sources.ts
@@ -32,8 +32,8 @@
   return {
     name,
     patience,
-    parallel,
-    batchTime,
+    concurrency: parallel,
+    batchTimeout: batchTime,
     isOrigin: false,
     isDivisible: true,
     nextBatch: (wanted) => rotate(wanted.filter(has), offset).slice(0, batchSize),
@@ -137,8 +137,8 @@
   return {
     name: 'objects',
     patience,
-    batchTime,
-    parallel,
+    batchTimeout: batchTime,
+    concurrency: parallel,
     isOrigin: false,
     isDivisible: false,
     nextBatch(wanted) {
@@ -178,8 +178,8 @@
   return {
     name: 'origin',
     patience,
-    parallel,
-    batchTime,
+    concurrency: parallel,
+    batchTimeout: batchTime,
     isOrigin: true,
     isDivisible: true,
     nextBatch: (wanted) => rotateFrom(wanted, offset).filter(mayDraw).slice(0, 1),
--- a/src/weights/request-moves.ts
+++ b/src/weights/request-moves.ts
@@ -5,12 +5,12 @@
 import type { Route } from '../fleet/configuration.js';
 
 /** Share of the room of the others that moved requests may take: new requests need some too. */
-const USABLE_SHARE = 0.5;
+const USABLE_CAPACITY_SHARE = 0.5;
 /** Room of an engine beside its slots, as a share of them: moved requests may wait there for a short while. */
-const QUEUE_SHARE = 0.25;
+const QUEUE_CAPACITY_SHARE = 0.25;
 /** A moved request needs this long, in milliseconds, or it would be cut when the next engine drops it as well. Streams
  * took 0.75 to 1.2 s in the median, and are about half over when they move. */
-const LEAST_STAY = 700;
+const MIN_TIME_BEFORE_SWITCH = 700;
 
 /** An engine that may serve. */
 export interface ServingEngine {
@@ -40,15 +40,15 @@
   );
   if (!mayRunAgain || unmovable !== 0 || version === 0) return false;
   const remaining = others.filter(
-    (other) => other.version === version && !other.isSwitching && other.switchesIn >= LEAST_STAY,
+    (other) => other.version === version && !other.isSwitching && other.switchesIn >= MIN_TIME_BEFORE_SWITCH,
   );
-  const room = remaining.reduce((sum, other) => sum + roomOf(other), 0);
+  const spare = remaining.reduce((sum, other) => sum + spareCapacityOf(other), 0);
   // Engines that switch at the same time need the same room.
   const switching = others.filter((other) => other.version === version && other.isSwitching);
-  const moving = switching.reduce((sum, other) => sum + other.load, load);
-  return remaining.length > 0 && moving <= room * USABLE_SHARE;
+  const movingLoad = switching.reduce((sum, other) => sum + other.load, load);
+  return remaining.length > 0 && movingLoad <= spare * USABLE_CAPACITY_SHARE;
 }
 
-function roomOf({ slots, load }: ServingEngine): number {
-  return Math.max(0, slots * (1 + QUEUE_SHARE) - load);
+function spareCapacityOf({ slots, load }: ServingEngine): number {
+  return Math.max(0, slots * (1 + QUEUE_CAPACITY_SHARE) - load);
 }
--- a/src/weights/switch-schedule.ts
+++ b/src/weights/switch-schedule.ts
@@ -9,20 +9,20 @@
  * Shares of the bound: between two waves, so that streams of one have moved or ended before the next, and after which no
  * engine waits any more.
  */
-const BETWEEN_WAVES = 0.1;
-const LAST_WAVE = 0.875;
+const WAVE_INTERVAL_SHARE = 0.1;
+const LATEST_SWITCH_SHARE = 0.875;
 /** An engine whose version may not serve any more within this time has nothing to lose, in milliseconds. */
 const EXPIRY_MARGIN = 1_000;
 
 /** Of this many engines one leaves out a version that another follows. */
 const SKIP_EVERY = 3;
 /** Share of the bound up to which two versions follow each other closely. */
-const CLOSE_NAMINGS = 0.3;
+const CLOSE_NAMING_SHARE = 0.3;
 /** A version that is left out must be replaced this long before it would be missed, in milliseconds. */
 const SKIP_MARGIN = 300;
 
 /** What the time depends on. Times are in milliseconds of the steady clock. */
-export interface SwitchSituation {
+export interface SwitchTiming {
   /** The engine's version; 0 where it holds none. */
   version: number;
   /** Until when requests may start on that version; infinite where no newer one is named. */
@@ -42,15 +42,15 @@
 }
 
 /** The earliest time for the switch: an engine that serves nothing waits for nothing. */
-export function switchTime(situation: SwitchSituation): number {
-  const { version, expiresAt, namedAt, completeAt, bound, position } = situation;
+export function switchTime(timing: SwitchTiming): number {
+  const { version, expiresAt, namedAt, completeAt, bound, position } = timing;
   if (version === 0) return Number.NEGATIVE_INFINITY;
-  const turn = completeAt + waveOf(position) * BETWEEN_WAVES * bound;
-  return Math.min(turn, namedAt + LAST_WAVE * bound, expiresAt - EXPIRY_MARGIN);
+  const waveTime = completeAt + waveOf(position) * WAVE_INTERVAL_SHARE * bound;
+  return Math.min(waveTime, namedAt + LATEST_SWITCH_SHARE * bound, expiresAt - EXPIRY_MARGIN);
 }
 
 /** What it depends on whether a version is taken although a newer one is named. Times as above. */
-export interface SkipSituation {
+export interface SkipTiming {
   /** When the version, and the newest one, were named. */
   namedAt: number;
   newestNamedAt: number;
@@ -67,8 +67,8 @@
  * follow closely only the newest is taken: each switch costs service. Of others a third leave the older one out, so that
  * some engines serve while the rest go over.
  */
-export function shouldSkip(situation: SkipSituation): boolean {
-  const { namedAt, newestNamedAt, newestCompleteAt, expiresAt, bound, position } = situation;
+export function shouldSkip(timing: SkipTiming): boolean {
+  const { namedAt, newestNamedAt, newestCompleteAt, expiresAt, bound, position } = timing;
   if (newestCompleteAt > expiresAt - SKIP_MARGIN) return false;
-  return newestNamedAt - namedAt < CLOSE_NAMINGS * bound || position % SKIP_EVERY === SKIP_EVERY - 1;
+  return newestNamedAt - namedAt < CLOSE_NAMING_SHARE * bound || position % SKIP_EVERY === SKIP_EVERY - 1;
 }
--- a/test/weights/entry-sources.test.ts
+++ b/test/weights/entry-sources.test.ts
@@ -5,9 +5,9 @@
 import type { EntryReport } from '../../src/protocol/reports.js';
 import {
   type EntryHolding,
+  type EntryRank,
   type EntrySourceOptions,
   entrySources,
-  type PlaceInOrder,
 } from '../../src/weights/entry-sources.js';
 import type { PieceManifest } from '../../src/weights/held-weights.js';
 import type { PieceSource } from '../../src/weights/piece-source.js';
@@ -33,18 +33,18 @@
     manifest,
     holders: [holder('near', 'zone-a'), holder('far', 'zone-b')],
     agents: [],
-    isAlone: false,
+    isOnlyEntryOfZone: false,
     objects: new MemoryStore(),
     stored: new Set(),
     origin: undefined,
     isServed: false,
-    quietFor: 0,
+    sinceLastPiece: 0,
     ...changes,
   });
 }
 
 /** Patience with each holder, by the zone that it is in. */
-function patienceAt(place: PlaceInOrder, isServed = false): Record<string, number> {
+function patienceAt(place: EntryRank, isServed = false): Record<string, number> {
   const sources = sourcesOf({ place, isServed });
   return Object.fromEntries(sources.map(({ name, patience }) => [name, patience]));
 }
@@ -74,7 +74,7 @@
   function bytesOnTheirWay(pieceBytes: number): Record<string, number> {
     const sources = sourcesOf({ manifest: { ...manifest, pieceBytes } });
     const wanted = Array.from({ length: PIECES }, (_, index) => index);
-    const bytesOf = ({ nextBatch, parallel }: PieceSource) =>
+    const bytesOf = ({ nextBatch, concurrency: parallel }: PieceSource) =>
       nextBatch(wanted).length * parallel * pieceBytes;
     return Object.fromEntries(sources.map((source) => [source.name, bytesOf(source)]));
   }
@@ -104,12 +104,12 @@
       manifest,
       holders: [other],
       agents: [],
-      isAlone: false,
+      isOnlyEntryOfZone: false,
       objects: new MemoryStore(),
       stored: new Set(),
       origin,
       isServed: false,
-      quietFor,
+      sinceLastPiece: quietFor,
     });
     const wanted = Array.from({ length: PIECES }, (_, index) => index);
     return sources.find(({ isOrigin }) => isOrigin)!.nextBatch(wanted);
--- a/test/weights/weights.test.ts
+++ b/test/weights/weights.test.ts
@@ -30,8 +30,8 @@
   return {
     name,
     patience: 0,
-    parallel: 1,
-    batchTime: 1_000,
+    concurrency: 1,
+    batchTimeout: 1_000,
     isOrigin: false,
     isDivisible: true,
     nextBatch: (wanted) => wanted.slice(0, 2),
--- a/tools/guard-table.mjs
+++ b/tools/guard-table.mjs
@@ -72,8 +72,8 @@
   {
     fault: 'links between regions are filled with batches of weights',
     file: 'src/weights/entry-sources.ts',
-    find: 'batchSize: isNear ? ENTRY_BATCH : farBatch(manifest),',
-    replace: 'batchSize: ENTRY_BATCH,',
+    find: 'batchSize: isNear ? ENTRY_BATCH_SIZE : otherZoneBatchSize(manifest),',
+    replace: 'batchSize: ENTRY_BATCH_SIZE,',
     test: 'test/weights/entry-sources.test.ts',
   },
   {
@@ -865,7 +865,7 @@
   {
     fault: 'requests move to an engine that drops them again',
     file: 'src/weights/request-moves.ts',
-    find: 'other.switchesIn >= LEAST_STAY',
+    find: 'other.switchesIn >= MIN_TIME_BEFORE_SWITCH',
     replace: 'true',
     test: 'test/weights/request-moves.test.ts',
   },
