--- a/src/roles/direct-agent.ts
+++ b/src/roles/direct-agent.ts
@@ -18,7 +18,7 @@
 import { pieceRoutes } from '../weights/piece-server.js';
 import type { PieceOriginFactory } from '../weights/piece-source.js';
 import type { StagedEngine } from '../weights/staged-engine.js';
-import { StorePlan } from '../weights/store-plan.js';
+import { StorePlanReader } from '../weights/store-plan-reader.js';
 import type { DirectAgentSettings } from './settings.js';
 
 /** How a platform is met. */
@@ -53,13 +53,13 @@
   const loader = new EngineLoader({
     engine,
     slotAddress: settings.slots,
-    onEngine: (observed) => slots.observe(observed),
+    onEngineState: (observed) => slots.observe(observed),
     engineAddress: settings.engine,
     address,
     library,
     objects,
     originAt,
-    tell: (report) => void link.connection?.send({ type: 'engineReport', report }),
+    sendReport: (report) => void link.connection?.send({ type: 'engineReport', report }),
     random,
     log,
   });
@@ -67,10 +67,16 @@
     context,
     seeds: settings.seeds,
     random,
-    onPlan: (plan) => loader.takePlan(plan),
+    onPlan: (plan) => loader.applyPlan(plan),
     onConnected: () => loader.report(),
   });
-  const storePlan = new StorePlan({ tables, decoder, versionBound: settings.versionBound, loader, log });
+  const storePlan = new StorePlanReader({
+    tables,
+    decoder,
+    versionBound: settings.versionBound,
+    loader,
+    log,
+  });
   metrics.add([
     storePlan.faults.metric,
     trafficMetrics(counters),
--- a/src/roles/direct-entry.ts
+++ b/src/roles/direct-entry.ts
@@ -24,8 +24,8 @@
 import { createEntryRetryWindow } from '../systems/entry-retry-window.js';
 import type { RetryWindow } from '../systems/retry-window.js';
 import { StoreReaders } from '../systems/store-readers.js';
-import { CollectionDuty } from '../weights/collection-duty.js';
 import { pieceRoutes } from '../weights/piece-server.js';
+import { VersionCollector } from '../weights/version-collector.js';
 import type { DirectEntryComponents } from './direct-entry-components.js';
 import { servedVersions, WeightsPlanner } from './weights-planner.js';
 
@@ -43,7 +43,7 @@
   readonly #components: DirectEntryComponents;
   readonly #peers: EntryPeers;
   readonly #agents: EngineAgents;
-  readonly #collection: CollectionDuty;
+  readonly #collection: VersionCollector;
   readonly #planner: WeightsPlanner;
   readonly #storeReaders: Record<FollowedTable, StoreReaders>;
   readonly #slots: SlotClient;
@@ -136,7 +136,7 @@
         if (before === undefined || hasChangedService(before, report)) this.#announce('all');
       },
     );
-    this.#collection = new CollectionDuty({
+    this.#collection = new VersionCollector({
       self: { id: components.identity, zone: settings.zone, linkRate: settings.linkRate ?? 0 },
       fleet,
       library,
@@ -155,7 +155,7 @@
       fleet,
       backEnds,
       versionBound: settings.versionBound,
-      wanted: () => this.#collection.wanted(),
+      wanted: () => this.#collection.wantedVersions(),
       entries: () => [this.#report(), ...this.#peers.live()],
     });
     this.#slots = new SlotClient(settings.slots, context, random);
--- a/src/weights/agent-sources.ts
+++ b/src/weights/agent-sources.ts
@@ -3,9 +3,9 @@
 import { ChunkSet } from '../model/chunk-set.js';
 import type { WeightsPlan } from '../protocol/reports.js';
 import { SMALL_BATCH } from '../systems/upload-limit.js';
-import { keyOf, type PieceManifest } from './held-weights.js';
+import { type PieceManifest, versionKey } from './held-weights.js';
 import type { PieceOriginFactory, PieceSource } from './piece-source.js';
-import { holds, objectSource, originSource, partsOf, processSource } from './piece-sources.js';
+import { holds, objectSource, originSource, partsOf, peerSource } from './piece-sources.js';
 
 /** Asking for a piece again while it is on its way would fill a narrow link with copies: it has until this, in milliseconds. */
 export const BATCH_TIMEOUT = 4_000;
@@ -38,23 +38,23 @@
 
 /** The sources of one version, in order of preference. */
 export function agentSources(options: AgentSourceOptions): PieceSource[] {
-  const { plan, manifest, objects, originAt, offset, patienceFactor: impatience } = options;
+  const { plan, manifest, objects, originAt, offset, patienceFactor } = options;
   const stored = new Set<number>();
   const sources: PieceSource[] = [];
   for (const { address, held, isNear } of plan.holders) {
-    const advertised = held.find((one) => keyOf(one) === keyOf(manifest));
+    const advertised = held.find((one) => versionKey(one) === versionKey(manifest));
     if (advertised === undefined) continue;
     for (const index of advertised.stored) stored.add(index);
     sources.push(
-      processSource({
+      peerSource({
         name: `entry ${address}`,
         address,
         manifest,
         has: holds(ChunkSet.fromBytes(advertised.count, advertised.have)),
-        patience: isNear ? 0 : OTHER_ZONE_PATIENCE * impatience,
-        parallel: 1,
+        patience: isNear ? 0 : OTHER_ZONE_PATIENCE * patienceFactor,
+        concurrency: 1,
         batchSize: SMALL_BATCH,
-        batchTime: BATCH_TIMEOUT,
+        batchTimeout: BATCH_TIMEOUT,
         offset,
       }),
     );
@@ -66,9 +66,9 @@
       objects,
       manifest,
       stored,
-      patience: (plan.hasNearEntry ? OBJECT_PATIENCE_BESIDE_ENTRY : OBJECT_PATIENCE) * impatience,
-      parallel: OBJECT_CONCURRENCY,
-      batchTime: BATCH_TIMEOUT,
+      patience: (plan.hasNearEntry ? OBJECT_PATIENCE_BESIDE_ENTRY : OBJECT_PATIENCE) * patienceFactor,
+      concurrency: OBJECT_CONCURRENCY,
+      batchTimeout: BATCH_TIMEOUT,
       offset,
     }),
   );
@@ -77,9 +77,9 @@
     originSource({
       origin: originAt(plan.origin),
       version: manifest,
-      patience: ORIGIN_PATIENCE * impatience + ORIGIN_STAGGER * plan.position,
-      parallel: ORIGIN_CONCURRENCY,
-      batchTime: ORIGIN_TIMEOUT,
+      patience: ORIGIN_PATIENCE * patienceFactor + ORIGIN_STAGGER * plan.position,
+      concurrency: ORIGIN_CONCURRENCY,
+      batchTimeout: ORIGIN_TIMEOUT,
       mayDraw: () => true,
       offset: offset % manifest.digests.length,
     }),
--- a/src/weights/engine-stage.ts
+++ b/src/weights/engine-stage.ts
@@ -9,8 +9,8 @@
 import type { StagedEngine } from './staged-engine.js';
 
 /** Pieces that are written or read back concurrently; the stage is on this machine. */
-const PARALLEL = 4;
-const CALL_LIMIT = 1_000;
+const CONCURRENCY = 4;
+const CALL_TIMEOUT = 1_000;
 
 /** The stage. */
 export class EngineStage {
@@ -19,7 +19,7 @@
   /** Version whose pieces lie there, as far as this process knows. */
   #version = 0;
   /** How often what lies there had to be forgotten. */
-  #forgotten = 0;
+  #generation = 0;
 
   constructor(engine: StagedEngine, log: Log) {
     this.#engine = engine;
@@ -27,44 +27,44 @@
   }
 
   /** The engine has started again: what lies there is not known. */
-  forget(): void {
+  invalidate(): void {
     this.#version = 0;
-    this.#forgotten++;
+    this.#generation++;
   }
 
   /** Lays every piece of a whole version down, unless it lies there already. */
-  async lay(held: HeldWeights, signal: AbortSignal): Promise<void> {
+  async fill(held: HeldWeights, signal: AbortSignal): Promise<void> {
     const { model, version, digests } = held.manifest;
     if (this.#version === version) return;
-    const forgotten = this.#forgotten;
-    await eachOf([...digests.keys()], async (index) => {
-      await this.#engine.stage(model, index, held.piece(index)!, withLimit(signal, CALL_LIMIT));
+    const generation = this.#generation;
+    await forEachConcurrently([...digests.keys()], async (index) => {
+      await this.#engine.stage(model, index, held.piece(index)!, withLimit(signal, CALL_TIMEOUT));
     });
-    if (forgotten === this.#forgotten) this.#version = version;
+    if (generation === this.#generation) this.#version = version;
   }
 
   /** Reads every piece back and replaces those that have turned bad; false where one cannot be mended. */
   async verify(held: HeldWeights, signal: AbortSignal): Promise<boolean> {
     const { model, version, digests } = held.manifest;
-    let isWhole = true;
-    await eachOf([...digests.keys()], async (index) => {
-      const isGood = async () => {
-        const bytes = await this.#engine.staged(model, index, withLimit(signal, CALL_LIMIT));
+    let isComplete = true;
+    await forEachConcurrently([...digests.keys()], async (index) => {
+      const isIntact = async () => {
+        const bytes = await this.#engine.staged(model, index, withLimit(signal, CALL_TIMEOUT));
         return bytes.ok && bytes.value !== undefined && digestOf(bytes.value) === digests[index];
       };
-      if (await isGood()) return;
+      if (await isIntact()) return;
       this.#log.info('staged piece was bad', { model, version, piece: index });
-      await this.#engine.stage(model, index, held.piece(index)!, withLimit(signal, CALL_LIMIT));
-      if (!(await isGood())) isWhole = false;
+      await this.#engine.stage(model, index, held.piece(index)!, withLimit(signal, CALL_TIMEOUT));
+      if (!(await isIntact())) isComplete = false;
     });
-    return isWhole;
+    return isComplete;
   }
 
   /** Takes over into `library` what lies there of the version of `held`: others can have it from this process. */
   async read(held: HeldWeights, library: WeightsLibrary, signal: AbortSignal): Promise<void> {
     const { model, version } = held.manifest;
     for (const index of held.missing()) {
-      const bytes = await this.#engine.staged(model, index, withLimit(signal, CALL_LIMIT));
+      const bytes = await this.#engine.staged(model, index, withLimit(signal, CALL_TIMEOUT));
       if (bytes.ok && bytes.value !== undefined) library.add(held, index, bytes.value);
     }
     this.#log.info('stage read', { model, version, pieces: held.have.size });
@@ -72,10 +72,10 @@
 }
 
 /** Runs `work` for each item, some at a time. */
-async function eachOf<T>(items: readonly T[], work: (item: T) => Promise<void>): Promise<void> {
+async function forEachConcurrently<T>(items: readonly T[], work: (item: T) => Promise<void>): Promise<void> {
   const rest = [...items];
   const worker = async () => {
     for (let item = rest.shift(); item !== undefined; item = rest.shift()) await work(item);
   };
-  await Promise.all(Array.from({ length: PARALLEL }, worker));
+  await Promise.all(Array.from({ length: CONCURRENCY }, worker));
 }
--- a/src/weights/engine-starts.ts
+++ b/src/weights/engine-starts.ts
@@ -7,18 +7,18 @@
 
 /** The starts of one engine. */
 export class EngineStarts {
-  #present: BackEndIdentity['start'];
-  #former: BackEndIdentity['start'];
-  #answeredAt = Number.NEGATIVE_INFINITY;
+  #current: BackEndIdentity['start'];
+  #previous: BackEndIdentity['start'];
+  #lastAnswerAt = Number.NEGATIVE_INFINITY;
 
   /** The start that answers; undefined where none has told it. */
-  get present(): BackEndIdentity['start'] {
-    return this.#present;
+  get current(): BackEndIdentity['start'] {
+    return this.#current;
   }
 
   /** The start before the present one; undefined where none was seen. */
-  get former(): BackEndIdentity['start'] {
-    return this.#former;
+  get previous(): BackEndIdentity['start'] {
+    return this.#previous;
   }
 
   /**
@@ -26,17 +26,17 @@
    * whatever it looks like; of calls that overlap the later start is.
    * @param askedAt - when the call began, in milliseconds of the steady clock, as `now`
    */
-  take(start: BackEndIdentity['start'], askedAt: number, now: number): StartNews {
-    const isSame = start === undefined || this.#present === undefined || start === this.#present;
-    const overlaps = askedAt < this.#answeredAt;
-    if (!isSame && overlaps && (start === this.#former || start < this.#present!)) return 'older';
-    this.#answeredAt = now;
+  noteAnswer(start: BackEndIdentity['start'], askedAt: number, now: number): StartNews {
+    const isSame = start === undefined || this.#current === undefined || start === this.#current;
+    const overlaps = askedAt < this.#lastAnswerAt;
+    if (!isSame && overlaps && (start === this.#previous || start < this.#current!)) return 'older';
+    this.#lastAnswerAt = now;
     if (isSame) {
-      this.#present ??= start;
+      this.#current ??= start;
       return 'same';
     }
-    this.#former = this.#present;
-    this.#present = start;
+    this.#previous = this.#current;
+    this.#current = start;
     return 'newer';
   }
 }
--- a/src/weights/engine-switch.ts
+++ b/src/weights/engine-switch.ts
@@ -11,10 +11,10 @@
 import type { EngineState, StagedEngine } from './staged-engine.js';
 
 /** Notice of a switch before the order, in milliseconds: the time to tell entries, so that nothing new comes. */
-const NOTICE = 60;
+const NOTICE_PERIOD = 60;
 /** Time between two looks at an engine that carries an order out, in milliseconds. */
-const LOOK_INTERVAL = 60;
-const CALL_LIMIT = 1_000;
+const POLL_INTERVAL = 60;
+const CALL_TIMEOUT = 1_000;
 
 /** What a switch works with. */
 export interface EngineSwitchOptions {
@@ -53,9 +53,10 @@
   async run(order: SwitchOrder, signal: AbortSignal): Promise<void> {
     this.#isRunning = true;
     this.#options.onChange();
-    if (order.served > 0) await sleep(NOTICE, signal);
-    const isTaken = (await this.#isUnchanged(order.state, signal)) && (await this.#order(order, signal));
-    if (isTaken) await this.#awaitEnd(order, signal);
+    if (order.served > 0) await sleep(NOTICE_PERIOD, signal);
+    const isAccepted =
+      (await this.#hasNotRestarted(order.state, signal)) && (await this.#sendOrder(order, signal));
+    if (isAccepted) await this.#awaitCompletion(order, signal);
     this.#isRunning = false;
     this.#options.onChange();
   }
@@ -64,7 +65,7 @@
    * True where the engine has not started again since `before` was read: its stage may be empty now, and its count of orders
    * begins anew, so that an order that was meant for the former start could fit the next.
    */
-  async #isUnchanged({ start }: EngineState, signal: AbortSignal): Promise<boolean> {
+  async #hasNotRestarted({ start }: EngineState, signal: AbortSignal): Promise<boolean> {
     if (start === undefined) return true;
     const state = await this.#readState(signal);
     if (state !== undefined && isSameStart(state.start, start)) return true;
@@ -74,28 +75,28 @@
 
   async #readState(signal: AbortSignal): Promise<EngineState | undefined> {
     const askedAt = performance.now();
-    const answer = await this.#options.engine.state(withLimit(signal, CALL_LIMIT));
+    const answer = await this.#options.engine.state(withLimit(signal, CALL_TIMEOUT));
     const state = answer.ok ? answer.value : undefined;
     this.#options.onState(state, askedAt);
     return state;
   }
 
   /** True where the engine has taken the order. */
-  async #order({ target, state, served }: SwitchOrder, signal: AbortSignal): Promise<boolean> {
+  async #sendOrder({ target, state, served }: SwitchOrder, signal: AbortSignal): Promise<boolean> {
     const { model, version } = target;
     // Requests are never dropped: this process does not know which of them could go on elsewhere. Entries move streams away.
     const order = { model, version, running: 'finish', expectedSequence: state.sequence } as const;
-    const outcome = await this.#options.engine.start(order, withLimit(signal, CALL_LIMIT));
+    const outcome = await this.#options.engine.start(order, withLimit(signal, CALL_TIMEOUT));
     const answer = outcome.ok ? outcome.value : outcome.error;
     this.#options.log.info('engine ordered', { ...order, from: served, load: state.load, answer });
     // An order without an answer may have been taken: the engine's state tells.
     return !outcome.ok || outcome.value.type === 'taken';
   }
 
-  async #awaitEnd({ target, state: before }: SwitchOrder, signal: AbortSignal): Promise<void> {
+  async #awaitCompletion({ target, state: before }: SwitchOrder, signal: AbortSignal): Promise<void> {
     const startedAt = performance.now();
     while (!signal.aborted) {
-      await sleep(LOOK_INTERVAL, signal);
+      await sleep(POLL_INTERVAL, signal);
       const state = await this.#readState(signal);
       // One that has started again does not carry the order out.
       if (state?.isBusy === true && isSameStart(state.start, before.start)) continue;
--- a/src/weights/entry-sources.ts
+++ b/src/weights/entry-sources.ts
@@ -5,9 +5,9 @@
 import type { EngineAgentRow } from '../peers/engine-agents.js';
 import type { EntryReport } from '../protocol/reports.js';
 import { drawPlan, isDrawn } from '../systems/origin-draw.js';
-import { keyOf, type PieceManifest } from './held-weights.js';
+import { type PieceManifest, versionKey } from './held-weights.js';
 import type { PieceOrigin, PieceSource } from './piece-source.js';
-import { holds, objectSource, originSource, partsOf, processSource } from './piece-sources.js';
+import { holds, objectSource, originSource, partsOf, peerSource } from './piece-sources.js';
 
 /** Time for one object, in milliseconds. */
 export const OBJECT_TIMEOUT = 3_000;
@@ -98,15 +98,15 @@
   const { parent } = place;
   const isNear = peer.zone === self.zone;
   const sameZonePatience = parent === undefined || peer.id === parent ? 0 : SAME_ZONE_PATIENCE;
-  return processSource({
+  return peerSource({
     name: `entry ${peer.address}`,
     address: peer.address,
     manifest,
     has: holds(have),
     patience: isNear ? sameZonePatience : otherZonePatience(place, isServed),
-    parallel: isNear ? ENTRY_CONCURRENCY : OTHER_ZONE_CONCURRENCY,
+    concurrency: isNear ? ENTRY_CONCURRENCY : OTHER_ZONE_CONCURRENCY,
     batchSize: isNear ? ENTRY_BATCH_SIZE : otherZoneBatchSize(manifest),
-    batchTime: BATCH_TIMEOUT,
+    batchTimeout: BATCH_TIMEOUT,
     // Entries take different pieces first, which they then have for one another.
     offset: hash32(self.id),
   });
@@ -121,7 +121,7 @@
   self,
   place,
   manifest,
-  isOnlyEntryOfZone: isAlone,
+  isOnlyEntryOfZone,
   objects,
   stored,
 }: EntrySourceOptions): PieceSource {
@@ -130,8 +130,8 @@
     manifest,
     stored,
     patience: standInPatience(place),
-    parallel: isAlone ? 1 : OBJECT_CONCURRENCY,
-    batchTime: OBJECT_TIMEOUT,
+    concurrency: isOnlyEntryOfZone ? 1 : OBJECT_CONCURRENCY,
+    batchTimeout: OBJECT_TIMEOUT,
     offset: hash32(self.id),
   });
 }
@@ -140,23 +140,23 @@
   { address, report }: EngineAgentRow,
   { place, manifest }: EntrySourceOptions,
 ): PieceSource[] {
-  const advertised = report?.held.find((other) => keyOf(other) === keyOf(manifest));
+  const advertised = report?.held.find((other) => versionKey(other) === versionKey(manifest));
   if (advertised === undefined) return [];
-  const source = processSource({
+  const source = peerSource({
     name: `agent ${address}`,
     address,
     manifest,
     has: holds(ChunkSet.fromBytes(advertised.count, advertised.have)),
     patience: standInPatience(place),
-    parallel: 1,
+    concurrency: 1,
     batchSize: AGENT_BATCH_SIZE,
-    batchTime: BATCH_TIMEOUT,
+    batchTimeout: BATCH_TIMEOUT,
   });
   return [source];
 }
 
 function originSources(options: EntrySourceOptions): PieceSource[] {
-  const { place, manifest, holders, stored, origin, isServed, sinceLastPiece: quietFor } = options;
+  const { place, manifest, holders, stored, origin, isServed, sinceLastPiece } = options;
   if (origin === undefined) return [];
   const storedPieces = new Set(
     partsOf(manifest).flatMap(({ index, pieces }) => (stored.has(index) ? pieces : [])),
@@ -170,9 +170,9 @@
     origin,
     version: manifest,
     patience: plan.patience,
-    parallel: plan.parallel,
-    batchTime: ORIGIN_TIMEOUT,
-    mayDraw: (index) => isDrawn(isAvailableElsewhere(index), quietFor, place.overall),
+    concurrency: plan.parallel,
+    batchTimeout: ORIGIN_TIMEOUT,
+    mayDraw: (index) => isDrawn(isAvailableElsewhere(index), sinceLastPiece, place.overall),
     offset: plan.firstOf(manifest.digests.length),
   });
   return [source];
--- a/src/weights/held-weights.ts
+++ b/src/weights/held-weights.ts
@@ -52,7 +52,7 @@
 }
 
 /** Versions of a model that are held at the same time. */
-const VERSIONS_HELD = 3;
+const MAX_VERSIONS_PER_MODEL = 3;
 
 /** All versions that this process holds something of. */
 export class WeightsLibrary {
@@ -61,7 +61,7 @@
 
   /** What is held of a version; undefined before its manifest is known. */
   of(version: WeightsVersion): HeldWeights | undefined {
-    return this.#held.get(keyOf(version));
+    return this.#held.get(versionKey(version));
   }
 
   all(): HeldWeights[] {
@@ -73,10 +73,10 @@
     const known = this.of(manifest);
     if (known !== undefined) return known;
     const held = new HeldWeights(manifest);
-    this.#held.set(keyOf(manifest), held);
+    this.#held.set(versionKey(manifest), held);
     const versions = this.all().filter((other) => other.manifest.model === manifest.model);
     versions.sort((a, b) => b.manifest.version - a.manifest.version);
-    for (const old of versions.slice(VERSIONS_HELD)) this.#held.delete(keyOf(old.manifest));
+    for (const old of versions.slice(MAX_VERSIONS_PER_MODEL)) this.#held.delete(versionKey(old.manifest));
     return held;
   }
 
@@ -90,6 +90,6 @@
 }
 
 /** The name of a version in paths and keys. */
-export function keyOf({ model, version }: WeightsVersion): string {
+export function versionKey({ model, version }: WeightsVersion): string {
   return `${model}/${version}`;
 }
--- a/src/weights/manifest-search.ts
+++ b/src/weights/manifest-search.ts
@@ -7,17 +7,17 @@
 import { fetchManifest, fetchStoredManifest } from './piece-sources.js';
 
 /** Time for one call, in milliseconds: a manifest is a few kilobytes. */
-const CALL_LIMIT = 1_000;
+const CALL_TIMEOUT = 1_000;
 /**
  * The next holder is asked where one has not answered in this time, in milliseconds: above an answer over a busy link. Asked
  * only after the time for a call, five holders on machines that are frozen would take 5 of the 8 s in which a version must serve.
  */
-const STAGGER = 150;
+const HOLDER_STAGGER = 150;
 /** Pause before all are asked again, in milliseconds. */
-const PAUSE = 200;
+const ROUND_PAUSE = 200;
 
 /** Who may have it. */
-export interface ManifestHolders {
+export interface ManifestSources {
   library: WeightsLibrary;
   /** Addresses of processes of the system that hold something of the version; read anew at each round. */
   processes: () => string[];
@@ -33,34 +33,34 @@
 /** Asks everybody in turn until the manifest is found; undefined only at `signal`. */
 export async function findManifest(
   version: WeightsVersion,
-  { library, processes, origin, objects }: ManifestHolders,
+  { library, processes, origin, objects }: ManifestSources,
   signal: AbortSignal,
 ): Promise<PieceManifest | undefined> {
-  const limit = () => withLimit(signal, CALL_LIMIT);
+  const callSignal = () => withLimit(signal, CALL_TIMEOUT);
   while (!signal.aborted) {
     const known = library.of(version);
     if (known !== undefined) return known.manifest;
-    const held = await askHolders(processes(), version, limit, signal);
+    const held = await queryHolders(processes(), version, callSignal, signal);
     if (held !== undefined) return held;
-    const drawn = await origin()?.manifest(version, limit());
+    const drawn = await origin()?.manifest(version, callSignal());
     if (drawn?.ok) return drawn.value;
     const store = objects();
-    const stored = store && (await fetchStoredManifest(store, version, limit()));
+    const stored = store && (await fetchStoredManifest(store, version, callSignal()));
     if (stored !== undefined) return stored;
-    await sleep(PAUSE, signal);
+    await sleep(ROUND_PAUSE, signal);
   }
   return undefined;
 }
 
 /** Asks the processes at `addresses`, the next as one has nothing or is silent; undefined once none of them has it. */
-async function askHolders(
+async function queryHolders(
   addresses: readonly string[],
   version: WeightsVersion,
   limit: () => AbortSignal,
   signal: AbortSignal,
 ): Promise<PieceManifest | undefined> {
   let found: PieceManifest | undefined;
-  const asked: Array<Promise<unknown>> = [];
+  const requests: Array<Promise<unknown>> = [];
   let onFound = () => {};
   const first = new Promise<void>((resolve) => {
     onFound = resolve;
@@ -71,10 +71,10 @@
       found ??= manifest.value;
       onFound();
     });
-    asked.push(answer);
-    await Promise.race([answer, first, sleep(STAGGER, signal)]);
+    requests.push(answer);
+    await Promise.race([answer, first, sleep(HOLDER_STAGGER, signal)]);
     if (found !== undefined) return found;
   }
-  await Promise.race([first, Promise.all(asked)]);
+  await Promise.race([first, Promise.all(requests)]);
   return found;
 }
--- a/src/weights/piece-fetcher.ts
+++ b/src/weights/piece-fetcher.ts
@@ -11,24 +11,24 @@
 import type { PieceSource } from './piece-source.js';
 
 /** Longest time between two looks at the sources, in milliseconds. */
-const TICK = 60;
+const MAX_WAIT = 60;
 /** First and longest rest of a source that failed, in milliseconds. */
-const FIRST_REST = 150;
-const LONGEST_REST = 500;
+const INITIAL_BACKOFF = 150;
+const MAX_BACKOFF = 500;
 
 /** A source that was resorted to and gives is asked on for this long after its latest piece, in milliseconds. */
-const RESORTED = 2_000;
+const FALLBACK_PREFERRED_TIME = 2_000;
 
-interface SourceRow {
-  open: number;
+interface SourceState {
+  openBatches: number;
   /** Until when it is asked without waiting for its patience to end. */
-  resortedUntil: number;
+  preferredUntil: number;
   failures: number;
-  restsUntil: number;
+  backOffUntil: number;
 }
 
 /** How fast pieces are asked for, so that other traffic of the link does not wait behind them. */
-export interface FetchPace {
+export interface FetchLimits {
   /** Batches that are open at the same time, over all sources. */
   open: number;
   /** Pieces of one batch. */
@@ -37,7 +37,7 @@
   share: number;
 }
 
-const UNLIMITED: FetchPace = { open: Number.POSITIVE_INFINITY, batch: Number.POSITIVE_INFINITY, share: 1 };
+const UNLIMITED: FetchLimits = { open: Number.POSITIVE_INFINITY, batch: Number.POSITIVE_INFINITY, share: 1 };
 
 /** What a fetcher works with. */
 export interface PieceFetcherOptions {
@@ -46,13 +46,13 @@
   /** In order of preference; read anew at each look, as sources come and go. */
   sources: () => PieceSource[];
   /** False while others go first. */
-  mayAsk: () => boolean;
+  mayFetch: () => boolean;
   /** Pieces are drawn from the origin now: others are to leave them. */
   onDrawing?: () => void;
   /** How much of the link may be used; read anew at each look. Without it there is no limit. */
-  pace?: () => FetchPace;
+  limits?: () => FetchLimits;
   /** A piece that is on its way for longer may be asked of another source, in milliseconds. */
-  overdue: number;
+  overdueAfter: number;
   random: Random;
   log: Log;
 }
@@ -60,28 +60,28 @@
 /** Fetches one version. */
 export class PieceFetcher {
   readonly #options: PieceFetcherOptions;
-  readonly #rows = new Map<string, SourceRow>();
+  readonly #sourceStates = new Map<string, SourceState>();
   /** When each piece that is on its way was asked for. */
-  readonly #asked = new Map<number, number>();
-  readonly #counts = new Map<string, number>();
+  readonly #requestedAt = new Map<number, number>();
+  readonly #piecesBySource = new Map<string, number>();
   /** Pieces that are on their way from the origin. */
   readonly #drawing = new Set<number>();
-  #progressAt = performance.now();
+  #lastPieceAt = performance.now();
   #wake: () => void = () => {};
   #startedAt = 0;
-  #took = 0;
+  #duration = 0;
   #sizeAtStart = 0;
-  #open = 0;
-  #batchTime = 0;
-  #pausesUntil = 0;
+  #openBatches = 0;
+  #lastBatchDuration = 0;
+  #pausedUntil = 0;
 
   constructor(options: PieceFetcherOptions) {
     this.#options = options;
   }
 
   /** When a piece came last, in milliseconds of the steady clock. */
-  get progressAt(): number {
-    return this.#progressAt;
+  get lastPieceAt(): number {
+    return this.#lastPieceAt;
   }
 
   /** Pieces that are on their way from the origin. */
@@ -90,8 +90,8 @@
   }
 
   /** Time that the latest batch took, in milliseconds. */
-  get batchTime(): number {
-    return this.#batchTime;
+  get lastBatchDuration(): number {
+    return this.#lastBatchDuration;
   }
 
   /**
@@ -100,15 +100,15 @@
    */
   get expectedEnd(): number {
     const { size, capacity } = this.#options.held.have;
-    const got = size - this.#sizeAtStart;
-    if (got <= 0) return Number.POSITIVE_INFINITY;
+    const received = size - this.#sizeAtStart;
+    if (received <= 0) return Number.POSITIVE_INFINITY;
     const now = performance.now();
-    return now + ((now - this.#startedAt) / got) * (capacity - size);
+    return now + ((now - this.#startedAt) / received) * (capacity - size);
   }
 
   /** Time that it took to fetch all pieces, in milliseconds; 0 where that has not happened. */
-  get took(): number {
-    return this.#took;
+  get duration(): number {
+    return this.#duration;
   }
 
   /** Returns when the version is whole, or at `signal`. */
@@ -117,80 +117,86 @@
     const startedAt = performance.now();
     this.#startedAt = startedAt;
     this.#sizeAtStart = held.have.size;
-    this.#progressAt = startedAt;
+    this.#lastPieceAt = startedAt;
     while (!held.complete && !signal.aborted) {
-      if (this.#options.mayAsk()) this.#ask(signal);
-      await this.#nextLook(signal);
+      if (this.#options.mayFetch()) this.#requestPieces(signal);
+      await this.#waitForProgress(signal);
     }
     if (!held.complete) return;
     const { model, version } = held.manifest;
-    const from = Object.fromEntries(this.#counts);
-    const wasWhole = this.#counts.size === 0;
-    this.#took = wasWhole ? 0 : performance.now() - startedAt;
-    log.info('version fetched', { model, version, from, tookMs: Math.round(this.#took) });
+    const from = Object.fromEntries(this.#piecesBySource);
+    const wasComplete = this.#piecesBySource.size === 0;
+    this.#duration = wasComplete ? 0 : performance.now() - startedAt;
+    log.info('version fetched', { model, version, from, tookMs: Math.round(this.#duration) });
   }
 
   /** Waits for a tick, or until something has come. */
-  #nextLook(signal: AbortSignal): Promise<void> {
+  #waitForProgress(signal: AbortSignal): Promise<void> {
     return new Promise((resolve) => {
       const end = () => {
         clearTimeout(timer);
         signal.removeEventListener('abort', end);
         resolve();
       };
-      const timer = setTimeout(end, TICK);
+      const timer = setTimeout(end, MAX_WAIT);
       signal.addEventListener('abort', end);
       this.#wake = end;
     });
   }
 
-  #ask(signal: AbortSignal): void {
+  #requestPieces(signal: AbortSignal): void {
     const now = performance.now();
-    const pace = this.#pace();
-    if (now < this.#pausesUntil) return;
+    const limits = this.#limits();
+    if (now < this.#pausedUntil) return;
     for (const source of this.#options.sources()) {
-      const row = this.#row(source);
-      if (now - this.#progressAt < source.patience && now >= row.resortedUntil) continue;
-      while (row.open < source.concurrency && now >= row.restsUntil && this.#open < pace.open) {
-        const next = source.nextBatch(this.#wanted(now));
-        const batch = source.isDivisible ? next.slice(0, pace.batch) : next;
+      const row = this.#stateOf(source);
+      if (now - this.#lastPieceAt < source.patience && now >= row.preferredUntil) continue;
+      while (
+        row.openBatches < source.concurrency &&
+        now >= row.backOffUntil &&
+        this.#openBatches < limits.open
+      ) {
+        const next = source.nextBatch(this.#requestable(now));
+        const batch = source.isDivisible ? next.slice(0, limits.batch) : next;
         if (batch.length === 0) break;
         void this.#fetch(source, row, batch, signal);
       }
     }
   }
 
-  #wanted(now: number): number[] {
-    const { held, overdue } = this.#options;
-    return held.missing().filter((index) => now - (this.#asked.get(index) ?? -overdue) >= overdue);
+  #requestable(now: number): number[] {
+    const { held, overdueAfter } = this.#options;
+    return held
+      .missing()
+      .filter((index) => now - (this.#requestedAt.get(index) ?? -overdueAfter) >= overdueAfter);
   }
 
   async #fetch(
     source: PieceSource,
-    row: SourceRow,
+    row: SourceState,
     batch: readonly number[],
     signal: AbortSignal,
   ): Promise<void> {
-    row.open++;
-    this.#open++;
+    row.openBatches++;
+    this.#openBatches++;
     const askedAt = performance.now();
-    for (const index of batch) this.#asked.set(index, askedAt);
+    for (const index of batch) this.#requestedAt.set(index, askedAt);
     if (source.isOrigin) this.#beginDrawing(batch);
-    const limit = withLimit(signal, source.batchTimeout);
-    const answer = await source.fetch(batch, limit);
+    const batchSignal = withLimit(signal, source.batchTimeout);
+    const answer = await source.fetch(batch, batchSignal);
     for (const index of batch) this.#drawing.delete(index);
-    row.open--;
-    this.#open--;
-    this.#batchTime = performance.now() - askedAt;
-    this.#pause(this.#batchTime, signal);
-    for (const index of batch) if (this.#asked.get(index) === askedAt) this.#asked.delete(index);
+    row.openBatches--;
+    this.#openBatches--;
+    this.#lastBatchDuration = performance.now() - askedAt;
+    this.#pause(this.#lastBatchDuration, signal);
+    for (const index of batch) if (this.#requestedAt.get(index) === askedAt) this.#requestedAt.delete(index);
     const kept = answer.ok
-      ? answer.value.filter(([index, bytes]) => this.#keep(source, index, bytes)).length
+      ? answer.value.filter(([index, bytes]) => this.#store(source, index, bytes)).length
       : 0;
-    if (kept > 0) row.resortedUntil = performance.now() + RESORTED;
+    if (kept > 0) row.preferredUntil = performance.now() + FALLBACK_PREFERRED_TIME;
     if (kept === batch.length) row.failures = 0;
     else if (!signal.aborted)
-      this.#rest(source, row, answer.ok ? 'missing or corrupt pieces' : answer.error.reason);
+      this.#backOff(source, row, answer.ok ? 'missing or corrupt pieces' : answer.error.reason);
     this.#wake();
   }
 
@@ -200,38 +206,38 @@
   }
 
   /** After a batch the link is left to others for a while. */
-  #pause(tookMilliseconds: number, signal: AbortSignal): void {
-    const pause = tookMilliseconds * (1 / this.#pace().share - 1);
+  #pause(batchDuration: number, signal: AbortSignal): void {
+    const pause = batchDuration * (1 / this.#limits().share - 1);
     if (pause <= 0) return;
-    this.#pausesUntil = performance.now() + pause;
+    this.#pausedUntil = performance.now() + pause;
     void sleep(pause, signal).then(() => this.#wake());
   }
 
-  #pace(): FetchPace {
-    return this.#options.pace?.() ?? UNLIMITED;
+  #limits(): FetchLimits {
+    return this.#options.limits?.() ?? UNLIMITED;
   }
 
-  #keep(source: PieceSource, index: number, bytes: Buffer): boolean {
+  #store(source: PieceSource, index: number, bytes: Buffer): boolean {
     const { held, library } = this.#options;
     const isNew = !held.have.has(index);
     if (!library.add(held, index, bytes)) return false;
-    this.#progressAt = performance.now();
-    if (isNew) this.#counts.set(source.name, (this.#counts.get(source.name) ?? 0) + 1);
+    this.#lastPieceAt = performance.now();
+    if (isNew) this.#piecesBySource.set(source.name, (this.#piecesBySource.get(source.name) ?? 0) + 1);
     return true;
   }
 
-  #rest(source: PieceSource, row: SourceRow, reason: string): void {
-    const rest = Math.min(LONGEST_REST, FIRST_REST * 2 ** row.failures++);
-    row.restsUntil = performance.now() + rest * (0.5 + this.#options.random.fraction() / 2);
+  #backOff(source: PieceSource, row: SourceState, reason: string): void {
+    const backOff = Math.min(MAX_BACKOFF, INITIAL_BACKOFF * 2 ** row.failures++);
+    row.backOffUntil = performance.now() + backOff * (0.5 + this.#options.random.fraction() / 2);
     const { model, version } = this.#options.held.manifest;
     this.#options.log.info('piece source failed', { source: source.name, model, version, reason });
   }
 
-  #row(source: PieceSource): SourceRow {
-    const known = this.#rows.get(source.name);
+  #stateOf(source: PieceSource): SourceState {
+    const known = this.#sourceStates.get(source.name);
     if (known !== undefined) return known;
-    const row = { open: 0, resortedUntil: 0, failures: 0, restsUntil: 0 };
-    this.#rows.set(source.name, row);
+    const row = { openBatches: 0, preferredUntil: 0, failures: 0, backOffUntil: 0 };
+    this.#sourceStates.set(source.name, row);
     return row;
   }
 }
--- a/src/weights/piece-server.ts
+++ b/src/weights/piece-server.ts
@@ -7,9 +7,9 @@
 /** Paths below which pieces are served. */
 const PREFIX = '/weights';
 /** What a process answers that sends as much as its link carries soon. */
-export const BUSY = 503;
+export const BUSY_STATUS = 503;
 /** A batch counts as on its way for this long at the most, in milliseconds: whoever asked has given it up by then. */
-const LONGEST_UPLOAD = 4_000;
+const MAX_UPLOAD_TIME = 4_000;
 
 /** Routes that serve the manifests and pieces in `library`. */
 export function pieceRoutes(library: WeightsLibrary): Router {
@@ -27,7 +27,7 @@
     const pieces = found && piecesOf(found, context.params.indexes);
     if (pieces === undefined) return;
     if (!beginUpload(uploads, pieces, context.res)) {
-      context.status = BUSY;
+      context.status = BUSY_STATUS;
       return;
     }
     context.type = 'application/octet-stream';
@@ -46,7 +46,7 @@
     uploads.end(pieces.length, bytes);
   };
   // A connection that has gone silent does not close.
-  const timer = setTimeout(end, LONGEST_UPLOAD);
+  const timer = setTimeout(end, MAX_UPLOAD_TIME);
   timer.unref();
   response.on('close', end);
   return true;
--- a/src/weights/piece-sources.ts
+++ b/src/weights/piece-sources.ts
@@ -5,15 +5,15 @@
 import type { ChunkSet } from '../model/chunk-set.js';
 import { failure, type Result, success } from '../model/result.js';
 import type { PieceManifest, WeightsVersion } from './held-weights.js';
-import { keyOf } from './held-weights.js';
-import { BUSY, manifestPath, piecesPath } from './piece-server.js';
+import { versionKey } from './held-weights.js';
+import { BUSY_STATUS, manifestPath, piecesPath } from './piece-server.js';
 import type { PieceOrigin, PieceSource, PieceSourceError, Pieces } from './piece-source.js';
 
 /** Objects into which the pieces of a version are put together. */
-const OBJECTS_OF_VERSION = 8;
+const PARTS_PER_VERSION = 8;
 
 /** Another process of the system that holds pieces. */
-export function processSource(options: {
+export function peerSource(options: {
   name: string;
   /** `host:port` at which it serves pieces. */
   address: string;
@@ -21,19 +21,29 @@
   /** What it is known to hold. */
   has: (index: number) => boolean;
   patience: number;
-  parallel: number;
+  concurrency: number;
   /** Pieces in one answer. */
   batchSize: number;
-  batchTime: number;
+  batchTimeout: number;
   /** A number that spreads several receivers over the pieces. */
   offset?: number;
 }): PieceSource {
-  const { name, address, manifest, has, patience, parallel, batchSize, batchTime, offset = 0 } = options;
+  const {
+    name,
+    address,
+    manifest,
+    has,
+    patience,
+    concurrency,
+    batchSize,
+    batchTimeout,
+    offset = 0,
+  } = options;
   return {
     name,
     patience,
-    concurrency: parallel,
-    batchTimeout: batchTime,
+    concurrency,
+    batchTimeout,
     isOrigin: false,
     isDivisible: true,
     nextBatch: (wanted) => rotate(wanted.filter(has), offset).slice(0, batchSize),
@@ -41,7 +51,7 @@
       const url = `http://${address}${piecesPath(manifest.model, manifest.version, batch)}`;
       const answer = await callHttp({ service: 'pieces', method: 'GET', url, signal });
       if (!answer.ok) return failed('reason' in answer.error ? answer.error.reason : answer.error.type);
-      if (answer.value.status === BUSY) return failed('busy');
+      if (answer.value.status === BUSY_STATUS) return failed('busy');
       if (answer.value.status !== 200) return failed(`status ${answer.value.status}`);
       return success(split(answer.value.body, batch, manifest.pieceBytes));
     },
@@ -100,7 +110,7 @@
 /** The objects of a version. */
 export function partsOf(manifest: PieceManifest): StoredPart[] {
   const count = manifest.digests.length;
-  const size = Math.ceil(count / OBJECTS_OF_VERSION);
+  const size = Math.ceil(count / PARTS_PER_VERSION);
   const parts: StoredPart[] = [];
   for (let first = 0; first < count; first += size) {
     const pieces = Array.from({ length: Math.min(size, count - first) }, (_, offset) => first + offset);
@@ -111,12 +121,12 @@
 
 /** Key of the manifest of a version in the object store. */
 export function storedManifestKey(version: WeightsVersion): string {
-  return objectName(`${keyOf(version)}/manifest`);
+  return objectName(`${versionKey(version)}/manifest`);
 }
 
 /** What the keys of a version begin with. */
 export function storedPrefix(version: WeightsVersion): string {
-  return objectName(`${keyOf(version)}/`);
+  return objectName(`${versionKey(version)}/`);
 }
 
 /** The object store. */
@@ -127,18 +137,18 @@
   stored: ReadonlySet<number>;
   patience: number;
   /** Parts that are read at the same time. */
-  parallel: number;
-  batchTime: number;
+  concurrency: number;
+  batchTimeout: number;
   /** A number that spreads receivers that do not know of one another over the parts. */
   offset: number;
 }): PieceSource {
-  const { objects, manifest, stored, patience, parallel, batchTime, offset } = options;
+  const { objects, manifest, stored, patience, concurrency, batchTimeout, offset } = options;
   const parts = rotate(partsOf(manifest), offset);
   return {
     name: 'objects',
     patience,
-    batchTimeout: batchTime,
-    concurrency: parallel,
+    batchTimeout,
+    concurrency,
     isOrigin: false,
     isDivisible: false,
     nextBatch(wanted) {
@@ -167,19 +177,19 @@
   origin: PieceOrigin;
   version: WeightsVersion;
   patience: number;
-  parallel: number;
-  batchTime: number;
+  concurrency: number;
+  batchTimeout: number;
   /** Whether a piece is to be drawn: not where another process has it. */
   mayDraw: (index: number) => boolean;
   /** Where to begin, so that several that draw at the same time draw different pieces. */
   offset: number;
 }): PieceSource {
-  const { origin, version, patience, parallel, batchTime, mayDraw, offset } = options;
+  const { origin, version, patience, concurrency, batchTimeout, mayDraw, offset } = options;
   return {
     name: 'origin',
     patience,
-    concurrency: parallel,
-    batchTimeout: batchTime,
+    concurrency,
+    batchTimeout,
     isOrigin: true,
     isDivisible: true,
     nextBatch: (wanted) => rotateFrom(wanted, offset).filter(mayDraw).slice(0, 1),
@@ -196,7 +206,7 @@
 }
 
 function partKey(manifest: PieceManifest, index: number): string {
-  return objectName(`${keyOf(manifest)}/${index}`);
+  return objectName(`${versionKey(manifest)}/${index}`);
 }
 
 /** Keys of objects are one path segment. */
--- a/src/weights/store-plan.ts
+++ b/src/weights/store-plan-reader.ts
@@ -14,12 +14,12 @@
 import type { EngineLoader } from './engine-loader.js';
 
 /** An entry has this long to tell before the store is asked, and again between two tries, in milliseconds. */
-const ENTRY_PATIENCE = 30;
+const ENTRY_GRACE_TIME = 30;
 const RETRY_PAUSE = 1_500;
-const CALL_LIMIT = 1_000;
+const CALL_TIMEOUT = 1_000;
 
 /** What the plan is read with. */
-export interface StorePlanOptions {
+export interface StorePlanReaderOptions {
   tables: WatchedTables;
   decoder: RecordDecoder;
   /** Time in which a named version must serve everywhere, in milliseconds. */
@@ -29,13 +29,13 @@
 }
 
 /** Asks the store until there is a plan from anywhere. */
-export class StorePlan implements Startable {
-  readonly #options: StorePlanOptions;
+export class StorePlanReader implements Startable {
+  readonly #options: StorePlanReaderOptions;
   /** The records that cannot be used. */
   readonly faults: RecordFaults;
   #stopped = new AbortController();
 
-  constructor(options: StorePlanOptions) {
+  constructor(options: StorePlanReaderOptions) {
     this.#options = options;
     this.faults = new RecordFaults(options.log);
   }
@@ -50,12 +50,12 @@
   }
 
   async #run(signal: AbortSignal): Promise<void> {
-    await sleep(ENTRY_PATIENCE, signal);
+    await sleep(ENTRY_GRACE_TIME, signal);
     while (!signal.aborted && !this.#options.loader.hasPlan) {
       const plan = await this.#read(signal);
       if (plan !== undefined && !this.#options.loader.hasPlan) {
         this.#options.log.info('plan read from the store', { versions: plan.versions });
-        this.#options.loader.takePlan(plan);
+        this.#options.loader.applyPlan(plan);
         return;
       }
       await sleep(RETRY_PAUSE, signal);
@@ -65,7 +65,7 @@
   /** The newest named versions; undefined where the store does not answer, or none is named. */
   async #read(signal: AbortSignal): Promise<WeightsPlan | undefined> {
     const { tables, decoder, versionBound } = this.#options;
-    const limit = withLimit(signal, CALL_LIMIT);
+    const limit = withLimit(signal, CALL_TIMEOUT);
     const read = await tables.read(decoder.operatorTable, '', limit);
     if (!read.ok) return undefined;
     let configuration: FleetConfiguration | undefined;
--- a/src/weights/collection-duty.ts
+++ b/src/weights/version-collector.ts
@@ -25,8 +25,8 @@
 } from './entry-sources.js';
 import {
   type HeldWeights,
-  keyOf,
   type PieceManifest,
+  versionKey,
   type WeightsLibrary,
   type WeightsVersion,
 } from './held-weights.js';
@@ -36,18 +36,18 @@
 import { partsOf, type StoredPart, storedManifestKey, storedPrefix } from './piece-sources.js';
 
 /** Time between two looks at what is wanted, in milliseconds. */
-const REVIEW_INTERVAL = 200;
+const RECONCILE_INTERVAL = 200;
 /** Time for one small call, in milliseconds. */
-const CALL_LIMIT = 1_000;
+const CALL_TIMEOUT = 1_000;
 /** The object store is asked again what it has after this, in milliseconds. */
 const LISTING_INTERVAL = 2_000;
 /** After the store has come back from an older copy, entries that have not heard of it tell of what it had for this long, in
  * milliseconds: they hear of it within two seconds. */
-const OLD_LISTINGS = 3_000;
+const STALE_LISTING_TIME = 3_000;
 /** A piece that is on its way for longer is asked of another source as well, in milliseconds: a batch takes 0.1 to 0.7 s. */
-const OVERDUE = 800;
+const PIECE_OVERDUE_TIME = 800;
 /** What the duty works with. */
-export interface CollectionDutyOptions {
+export interface VersionCollectorOptions {
   self: { id: string; zone: string; linkRate: number };
   fleet: FleetView;
   library: WeightsLibrary;
@@ -70,7 +70,7 @@
 interface Collection {
   version: WeightsVersion;
   /** When it began, in milliseconds of the steady clock. */
-  begunAt: number;
+  startedAt: number;
   stopped: AbortController;
   held: HeldWeights | undefined;
   fetcher: PieceFetcher | undefined;
@@ -86,21 +86,21 @@
 }
 
 /** The duty. */
-export class CollectionDuty implements Startable {
-  readonly #options: CollectionDutyOptions;
+export class VersionCollector implements Startable {
+  readonly #options: VersionCollectorOptions;
   readonly #collections = new Map<string, Collection>();
   #timer: NodeJS.Timeout | undefined;
   /** Until when peers may tell of objects that are lost, in milliseconds of the steady clock. */
-  #oldListingsUntil = Number.NEGATIVE_INFINITY;
+  #staleListingsUntil = Number.NEGATIVE_INFINITY;
 
-  constructor(options: CollectionDutyOptions) {
+  constructor(options: VersionCollectorOptions) {
     this.#options = options;
     options.library.onPiece = (held) => this.#onPiece(held);
-    options.fleet.listen({ onNamedVersion: () => this.review(), onConfiguration: () => this.review() });
+    options.fleet.listen({ onNamedVersion: () => this.reconcile(), onConfiguration: () => this.reconcile() });
   }
 
   async start(): Promise<void> {
-    this.#timer = setInterval(() => this.review(), REVIEW_INTERVAL);
+    this.#timer = setInterval(() => this.reconcile(), RECONCILE_INTERVAL);
   }
 
   async stop(): Promise<void> {
@@ -109,7 +109,7 @@
   }
 
   /** The versions that matter now: the newest named of each model, those whose bound has not passed, what serves. */
-  wanted(): WeightsVersion[] {
+  wantedVersions(): WeightsVersion[] {
     const { fleet, versionBound, servedVersions } = this.#options;
     const now = performance.now();
     const named = fleet.versions.all().filter((one) => {
@@ -122,11 +122,11 @@
 
   /** The store has come back from an older copy of itself: objects that were put lately may not be there any more. */
   noteOlderCopy(): void {
-    this.#oldListingsUntil = performance.now() + OLD_LISTINGS;
+    this.#staleListingsUntil = performance.now() + STALE_LISTING_TIME;
     for (const collection of this.#collections.values()) {
       collection.stored.clear();
       collection.isManifestStored = false;
-      if (collection.isListed) void this.#list(collection, collection.stopped.signal);
+      if (collection.isListed) void this.#listStoredParts(collection, collection.stopped.signal);
     }
   }
 
@@ -141,20 +141,20 @@
   }
 
   /** Starts and ends collections. */
-  review(): void {
-    const wanted = new Map(this.wanted().map((version) => [keyOf(version), version]));
+  reconcile(): void {
+    const wanted = new Map(this.wantedVersions().map((version) => [versionKey(version), version]));
     for (const [key, collection] of this.#collections) {
       if (wanted.has(key)) continue;
       collection.stopped.abort();
       this.#collections.delete(key);
     }
-    for (const [key, version] of wanted) if (!this.#collections.has(key)) this.#begin(key, version);
+    for (const [key, version] of wanted) if (!this.#collections.has(key)) this.#startCollection(key, version);
   }
 
-  #begin(key: string, version: WeightsVersion): void {
+  #startCollection(key: string, version: WeightsVersion): void {
     const collection: Collection = {
       version,
-      begunAt: performance.now(),
+      startedAt: performance.now(),
       stopped: new AbortController(),
       held: undefined,
       fetcher: undefined,
@@ -173,11 +173,11 @@
     const { signal } = collection.stopped;
     const { library, random, log, onHeldChanged } = this.#options;
     while (!this.#isHolder(collection)) {
-      await sleep(REVIEW_INTERVAL, signal);
+      await sleep(RECONCILE_INTERVAL, signal);
       if (signal.aborted) return;
     }
-    void this.#list(collection, signal);
-    const manifest = await this.#manifest(collection, signal);
+    void this.#listStoredParts(collection, signal);
+    const manifest = await this.#findManifest(collection, signal);
     if (manifest === undefined) return;
     const held = library.open(manifest);
     collection.held = held;
@@ -186,16 +186,16 @@
     collection.fetcher = new PieceFetcher({
       held,
       library,
-      sources: () => this.#sources(collection, held),
-      mayAsk: () => true,
+      sources: () => this.#sourcesFor(collection, held),
+      mayFetch: () => true,
       onDrawing: () => onHeldChanged(true),
-      overdue: OVERDUE,
+      overdueAfter: PIECE_OVERDUE_TIME,
       random,
       log,
     });
     await collection.fetcher.run(signal);
     if (signal.aborted) return;
-    await this.#keepStored(collection, held, signal);
+    await this.#maintainStoredCopy(collection, held, signal);
   }
 
   /** Whether this entry is among those of its zone that hold a copy. */
@@ -209,10 +209,10 @@
     return records.filter(({ service }) => fleet.routes?.service(service)?.engine !== undefined).length;
   }
 
-  #manifest(collection: Collection, signal: AbortSignal): Promise<PieceManifest | undefined> {
+  #findManifest(collection: Collection, signal: AbortSignal): Promise<PieceManifest | undefined> {
     const { library, objects } = this.#options;
-    const { version, begunAt } = collection;
-    const age = () => performance.now() - begunAt;
+    const { version, startedAt } = collection;
+    const age = () => performance.now() - startedAt;
     const mayAskOrigin = () => age() >= drawPatience(this.#place(collection).overall);
     const mayAskObjects = () => age() >= this.#place(collection).inZone * STAND_IN_PATIENCE;
     return findManifest(
@@ -227,10 +227,10 @@
     );
   }
 
-  #sources(collection: Collection, held: HeldWeights): PieceSource[] {
+  #sourcesFor(collection: Collection, held: HeldWeights): PieceSource[] {
     const { objects, self, peers, agents, servedVersions } = this.#options;
-    const { version, isListed, fetcher, begunAt } = collection;
-    const isServed = servedVersions().some((served) => keyOf(served) === keyOf(version));
+    const { version, isListed, fetcher, startedAt } = collection;
+    const isServed = servedVersions().some((served) => versionKey(served) === versionKey(version));
     return entrySources({
       self,
       place: this.#place(collection),
@@ -242,7 +242,7 @@
       stored: this.#storedParts(collection),
       origin: isListed ? this.#origin() : undefined,
       isServed,
-      sinceLastPiece: performance.now() - (fetcher?.progressAt ?? begunAt),
+      sinceLastPiece: performance.now() - (fetcher?.lastPieceAt ?? startedAt),
     });
   }
 
@@ -250,7 +250,7 @@
   #place({ version }: Collection): EntryRank {
     const { self, peers } = this.#options;
     const entries = [self, ...peers()];
-    const key = keyOf(version);
+    const key = versionKey(version);
     // The first of all is the first of its zone.
     const overall = drawOrder(key, entries);
     const inZone = drawOrder(
@@ -268,7 +268,7 @@
 
   #holders(version: WeightsVersion): EntryHolding[] {
     return this.#peersHolding(version).map((peer) => {
-      const { have, count, drawing } = peer.held.find((held) => keyOf(held) === keyOf(version))!;
+      const { have, count, drawing } = peer.held.find((held) => versionKey(held) === versionKey(version))!;
       return { peer, have: ChunkSet.fromBytes(count, have), drawing };
     });
   }
@@ -277,28 +277,28 @@
   #peersHolding(version: WeightsVersion): EntryReport[] {
     const holding = this.#options
       .peers()
-      .filter(({ held }) => held.some((one) => keyOf(one) === keyOf(version)));
-    const isFar = ({ zone }: EntryReport) => Number(zone !== this.#options.self.zone);
-    return holding.sort((a, b) => isFar(a) - isFar(b));
+      .filter(({ held }) => held.some((one) => versionKey(one) === versionKey(version)));
+    const isOtherZone = ({ zone }: EntryReport) => Number(zone !== this.#options.self.zone);
+    return holding.sort((a, b) => isOtherZone(a) - isOtherZone(b));
   }
 
   /** Parts in the object store, as this entry and its peers know. */
   #storedParts({ version, stored }: Collection): Set<number> {
-    const peers = performance.now() < this.#oldListingsUntil ? [] : this.#options.peers();
+    const peers = performance.now() < this.#staleListingsUntil ? [] : this.#options.peers();
     for (const { held } of peers) {
-      const there = held.find((one) => keyOf(one) === keyOf(version));
-      for (const index of there?.stored ?? []) stored.add(index);
+      const advertised = held.find((one) => versionKey(one) === versionKey(version));
+      for (const index of advertised?.stored ?? []) stored.add(index);
     }
     return stored;
   }
 
   /** Learns what lies in the object store; the origin is not drawn from before that is known, or cannot be. */
-  async #list(collection: Collection, signal: AbortSignal): Promise<void> {
+  async #listStoredParts(collection: Collection, signal: AbortSignal): Promise<void> {
     const { objects, log } = this.#options;
     while (!signal.aborted) {
       collection.listedAt = performance.now();
       const prefix = storedPrefix(collection.version);
-      const names = await objects.list(prefix, withLimit(signal, CALL_LIMIT));
+      const names = await objects.list(prefix, withLimit(signal, CALL_TIMEOUT));
       collection.isListed = true;
       if (names.ok) {
         for (const name of names.value) {
@@ -313,7 +313,7 @@
   }
 
   #onPiece(held: HeldWeights): void {
-    const collection = this.#collections.get(keyOf(held.manifest));
+    const collection = this.#collections.get(versionKey(held.manifest));
     if (collection === undefined) return;
     const place = this.#place(collection).overall;
     this.#options.onHeldChanged(place <= QUICK_STAND_INS);
@@ -336,7 +336,7 @@
 
   /** Puts one part; false where none is due, or the object store has not taken it. */
   async #putNextPart(collection: Collection, held: HeldWeights, signal: AbortSignal): Promise<boolean> {
-    const part = this.#nextToPut(collection, held);
+    const part = this.#nextUnstoredPart(collection, held);
     if (part === undefined || signal.aborted) return false;
     const bytes = Buffer.concat(part.pieces.map((piece) => held.piece(piece)!));
     const put = await this.#options.objects.put(part.key, bytes, withLimit(signal, OBJECT_TIMEOUT));
@@ -345,7 +345,7 @@
     return put.ok;
   }
 
-  #nextToPut(collection: Collection, held: HeldWeights): StoredPart | undefined {
+  #nextUnstoredPart(collection: Collection, held: HeldWeights): StoredPart | undefined {
     const stored = this.#storedParts(collection);
     return partsOf(held.manifest).find(
       ({ index, pieces }) => !stored.has(index) && pieces.every((piece) => held.have.has(piece)),
@@ -353,7 +353,7 @@
   }
 
   /** Sees to it that a whole version lies in the object store, whoever was to put it there. */
-  async #keepStored(collection: Collection, held: HeldWeights, signal: AbortSignal): Promise<void> {
+  async #maintainStoredCopy(collection: Collection, held: HeldWeights, signal: AbortSignal): Promise<void> {
     const parts = partsOf(held.manifest);
     while (!signal.aborted) {
       await sleep(LISTING_INTERVAL * (0.5 + this.#options.random.fraction()), signal);
@@ -362,7 +362,7 @@
       if (collection.isManifestStored || this.#storedParts(collection).size < parts.length) continue;
       const key = storedManifestKey(collection.version);
       const bytes = Buffer.from(JSON.stringify(held.manifest));
-      const put = await this.#options.objects.put(key, bytes, withLimit(signal, CALL_LIMIT));
+      const put = await this.#options.objects.put(key, bytes, withLimit(signal, CALL_TIMEOUT));
       collection.isManifestStored = put.ok;
     }
   }
--- a/test/forwarding/restart-order.test.ts
+++ b/test/forwarding/restart-order.test.ts
@@ -357,13 +357,13 @@
           const starts = new EngineStarts();
           let newest = -1;
           for (const { askedAt, at, told } of answers) {
-            starts.take(told.start, askedAt, at);
+            starts.noteAnswer(told.start, askedAt, at);
             newest = Math.max(newest, told.place);
-            if (!stepsBack) expect(timeline.findIndex(({ start }) => start === starts.present)).toBe(newest);
+            if (!stepsBack) expect(timeline.findIndex(({ start }) => start === starts.current)).toBe(newest);
           }
           const last = startAt(10_000);
-          starts.take(last.start, 10_000, 10_001);
-          expect(starts.present).toBe(last.start);
+          starts.noteAnswer(last.start, 10_000, 10_001);
+          expect(starts.current).toBe(last.start);
         },
       ),
       { numRuns: RUNS, seed: 29 },
--- a/test/weights/drop-on-old-plan.test.ts
+++ b/test/weights/drop-on-old-plan.test.ts
@@ -77,11 +77,11 @@
     engineAddress: 'engine',
     address: 'agent',
     slotAddress: 'slots',
-    onEngine: () => {},
+    onEngineState: () => {},
     library: new WeightsLibrary(),
     objects: await objectsWith(2),
     originAt: () => noOrigin,
-    tell: () => {},
+    sendReport: () => {},
     random: seededRandom(5),
     log: silentLog,
   });
@@ -99,7 +99,7 @@
   };
   await loader.start();
   const toldAt = performance.now();
-  loader.takePlan(plan);
+  loader.applyPlan(plan);
   await until(() => engine.running.length === 1, 'the order');
   const age = performance.now() - toldAt;
   await loader.stop();
--- a/test/weights/engine-restart.test.ts
+++ b/test/weights/engine-restart.test.ts
@@ -84,17 +84,17 @@
     const engine = new RestartingEngine();
     const stage = new EngineStage(engine, silentLog);
     const held = wholeWeights(1);
-    await stage.lay(held, signal());
-    await stage.lay(held, signal());
+    await stage.fill(held, signal());
+    await stage.fill(held, signal());
     expect(engine.stagePuts).toBe(PIECES);
-    stage.forget();
-    await stage.lay(held, signal());
+    stage.invalidate();
+    await stage.fill(held, signal());
     expect(engine.stagePuts).toBe(2 * PIECES);
-    stage.forget();
-    const laying = stage.lay(held, signal());
-    stage.forget();
+    stage.invalidate();
+    const laying = stage.fill(held, signal());
+    stage.invalidate();
     await laying;
-    await stage.lay(held, signal());
+    await stage.fill(held, signal());
     expect(engine.stagePuts).toBe(4 * PIECES);
   });
 });
@@ -136,18 +136,18 @@
 describe('the start of the engine that answers', () => {
   it('is that of the call that began last; of calls that overlap the later start', () => {
     const starts = new EngineStarts();
-    expect(starts.take(100, 0, 10)).toBe('same');
+    expect(starts.noteAnswer(100, 0, 10)).toBe('same');
     // Asked before the answer above had come.
-    expect(starts.take(50, 5, 20)).toBe('older');
-    expect(starts.take(200, 15, 30)).toBe('newer');
-    expect(starts.take(100, 25, 40)).toBe('older');
-    expect(starts.present).toBe(200);
+    expect(starts.noteAnswer(50, 5, 20)).toBe('older');
+    expect(starts.noteAnswer(200, 15, 30)).toBe('newer');
+    expect(starts.noteAnswer(100, 25, 40)).toBe('older');
+    expect(starts.current).toBe(200);
     // The clock stepped back: it was asked after the answer of the former start.
-    expect(starts.take(150, 50, 60)).toBe('newer');
-    expect(starts.take(200, 55, 70)).toBe('older');
-    expect(starts.take(undefined, 80, 90)).toBe('same');
-    expect(starts.present).toBe(150);
-    expect(starts.former).toBe(200);
+    expect(starts.noteAnswer(150, 50, 60)).toBe('newer');
+    expect(starts.noteAnswer(200, 55, 70)).toBe('older');
+    expect(starts.noteAnswer(undefined, 80, 90)).toBe('same');
+    expect(starts.current).toBe(150);
+    expect(starts.previous).toBe(200);
   });
 });
 
@@ -199,18 +199,18 @@
       engineAddress: 'engine',
       address: 'agent',
       slotAddress: 'slots',
-      onEngine: (state) => {
+      onEngineState: (state) => {
         if (state !== undefined) observed.push(state);
       },
       library: new WeightsLibrary(),
       objects: await storedWeights(1),
       originAt: () => origin,
-      tell: (report) => reports.push(report),
+      sendReport: (report) => reports.push(report),
       random: seededRandom(5),
       log,
     });
     await loader.start();
-    loader.takePlan(plan(1));
+    loader.applyPlan(plan(1));
   }
 
   it('tells of the new start at once, fills its stage again and orders it anew', async () => {
--- a/test/weights/entry-sources.test.ts
+++ b/test/weights/entry-sources.test.ts
@@ -74,8 +74,8 @@
   function bytesOnTheirWay(pieceBytes: number): Record<string, number> {
     const sources = sourcesOf({ manifest: { ...manifest, pieceBytes } });
     const wanted = Array.from({ length: PIECES }, (_, index) => index);
-    const bytesOf = ({ nextBatch, concurrency: parallel }: PieceSource) =>
-      nextBatch(wanted).length * parallel * pieceBytes;
+    const bytesOf = ({ nextBatch, concurrency }: PieceSource) =>
+      nextBatch(wanted).length * concurrency * pieceBytes;
     return Object.fromEntries(sources.map((source) => [source.name, bytesOf(source)]));
   }
 
--- a/test/weights/manifest-search.test.ts
+++ b/test/weights/manifest-search.test.ts
@@ -5,7 +5,7 @@
 import { MemoryStore } from '../../emulator/store/memory-store.js';
 import { failure, success } from '../../src/model/result.js';
 import { type PieceManifest, WeightsLibrary } from '../../src/weights/held-weights.js';
-import { findManifest, type ManifestHolders } from '../../src/weights/manifest-search.js';
+import { findManifest, type ManifestSources } from '../../src/weights/manifest-search.js';
 import type { PieceOrigin } from '../../src/weights/piece-source.js';
 
 const VERSION = { model: 'm', version: 2 };
@@ -21,8 +21,8 @@
   piece: async () => failure({ type: 'sourceFailed', reason: 'none' }),
 };
 
-function search(changes: Partial<ManifestHolders>): Promise<PieceManifest | undefined> {
-  const holders: ManifestHolders = {
+function search(changes: Partial<ManifestSources>): Promise<PieceManifest | undefined> {
+  const holders: ManifestSources = {
     library: new WeightsLibrary(),
     processes: () => [],
     origin: () => undefined,
--- a/test/weights/object-puts.test.ts
+++ b/test/weights/object-puts.test.ts
@@ -7,10 +7,10 @@
 import { seededRandom } from '../../src/model/random.js';
 import { success } from '../../src/model/result.js';
 import { silentLog } from '../../src/observability/log.js';
-import { CollectionDuty } from '../../src/weights/collection-duty.js';
 import { type PieceManifest, WeightsLibrary } from '../../src/weights/held-weights.js';
 import type { PieceOrigin } from '../../src/weights/piece-source.js';
 import { partsOf } from '../../src/weights/piece-sources.js';
+import { VersionCollector } from '../../src/weights/version-collector.js';
 import { ENGINE_CONFIGURATION } from '../forwarding/engine-configuration.js';
 import { until } from '../support.js';
 
@@ -49,7 +49,7 @@
 it('parts of a version go to the object store one at a time', async () => {
   const objects = new SlowStore();
   const fleet = new FleetView();
-  const duty = new CollectionDuty({
+  const duty = new VersionCollector({
     self: { id: 'self', zone: 'zone-a', linkRate: 0 },
     fleet,
     library: new WeightsLibrary(),
--- a/test/weights/piece-server.test.ts
+++ b/test/weights/piece-server.test.ts
@@ -6,7 +6,7 @@
 import { httpServer, listenerOf } from '../../src/server/http-server.js';
 import { SMALL_BATCH } from '../../src/systems/upload-limit.js';
 import { type PieceManifest, WeightsLibrary } from '../../src/weights/held-weights.js';
-import { BUSY, pieceRoutes, piecesPath } from '../../src/weights/piece-server.js';
+import { BUSY_STATUS, pieceRoutes, piecesPath } from '../../src/weights/piece-server.js';
 import { until } from '../support.js';
 
 /** A batch is more than the sockets of this machine hold for a reader that has stopped. */
@@ -41,7 +41,7 @@
 it('a large batch is refused at once while as much is on its way as the link carries soon', async () => {
   const first = await ask(ALL);
   expect(first.statusCode).toBe(200);
-  expect((await ask(ALL)).statusCode).toBe(BUSY);
+  expect((await ask(ALL)).statusCode).toBe(BUSY_STATUS);
   const small = await ask(ALL.slice(0, SMALL_BATCH));
   expect(small.statusCode).toBe(200);
   small.destroy();
--- a/test/weights/weights.test.ts
+++ b/test/weights/weights.test.ts
@@ -47,8 +47,8 @@
     held,
     library,
     sources: () => sources,
-    mayAsk: () => true,
-    overdue: 1_500,
+    mayFetch: () => true,
+    overdueAfter: 1_500,
     random: seededRandom(3),
     log: silentLog,
   };
@@ -124,8 +124,8 @@
       origin,
       version: manifestOf(1),
       patience: 0,
-      parallel: 3,
-      batchTime: 1_000,
+      concurrency: 3,
+      batchTimeout: 1_000,
       mayDraw: (index) => index >= 6,
       offset: 9,
     });
@@ -148,7 +148,15 @@
     }
     const stored = new Set(parts.map(({ index }) => index));
     const held = await fetchAll([
-      objectSource({ objects, manifest, stored, patience: 0, parallel: 2, batchTime: 1_000, offset: 2 }),
+      objectSource({
+        objects,
+        manifest,
+        stored,
+        patience: 0,
+        concurrency: 2,
+        batchTimeout: 1_000,
+        offset: 2,
+      }),
     ]);
     expect(held.complete).toBe(true);
     expect(objects.calls.get).toBe(parts.length);
@@ -266,17 +274,17 @@
       engineAddress: 'engine',
       address: 'agent',
       slotAddress: 'slots',
-      onEngine: () => {},
+      onEngineState: () => {},
       library: new WeightsLibrary(),
       objects: await objectsWith(1, 2),
       originAt: () => origin,
-      tell: (report) => reports.push(report),
+      sendReport: (report) => reports.push(report),
       random: seededRandom(5),
       log: silentLog,
     });
     await loader.start();
-    loader.takePlan(plan);
-    if (later !== undefined) loader.takePlan(later);
+    loader.applyPlan(plan);
+    if (later !== undefined) loader.applyPlan(later);
     await until(() => done(reports), 'the engine');
     await loader.stop();
     return reports;
@@ -297,17 +305,17 @@
       engineAddress: 'engine',
       address: 'agent',
       slotAddress: 'slots',
-      onEngine: () => {},
+      onEngineState: () => {},
       library: new WeightsLibrary(),
       objects: new MemoryStore(),
       originAt: () => ({ ...origin, piece: async () => failure({ type: 'sourceFailed', reason: 'away' }) }),
-      tell: (report) => reports.push(report),
+      sendReport: (report) => reports.push(report),
       random: seededRandom(5),
       log: silentLog,
     });
     await loader.start();
     for (const version of [3, 2, 3]) {
-      loader.takePlan(planOf([[version, 1_000_000_000]]));
+      loader.applyPlan(planOf([[version, 1_000_000_000]]));
       await until(() => reports.at(-1)?.held.some((held) => held.version === version) === true, 'a manifest');
     }
     const told = reports.length;
@@ -359,17 +367,17 @@
       engineAddress: 'engine',
       address: 'agent',
       slotAddress: 'slots',
-      onEngine: () => {},
+      onEngineState: () => {},
       library: new WeightsLibrary(),
       objects: await objectsWith(2),
       originAt: () => ({ ...origin, piece: async () => failure({ type: 'sourceFailed', reason: 'away' }) }),
-      tell: (report) => reports.push(report),
+      sendReport: (report) => reports.push(report),
       random: seededRandom(5),
       log: silentLog,
     });
-    const later = () => loader.takePlan(planOf([[3, 0]]));
+    const later = () => loader.applyPlan(planOf([[3, 0]]));
     await loader.start();
-    loader.takePlan(planOf([[2, 7_500]]));
+    loader.applyPlan(planOf([[2, 7_500]]));
     await until(() => reports.at(-1)?.version === 2, 'the version that was ordered');
     await loader.stop();
     const told = reports.filter(({ isReached }) => isReached);
@@ -395,7 +403,7 @@
       engineAddress: 'engine',
       address: 'agent',
       slotAddress: 'slots',
-      onEngine: () => {},
+      onEngineState: () => {},
       library: new WeightsLibrary(),
       objects,
       originAt: () => ({
@@ -403,13 +411,13 @@
         manifest: async ({ version }) =>
           version === 2 ? success(manifestOf(2)) : failure({ type: 'sourceFailed', reason: 'gone' }),
       }),
-      tell: (report) => reports.push(report),
+      sendReport: (report) => reports.push(report),
       random: seededRandom(5),
       log: silentLog,
     });
     await loader.start();
     // Its pieces are there before its turn comes, 6.4 s after the naming at the latest.
-    loader.takePlan({ ...planOf([[2, 2_500]]), position: 3 });
+    loader.applyPlan({ ...planOf([[2, 2_500]]), position: 3 });
     await until(() => reports.at(-1)?.version === 2, 'the next version');
     await loader.stop();
     expect(engine.orders).toEqual([2]);
--- a/tools/guard-table.mjs
+++ b/tools/guard-table.mjs
@@ -78,7 +78,7 @@
   },
   {
     fault: 'all parts of a version go to the object store at the same time',
-    file: 'src/weights/collection-duty.ts',
+    file: 'src/weights/version-collector.ts',
     find: 'if (!collection.isListed || collection.isPutting) return;',
     replace: 'if (!collection.isListed) return;',
     test: 'test/weights/object-puts.test.ts',
@@ -397,14 +397,14 @@
   {
     fault: 'pieces that a former start of the engine held count as staged',
     file: 'src/weights/engine-loader.ts',
-    find: "if (news === 'newer') this.#forgetEngine();",
+    find: "if (news === 'newer') this.#handleRestart();",
     replace: '',
     test: 'test/weights/engine-restart.test.ts',
   },
   {
     fault: 'pieces that were laid while the engine started again count as staged',
     file: 'src/weights/engine-stage.ts',
-    find: 'if (forgotten === this.#forgotten) this.#version = version;',
+    find: 'if (generation === this.#generation) this.#version = version;',
     replace: 'this.#version = version;',
     test: 'test/weights/engine-restart.test.ts',
   },
@@ -425,7 +425,7 @@
   {
     fault: 'a late answer of a former start of the engine is believed',
     file: 'src/weights/engine-starts.ts',
-    find: "(start === this.#former || start < this.#present!)) return 'older';",
+    find: "(start === this.#previous || start < this.#current!)) return 'older';",
     replace: "false) return 'older';",
     test: 'test/weights/engine-restart.test.ts',
   },
@@ -858,8 +858,8 @@
   {
     fault: 'a switch ends with the fetch that led to it',
     file: 'src/weights/engine-loader.ts',
-    find: 'await this.#advance(this.#engine, this.#stopped.signal);',
-    replace: 'await this.#advance(this.#engine, signal);',
+    find: 'await this.#advance(this.#engineState, this.#stopped.signal);',
+    replace: 'await this.#advance(this.#engineState, signal);',
     test: 'test/weights/weights.test.ts',
   },
   {
@@ -1194,7 +1194,7 @@
   {
     fault: 'holders of a manifest that are silent are waited for one after the other',
     file: 'src/weights/manifest-search.ts',
-    find: 'await Promise.race([answer, first, sleep(STAGGER, signal)]);',
+    find: 'await Promise.race([answer, first, sleep(HOLDER_STAGGER, signal)]);',
     replace: 'await answer;',
     test: 'test/weights/manifest-search.test.ts',
   },
@@ -1208,9 +1208,9 @@
   {
     fault: 'looks at an engine wait for the manifest of what it holds',
     file: 'src/weights/engine-loader.ts',
-    find: 'this.#beginStageReading(state.value);',
+    find: 'this.#startStageRead(state.value);',
     replace:
-      'if (this.#wholeVersion > 0) await this.#manifest({ ...state.value, version: this.#wholeVersion }, signal);',
+      'if (this.#loadedVersion > 0) await this.#findManifest({ ...state.value, version: this.#loadedVersion }, signal);',
     test: 'test/weights/weights.test.ts',
   },
   {
