--- a/src/weights/agent-sources.ts
+++ b/src/weights/agent-sources.ts
@@ -1,4 +1,7 @@
-/** Where an agent fetches pieces from: near entries first, then the object store, far entries, the origin. */
+/**
+ * The sources from which an agent fetches pieces: entries of its own zone first, then the object store,
+ * entries of other zones, and the origin.
+ */
 import type { ObjectStore } from '../clients/object-store.js';
 import { ChunkSet } from '../model/chunk-set.js';
 import type { WeightsPlan } from '../protocol/reports.js';
@@ -7,32 +10,37 @@
 import type { PieceOriginFactory, PieceSource } from './piece-source.js';
 import { holds, objectSource, originSource, partsOf, peerSource } from './piece-sources.js';
 
-/** Asking for a piece again while it is on its way would fill a narrow link with copies: it has until this, in milliseconds. */
+/**
+ * Time-out of a batch, in milliseconds. It is long, because requesting a piece again while it is in flight
+ * would fill a slow link with duplicates.
+ */
 export const BATCH_TIMEOUT = 4_000;
 const ORIGIN_TIMEOUT = 4_000;
 /**
- * Without a piece for this long, in milliseconds times `impatience`, the object store, far entries and the origin are
- * asked too. Links between regions carry about one copy a second: agents at the store would delay the entries, on whose
- * copy those of the whole zone wait.
+ * The object store, entries of other zones and the origin are used as well once no piece has arrived for this
+ * long, in milliseconds times `patienceFactor`. Links between regions carry about one copy per second: agents
+ * that read from the store would delay the entries, whose copy all agents of the zone wait for.
  */
 const OBJECT_PATIENCE = 1_200;
 const OBJECT_PATIENCE_BESIDE_ENTRY = 2_000;
 const OTHER_ZONE_PATIENCE = 2_000;
 const OBJECT_CONCURRENCY = 2;
 const ORIGIN_PATIENCE = 6_000;
-/** Each agent of a zone turns to the origin this much later, in milliseconds: it accepts some 50 connections of all. */
+/**
+ * Each agent of a zone falls back to the origin this much later than the one before it, in milliseconds: the
+ * origin accepts only some 50 connections in total.
+ */
 const ORIGIN_STAGGER = 1_000;
 const ORIGIN_CONCURRENCY = 2;
 
-/** What the sources are made of. */
 export interface AgentSourceOptions {
   plan: WeightsPlan;
   manifest: PieceManifest;
   objects: ObjectStore;
   originAt: PieceOriginFactory;
-  /** Spreads agents that do not know of one another over the pieces. */
+  /** Makes agents that do not know of one another start at different pieces. */
   offset: number;
-  /** 1 to 2: agents do not turn to a dear source all at once. */
+  /** Random factor of 1 to 2, so that agents do not fall back to an expensive source at the same time. */
   patienceFactor: number;
 }
 
@@ -59,7 +67,7 @@
       }),
     );
   }
-  // An agent that no entry has told anything asks for every part.
+  // Without a plan from an entry it is unknown which parts are stored, so every part is tried.
   if (plan.holders.length === 0) for (const { index } of partsOf(manifest)) stored.add(index);
   sources.push(
     objectSource({
--- a/src/weights/engine-loader.ts
+++ b/src/weights/engine-loader.ts
@@ -1,7 +1,8 @@
 /**
- * Brings the engine beside this process to the versions that its entry tells of: fetches the pieces, lays them into the
- * engine's stage, reads them back, and orders the engine to take them when its turn has come. It needs no other process
- * to give orders: where no entry answers, it goes to the object store and the origin by itself.
+ * Loads the versions named in the entry's plan into the engine next to this agent: fetches the pieces, writes
+ * them to the engine's stage, reads them back to verify them, and orders the engine to load them when its
+ * turn in the switch schedule has come. No other process has to give orders: if no entry answers, the agent
+ * uses the object store and the origin on its own.
  */
 import type { ListedObjectStore } from '../clients/object-store.js';
 import { NamedVersions } from '../fleet/named-versions.js';
@@ -28,30 +29,43 @@
 import { findManifest } from './manifest-search.js';
 import { type FetchLimits, PieceFetcher } from './piece-fetcher.js';
 import type { PieceOriginFactory, PieceSource } from './piece-source.js';
-import { ReportThrottle } from './report-throttle.js';
+import { ReportThrottle } from './report-news.js';
 import type { EngineState, StagedEngine } from './staged-engine.js';
 import { shouldSkip, switchTime } from './switch-schedule.js';
 
-/** Time between two looks at the engine, in milliseconds. */
+/** Interval at which the engine's state is polled, in milliseconds. */
 const POLL_INTERVAL = 250;
-/** The same where the engine serves and nothing is due there, in milliseconds. */
+/** The same while the engine serves the newest wanted version, in milliseconds. */
 const UP_TO_DATE_POLL_INTERVAL = 400;
 const CALL_TIMEOUT = 1_000;
-/** Fetch rates: an engine without weights leaves its whole link to the fetch, one that serves shares it with requests. */
+/**
+ * Fetch limits: while the engine has no weights, the fetch may use the whole link; once it serves, requests
+ * share the link.
+ */
 const UNLOADED_FETCH_LIMITS: FetchLimits = { open: 2, batch: SMALL_BATCH, share: 1 };
 const SERVING_FETCH_LIMITS: FetchLimits = { open: 2, batch: 1, share: 1 };
-/** Above this time per piece the link is narrow, in milliseconds: several pieces at a time would delay requests. */
+/**
+ * A piece that takes longer than this indicates a slow link, in milliseconds: fetching several at a time
+ * would delay requests.
+ */
 const SLOW_LINK_PIECE_TIME = 250;
 const SLOW_LINK_FETCH_LIMITS: FetchLimits = { open: 1, batch: 1, share: 0.5 };
-/** Time to fetch a version before this agent has fetched one, in milliseconds: 3.5 to 4.3 s were measured. */
+/**
+ * Expected duration of a fetch until this agent has completed one, in milliseconds: 3.5 to 4.3 s were
+ * measured.
+ */
 const INITIAL_FETCH_TIME = 4_000;
 /**
- * An agent asks entries alone for a manifest until this long, in milliseconds times its impatience (1 to 2): they have it
- * within 0.3 s of the naming where the origin answers. Where no entry is known the object store is asked at once.
+ * Only entries are asked for a manifest until these times, in milliseconds times the patience factor (1 to
+ * 2): they have it within 0.3 s of the naming if the origin answers. If no entry is known, the object store
+ * is asked at once.
  */
 const MANIFEST_OBJECT_PATIENCE = 1_000;
 const MANIFEST_ORIGIN_PATIENCE = 2_500;
-/** A fetch without a piece for this long is stalled and lets the next version go first, in milliseconds. */
+/**
+ * A fetch that has received no piece for this long is stalled and lets the next version go first, in
+ * milliseconds.
+ */
 const STALL_TIME = 700;
 
 interface Fetch {
@@ -60,16 +74,15 @@
   fetcher: PieceFetcher | undefined;
 }
 
-/** What the loader works with. */
 export interface EngineLoaderOptions {
   engine: StagedEngine;
-  /** Address at which the engine takes requests. */
+  /** Address at which the engine accepts requests. */
   engineAddress: string;
-  /** `host:port` of this process, which is no source for itself. */
+  /** `host:port` of this agent. Its hash determines the piece at which the agent starts. */
   address: string;
-  /** `host:port` at which slots of the engine are given out. */
+  /** `host:port` at which the engine's slots are granted. */
   slotAddress: string;
-  /** Takes what was read of the engine; undefined where nothing is known of it. */
+  /** Called with the engine's state after each poll; undefined if the state is unknown. */
   onEngineState: (engine: ObservedEngine | undefined) => void;
   library: WeightsLibrary;
   objects: ListedObjectStore;
@@ -79,7 +92,7 @@
   log: Log;
 }
 
-/** The loader. */
+/** Keeps the engine on the versions of the current plan. */
 export class EngineLoader implements Startable {
   readonly #options: EngineLoaderOptions;
   readonly #stage: EngineStage;
@@ -89,16 +102,16 @@
   readonly #versions = new NamedVersions(this.#clock);
   readonly #fetches = new Map<string, Fetch>();
   readonly #patienceFactor: number;
-  /** When all pieces of each version were here. */
+  /** When all pieces of each version had been fetched, by version key. */
   readonly #completeAt = new Map<string, number>();
   #stopped = new AbortController();
   #plan: WeightsPlan | undefined;
   #engineState: EngineState | undefined;
   #isAdvancing = false;
-  /** Ends the reading of the stage; undefined where none has begun since the engine was reached. */
+  /** Cancels the import of the stage; undefined if none was started since the engine became reachable. */
   #stageRead: AbortController | undefined;
   readonly #reportThrottle = new ReportThrottle();
-  /** Time that the latest fetch took, in milliseconds. */
+  /** Duration of the last fetch, in milliseconds. */
   #fetchTime = INITIAL_FETCH_TIME;
 
   constructor(options: EngineLoaderOptions) {
@@ -127,9 +140,9 @@
     for (const { stopped } of this.#fetches.values()) stopped.abort();
   }
 
-  /** Takes what an entry tells. */
+  /** Applies a plan received from an entry or read from the store. */
   applyPlan(received: WeightsPlan): void {
-    // An entry that has just started knows of no version yet: what is being fetched goes on.
+    // An entry that has just started knows no versions yet: fetches in progress continue.
     const plan =
       received.versions.length === 0 ? { ...received, versions: this.#plan?.versions ?? [] } : received;
     this.#plan = plan;
@@ -138,17 +151,21 @@
     for (const named of plan.versions) {
       if (!this.#versions.note(named)) continue;
       const ageMs = Math.round(now - this.#versions.namedAt(named));
-      this.#options.log.info('version wanted', { model: named.model, version: named.version, ageMs });
+      this.#options.log.info('plan names a new version', {
+        model: named.model,
+        version: named.version,
+        ageMs,
+      });
     }
     this.#reconcileFetches();
   }
 
-  /** True once an entry, or the store, has told what to load. */
+  /** True once a plan has come from an entry or the store. */
   get hasPlan(): boolean {
     return this.#plan !== undefined;
   }
 
-  /** Tells an entry that has just been connected. */
+  /** Sends a report at once, for an entry that has just been connected. */
   report(): void {
     this.#reportThrottle.reset();
     this.#sendReport();
@@ -161,7 +178,7 @@
     }
   }
 
-  /** True where the engine serves the newest version that is wanted. */
+  /** True if the engine serves the newest wanted version. */
   get #isUpToDate(): boolean {
     const newest = Math.max(0, ...(this.#plan?.versions ?? []).map(({ version }) => version));
     return this.#loadedVersion > 0 && this.#loadedVersion >= newest;
@@ -182,7 +199,7 @@
     await this.#advance(state.value, signal);
   }
 
-  /** Takes a state that was asked for at `askedAt`; false where it is of a former start of the engine. */
+  /** Applies a state requested at `askedAt`; returns false if it is from an earlier start of the engine. */
   #applyState(state: EngineState | undefined, askedAt: number): boolean {
     const news = state && this.#starts.noteAnswer(state.start, askedAt, performance.now());
     if (news === 'older') return false;
@@ -192,17 +209,20 @@
     return true;
   }
 
-  /** The engine has started again. What this process holds itself is as good as before. */
+  /**
+   * Discards what is known of the stage after the engine has restarted. The pieces in this process remain
+   * valid.
+   */
   #handleRestart(): void {
     this.#stage.invalidate();
     this.#cancelStageRead();
     const { engineAddress: address, log } = this.#options;
-    log.info('engine started again', { address, start: this.#starts.current });
+    log.info('engine restarted', { address, start: this.#starts.current });
   }
 
-  /** Tells who gives out the engine's slots how it stands. */
+  /** Passes the engine's state on to the server of its slots. */
   #publishState(): void {
-    // Without a plan it is not known how many layers a whole version has.
+    // Without a plan the number of layers of a complete version is unknown.
     if (this.#plan === undefined || this.#engineState === undefined)
       return this.#options.onEngineState(undefined);
     this.#options.onEngineState({
@@ -217,7 +237,7 @@
     return this.#engineSwitch.isRunning || this.#engineState?.isBusy === true;
   }
 
-  /** The version of which the engine holds every layer; 0 for none. */
+  /** The version of which the engine holds every layer; 0 if none. */
   get #loadedVersion(): number {
     const layers = this.#engineState?.layers;
     const count = this.#plan?.layers ?? Number.POSITIVE_INFINITY;
@@ -225,8 +245,9 @@
   }
 
   /**
-   * Takes over what lies in the stage already: others can have it from here. Beside the looks at the engine, which must not wait
-   * for it: while nobody had the manifest of the engine's version, its agent looked no more and never ordered the next one.
+   * Imports the pieces already in the stage, so that other processes can fetch them from here. Runs
+   * concurrently with the polling of the engine: when polling waited for it and no process had the manifest
+   * of the engine's version, polling stopped and the next version was never ordered.
    */
   #startStageRead({ model }: EngineState): void {
     if (this.#plan === undefined || this.#stageRead !== undefined) return;
@@ -247,7 +268,7 @@
     await this.#stage.read(library.open(manifest), library, signal);
   }
 
-  /** Begins and ends fetches as the plan says. */
+  /** Starts and stops fetches to match the plan. */
   #reconcileFetches(): void {
     const wanted = new Map(
       this.#plan!.versions.map(({ model, version }) => [versionKey({ model, version }), { model, version }]),
@@ -289,14 +310,15 @@
     if (!held.complete) return;
     this.#completeAt.set(versionKey(version), performance.now());
     if (fetch.fetcher.duration > 0) this.#fetchTime = fetch.fetcher.duration;
-    // Not under the signal of this fetch: what is done for the engine goes on when the version is not wanted any more.
+    // Uses the loader's signal, not that of this fetch: a switch continues even if the version is no longer
+    // wanted.
     if (!signal.aborted && this.#engineState !== undefined)
       await this.#advance(this.#engineState, this.#stopped.signal);
   }
 
   /**
-   * Versions are fetched one after the other, in the order of their naming; one that this engine will leave out comes
-   * last. One that makes no progress lets the others go first.
+   * Versions are fetched one after another in the order in which they were named, except that a version this
+   * engine will skip comes last. A stalled fetch does not hold back the others.
    */
   #mayFetch({ model, version }: WeightsVersion): boolean {
     if (this.#engineState === undefined || this.#loadedVersion >= version) return false;
@@ -361,13 +383,16 @@
     });
   }
 
-  /** Lays the newest whole version into the stage, and orders the engine to take it when its turn has come. */
+  /**
+   * Writes the newest complete version to the stage, and orders the engine to load it once its switch time
+   * has come.
+   */
   async #advance(state: EngineState, signal: AbortSignal): Promise<void> {
     if (state.isBusy || this.#isAdvancing) return;
     this.#isAdvancing = true;
     const held = this.#nextVersion(state);
     if (held !== undefined) {
-      // What lies there goes.
+      // The stage is about to be overwritten.
       this.#stageRead?.abort();
       await this.#stage.fill(held, signal);
       if (performance.now() >= this.#switchTime(held, this.#completeAt.get(versionKey(held.manifest)) ?? 0))
@@ -376,7 +401,10 @@
     this.#isAdvancing = false;
   }
 
-  /** The version that the engine should take next: the newest that is whole here and newer than the engine's. */
+  /**
+   * The version to load next: the newest that is complete here, newer than the engine's and not to be
+   * skipped.
+   */
   #nextVersion(state: EngineState): HeldWeights | undefined {
     const candidates = this.#options.library
       .all()
@@ -386,7 +414,7 @@
     return candidates.find(({ manifest }) => this.#shouldLoad(manifest));
   }
 
-  /** False for a version that is left out because a newer one will be here in time. */
+  /** False for a version that is skipped because a newer one will be complete in time. */
   #shouldLoad(version: WeightsVersion): boolean {
     const { model } = version;
     const newest = this.#versions.newest(model);
@@ -403,7 +431,7 @@
     });
   }
 
-  /** When all pieces of a version will be here, as far as can be told; one that stands still will never be. */
+  /** When all pieces of a version are expected to have been fetched; infinite for a stalled fetch. */
   #expectedCompletion(version: WeightsVersion): number {
     const now = performance.now();
     const fetch = this.#fetches.get(versionKey(version));
@@ -415,7 +443,7 @@
     return Math.min(fetch.fetcher.expectedEnd, now + this.#fetchTime);
   }
 
-  /** When the fetches end that go before the one of `version`; undefined where there are none. */
+  /** When the fetches that precede that of `version` are expected to end; undefined if there are none. */
   #precedingFetchesEnd(version: WeightsVersion): number | undefined {
     const now = performance.now();
     const ends = [...this.#fetches.values()].flatMap(({ held, fetcher }) => {
@@ -441,12 +469,14 @@
     });
   }
 
-  /** Until when requests may start on the engine's version: some while after the next newer one was named. */
+  /**
+   * Until when requests may start on the engine's version: a bound after the next newer version was named.
+   */
   #servedVersionExpiry(model: string): number {
     return this.#versions.expiryOf(model, this.#loadedVersion, this.#plan?.bound ?? 0);
   }
 
-  /** Time until the engine is to be ordered to take a version, as far as can be told; undefined where none is due. */
+  /** Expected time until the engine is ordered to switch, in milliseconds; undefined if no switch is due. */
   #switchesIn(): number | undefined {
     if (this.#engineSwitch.isRunning) return undefined;
     const now = performance.now();
--- a/src/weights/engine-stage.ts
+++ b/src/weights/engine-stage.ts
@@ -1,6 +1,6 @@
 /**
- * The stage of the engine beside this process, which holds one version of a model: pieces are laid there, and read back
- * before the engine is ordered to take them, as they may turn bad there.
+ * The staging area of the engine next to this agent, which holds one version of a model. Pieces are written
+ * there, and read back before the engine is ordered to load them, as they may become corrupt there.
  */
 import { digestOf } from '../model/manifest.js';
 import { withLimit } from '../model/time-limit.js';
@@ -8,17 +8,19 @@
 import type { HeldWeights, WeightsLibrary } from './held-weights.js';
 import type { StagedEngine } from './staged-engine.js';
 
-/** Pieces that are written or read back concurrently; the stage is on this machine. */
+/** Pieces that are written or read back concurrently; the stage is on the same machine. */
 const CONCURRENCY = 4;
 const CALL_TIMEOUT = 1_000;
 
-/** The stage. */
+/** Writes, verifies and imports the pieces of the stage. */
 export class EngineStage {
   readonly #engine: StagedEngine;
   readonly #log: Log;
-  /** Version whose pieces lie there, as far as this process knows. */
+  /** Version whose pieces are in the stage, as far as is known; 0 if unknown. */
   #version = 0;
-  /** How often what lies there had to be forgotten. */
+  /**
+   * Incremented by each invalidation, so that a write that was in progress then does not count as complete.
+   */
   #generation = 0;
 
   constructor(engine: StagedEngine, log: Log) {
@@ -26,13 +28,13 @@
     this.#log = log;
   }
 
-  /** The engine has started again: what lies there is not known. */
+  /** Marks the contents of the stage as unknown, because the engine has restarted. */
   invalidate(): void {
     this.#version = 0;
     this.#generation++;
   }
 
-  /** Lays every piece of a whole version down, unless it lies there already. */
+  /** Writes every piece of a complete version, unless the stage already holds that version. */
   async fill(held: HeldWeights, signal: AbortSignal): Promise<void> {
     const { model, version, digests } = held.manifest;
     if (this.#version === version) return;
@@ -43,7 +45,7 @@
     if (generation === this.#generation) this.#version = version;
   }
 
-  /** Reads every piece back and replaces those that have turned bad; false where one cannot be mended. */
+  /** Reads every piece back and rewrites corrupt ones; returns false if one stays corrupt. */
   async verify(held: HeldWeights, signal: AbortSignal): Promise<boolean> {
     const { model, version, digests } = held.manifest;
     let isComplete = true;
@@ -60,18 +62,21 @@
     return isComplete;
   }
 
-  /** Takes over into `library` what lies there of the version of `held`: others can have it from this process. */
+  /**
+   * Adds the staged pieces of the version of `held` to `library`, so that other processes can fetch them from
+   * this agent.
+   */
   async read(held: HeldWeights, library: WeightsLibrary, signal: AbortSignal): Promise<void> {
     const { model, version } = held.manifest;
     for (const index of held.missing()) {
       const bytes = await this.#engine.staged(model, index, withLimit(signal, CALL_TIMEOUT));
       if (bytes.ok && bytes.value !== undefined) library.add(held, index, bytes.value);
     }
-    this.#log.info('stage read', { model, version, pieces: held.have.size });
+    this.#log.info('pieces imported from stage', { model, version, pieces: held.have.size });
   }
 }
 
-/** Runs `work` for each item, some at a time. */
+/** Runs `work` for each item, {@link CONCURRENCY} at a time. */
 async function forEachConcurrently<T>(items: readonly T[], work: (item: T) => Promise<void>): Promise<void> {
   const rest = [...items];
   const worker = async () => {
--- a/src/weights/engine-starts.ts
+++ b/src/weights/engine-starts.ts
@@ -1,30 +1,32 @@
 /**
- * Which start of the engine beside this process answers. Calls to it overlap, so that an answer of a former start may come
- * after one of the next; an engine's clock may have stepped back, so that the next start may look older.
+ * Tracks which start of the engine next to this agent answers. Calls to the engine overlap, so an answer from
+ * an earlier start may arrive after one from the next; and the engine's clock may have stepped back, so the
+ * next start may look older.
  */
 import type { StartNews } from '../fleet/back-end-starts.js';
 import type { BackEndIdentity } from '../model/back-end-identity.js';
 
-/** The starts of one engine. */
+/** The current and the previous start of one engine. */
 export class EngineStarts {
   #current: BackEndIdentity['start'];
   #previous: BackEndIdentity['start'];
   #lastAnswerAt = Number.NEGATIVE_INFINITY;
 
-  /** The start that answers; undefined where none has told it. */
+  /** The start that answers; undefined if no answer has named one. */
   get current(): BackEndIdentity['start'] {
     return this.#current;
   }
 
-  /** The start before the present one; undefined where none was seen. */
+  /** The start before the current one; undefined if none was seen. */
   get previous(): BackEndIdentity['start'] {
     return this.#previous;
   }
 
   /**
-   * Takes the start that an answer tells. What was asked after the latest answer had come is answered by the present start,
-   * whatever it looks like; of calls that overlap the later start is.
-   * @param askedAt - when the call began, in milliseconds of the steady clock, as `now`
+   * Classifies the start named by an answer relative to the current one, and updates the current one. A call
+   * that began after the last answer arrived is answered by the current start, whatever its value; of
+   * overlapping calls, the greater start is the later one.
+   * @param askedAt - when the call began, in milliseconds of the monotonic clock, as `now`
    */
   noteAnswer(start: BackEndIdentity['start'], askedAt: number, now: number): StartNews {
     const isSame = start === undefined || this.#current === undefined || start === this.#current;
--- a/src/weights/engine-switch.ts
+++ b/src/weights/engine-switch.ts
@@ -1,7 +1,7 @@
 /**
- * One engine's change to another version: the notice, the order, and the wait until the engine holds it. It hangs on
- * nothing but the engine: that the version is not wanted any more, or its fetch has ended, does not end it, as an order
- * that was taken cannot be taken back.
+ * Switches an engine to another version: gives notice, sends the order, and waits until the engine has
+ * carried it out. The switch depends on nothing but the engine. It continues if the version is no longer
+ * wanted or its fetch has ended, since an order that was accepted cannot be withdrawn.
  */
 import { sleep } from '../fleet/table-follower.js';
 import { isSameStart } from '../model/back-end-identity.js';
@@ -10,28 +10,32 @@
 import type { WeightsVersion } from './held-weights.js';
 import type { EngineState, StagedEngine } from './staged-engine.js';
 
-/** Notice of a switch before the order, in milliseconds: the time to tell entries, so that nothing new comes. */
+/**
+ * Time between the notice of a switch and the order, in milliseconds: entries hear of it and send no new
+ * requests.
+ */
 const NOTICE_PERIOD = 60;
-/** Time between two looks at an engine that carries an order out, in milliseconds. */
+/** Interval at which an engine that carries out an order is polled, in milliseconds. */
 const POLL_INTERVAL = 60;
 const CALL_TIMEOUT = 1_000;
 
-/** What a switch works with. */
 export interface EngineSwitchOptions {
   engine: StagedEngine;
-  /** Takes each state that was read, and when it was asked for; undefined where the engine did not answer. */
+  /**
+   * Called with each state that was read and the time of the request; undefined if the engine did not answer.
+   */
   onState: (state: EngineState | undefined, askedAt: number) => void;
-  /** Called when a switch begins and ends. */
+  /** Called when a switch begins and when it ends. */
   onChange: () => void;
   log: Log;
 }
 
-/** What is ordered. */
+/** The version to load, and the state of the engine on which the decision was based. */
 export interface SwitchOrder {
   target: WeightsVersion;
-  /** The engine's state before. */
+  /** The engine's state before the order. */
   state: EngineState;
-  /** Version that it serves; 0 for none. */
+  /** Version that the engine serves; 0 if none. */
   served: number;
 }
 
@@ -44,12 +48,12 @@
     this.#options = options;
   }
 
-  /** True from the notice until the engine has carried the order out, or did not take it. */
+  /** True from the notice until the engine has carried out the order or not accepted it. */
   get isRunning(): boolean {
     return this.#isRunning;
   }
 
-  /** Orders the engine to take `order.target`; ends when that is done or has failed, or at `signal`. */
+  /** Orders the engine to load `order.target`; returns when that is done, has failed, or `signal` aborts. */
   async run(order: SwitchOrder, signal: AbortSignal): Promise<void> {
     this.#isRunning = true;
     this.#options.onChange();
@@ -62,14 +66,19 @@
   }
 
   /**
-   * True where the engine has not started again since `before` was read: its stage may be empty now, and its count of orders
-   * begins anew, so that an order that was meant for the former start could fit the next.
+   * True if the engine has not restarted since `before` was read. After a restart its stage may be empty and
+   * its count of orders begins anew, so that an order meant for the previous start could be accepted by the
+   * next.
    */
   async #hasNotRestarted({ start }: EngineState, signal: AbortSignal): Promise<boolean> {
     if (start === undefined) return true;
     const state = await this.#readState(signal);
     if (state !== undefined && isSameStart(state.start, start)) return true;
-    this.#options.log.info('order not given', { start, found: state?.start, isReached: state !== undefined });
+    this.#options.log.info('order not sent: engine restarted or unreachable', {
+      start,
+      found: state?.start,
+      isReached: state !== undefined,
+    });
     return false;
   }
 
@@ -81,15 +90,16 @@
     return state;
   }
 
-  /** True where the engine has taken the order. */
+  /** True if the engine has accepted the order, or may have. */
   async #sendOrder({ target, state, served }: SwitchOrder, signal: AbortSignal): Promise<boolean> {
     const { model, version } = target;
-    // Requests are never dropped: this process does not know which of them could go on elsewhere. Entries move streams away.
+    // Running requests are never dropped: the agent does not know which of them could continue elsewhere.
+    // Entries move streams to other engines.
     const order = { model, version, running: 'finish', expectedSequence: state.sequence } as const;
     const outcome = await this.#options.engine.start(order, withLimit(signal, CALL_TIMEOUT));
     const answer = outcome.ok ? outcome.value : outcome.error;
     this.#options.log.info('engine ordered', { ...order, from: served, load: state.load, answer });
-    // An order without an answer may have been taken: the engine's state tells.
+    // An order without an answer may have been accepted: the engine's state will show.
     return !outcome.ok || outcome.value.type === 'taken';
   }
 
@@ -98,7 +108,7 @@
     while (!signal.aborted) {
       await sleep(POLL_INTERVAL, signal);
       const state = await this.#readState(signal);
-      // One that has started again does not carry the order out.
+      // An engine that has restarted does not carry out the order.
       if (state?.isBusy === true && isSameStart(state.start, before.start)) continue;
       const tookMs = Math.round(performance.now() - startedAt);
       this.#options.log.info('switch ended', {
--- a/src/weights/entry-sources.ts
+++ b/src/weights/entry-sources.ts
@@ -1,4 +1,7 @@
-/** Where an entry fetches pieces from: the entry before it in its zone, others, the object store, agents, the origin. */
+/**
+ * The sources from which an entry fetches pieces: its parent entry in the zone, other entries, the object
+ * store, agents and the origin.
+ */
 import type { ObjectStore } from '../clients/object-store.js';
 import { ChunkSet } from '../model/chunk-set.js';
 import { hash32 } from '../model/random.js';
@@ -9,75 +12,81 @@
 import type { PieceOrigin, PieceSource } from './piece-source.js';
 import { holds, objectSource, originSource, partsOf, peerSource } from './piece-sources.js';
 
-/** Time for one object, in milliseconds. */
+/** Time-out for one object, in milliseconds. */
 export const OBJECT_TIMEOUT = 3_000;
-/** Time for a batch from another process, and for a piece of the origin, in milliseconds. */
+/** Time-outs for a batch from another process and for a piece from the origin, in milliseconds. */
 const BATCH_TIMEOUT = 2_000;
 const ORIGIN_TIMEOUT = 1_500;
-/** Pieces of one answer of an entry, and of an agent whose link is narrow. */
+/** Pieces per batch from an entry, and from an agent, whose link is slow. */
 const ENTRY_BATCH_SIZE = 12;
 const AGENT_BATCH_SIZE = 2;
-/** Batches that are open at the same time at one entry. */
+/** Concurrent batches per entry. */
 const ENTRY_CONCURRENCY = 2;
 /**
- * Batches that are open at the same time at one entry of another zone, and the bytes of each: all that processes of two
- * regions tell one another shares the link between them, and waits behind what is on its way there.
+ * Concurrent batches per entry of another zone, and the bytes of each. All messages between processes of two
+ * regions share the link between them and queue behind what is in flight there.
  */
 const OTHER_ZONE_CONCURRENCY = 1;
 const OTHER_ZONE_BATCH_BYTES = 200_000;
-/** Without news for this long an entry that is not responsible fetches as well, in milliseconds, times its place. */
+/**
+ * An entry fetches from outside its zone in place of those before it in the zone's order when no piece has
+ * arrived for this long, in milliseconds, times its position in that order.
+ */
 export const STAND_IN_PATIENCE = 1_200;
-/** Other entries of the zone than the one before this are asked after this time without a piece, in milliseconds: about
- * twice the time in which a piece that has come somewhere is told of and asked for. */
+/**
+ * Entries of the zone other than the parent are used after this long without a piece, in milliseconds: about
+ * twice the time in which the arrival of a piece elsewhere is announced and the piece requested.
+ */
 const SAME_ZONE_PATIENCE = 300;
 /**
- * Entries of other zones are asked after this, in milliseconds: their bytes are dear, those of the origin are dearer. The
- * first of a zone asks them at once for a version that has just been named: nobody nearer has the piece sooner, and whoever
- * draws it may be cut off meanwhile. One that starts again finds the version in its zone: seven entries that restarted in
- * turn, three times, carried 22 to 30 MB between regions where half of each copy came from another zone, and filled the
- * links there for 0.5 s, so that messages were lost.
+ * Entries of other zones are used after this long, in milliseconds: their bytes are expensive, though less so
+ * than those of the origin. The first entry of a zone uses them at once for a version that has just been
+ * named: nobody nearer has the piece sooner, and the entry that draws it may be cut off meanwhile. An entry
+ * that restarts finds the version in its zone: seven entries that restarted in turn, three times, transferred
+ * 22 to 30 MB between regions because half of each copy came from another zone, and saturated the links there
+ * for 0.5 s, so that messages were lost.
  */
 const OTHER_ZONE_PATIENCE = 300;
 /**
- * Parts that are read from the object store at the same time. An entry that has heard no other of its zone may not be
- * the only one: those that start together would share the link between regions for a copy each.
+ * Concurrent reads of parts from the object store. An entry that has heard no other entry of its zone uses 1,
+ * as it may not be the only one: entries that start together would share the link between regions for a copy
+ * each.
  */
 const OBJECT_CONCURRENCY = 2;
 
-/** An entry's place in the order of those responsible for a version, 0 being the first. */
+/** Position of an entry in the orders in which entries fetch a version, 0 being the first. */
 export interface EntryRank {
   inZone: number;
   overall: number;
-  /** The entry of its zone of which it takes pieces; undefined for the first. */
+  /** The entry of its zone from which it fetches pieces; undefined for the first. */
   parent: string | undefined;
 }
 
-/** Another entry, and what it holds of the version. */
+/** Another entry, and the pieces of the version that it holds. */
 export interface EntryHolding {
   peer: EntryReport;
   have: ChunkSet;
-  /** Pieces that it draws from the origin now. */
+  /** Pieces that it is fetching from the origin. */
   drawing: readonly number[];
 }
 
-/** What the sources are made of. */
 export interface EntrySourceOptions {
   self: { id: string; zone: string };
   place: EntryRank;
   manifest: PieceManifest;
   holders: readonly EntryHolding[];
-  /** Agents that are connected here. */
+  /** Agents connected to this entry. */
   agents: readonly EngineAgentRow[];
-  /** No other entry of the zone was heard. */
+  /** No other entry of the zone has been heard. */
   isOnlyEntryOfZone: boolean;
   objects: ObjectStore;
-  /** Parts that are known to lie in the object store. */
+  /** Indexes of the parts known to be in the object store. */
   stored: ReadonlySet<number>;
-  /** Undefined where it is not known, or what the object store has is not. */
+  /** Undefined if no origin is configured, or while the contents of the object store are unknown. */
   origin: PieceOrigin | undefined;
-  /** Engines serve the version. */
+  /** Engines already serve the version. */
   isServed: boolean;
-  /** Time since the latest piece came, in milliseconds. */
+  /** Time since the last piece arrived, in milliseconds. */
   sinceLastPiece: number;
 }
 
@@ -107,12 +116,12 @@
     concurrency: isNear ? ENTRY_CONCURRENCY : OTHER_ZONE_CONCURRENCY,
     batchSize: isNear ? ENTRY_BATCH_SIZE : otherZoneBatchSize(manifest),
     batchTimeout: BATCH_TIMEOUT,
-    // Entries take different pieces first, which they then have for one another.
+    // Entries start at different pieces, which they can then exchange.
     offset: hash32(self.id),
   });
 }
 
-/** Pieces that are asked for at a time in another zone. */
+/** Batch size for entries of another zone. */
 function otherZoneBatchSize({ pieceBytes }: PieceManifest): number {
   return Math.max(1, Math.min(ENTRY_BATCH_SIZE, Math.floor(OTHER_ZONE_BATCH_BYTES / pieceBytes)));
 }
--- a/src/weights/held-weights.ts
+++ b/src/weights/held-weights.ts
@@ -1,6 +1,6 @@
 /**
- * Weights of versions in this process's memory, piece by piece. A piece is kept only if it has the digest that the
- * version's manifest gives for it.
+ * The weights in this process's memory, in pieces. A piece is kept only if its digest matches the version's
+ * manifest.
  */
 import { ChunkSet } from '../model/chunk-set.js';
 import { type Digest, digestOf } from '../model/manifest.js';
@@ -11,13 +11,13 @@
   version: number;
 }
 
-/** The pieces of a version: their digests in order. */
+/** The pieces of a version, by their digests in order. */
 export interface PieceManifest extends WeightsVersion {
   pieceBytes: number;
   digests: Digest[];
 }
 
-/** What is held of one version. */
+/** The pieces held of one version. */
 export class HeldWeights {
   readonly manifest: PieceManifest;
   readonly have: ChunkSet;
@@ -37,29 +37,29 @@
     return this.#pieces[index];
   }
 
-  /** Indexes of the pieces that are not there. */
+  /** Indexes of the pieces that are not held. */
   missing(): number[] {
     return this.#pieces.flatMap((piece, index) => (piece === undefined ? [index] : []));
   }
 
-  /** Keeps a piece; false where its bytes are not those of the manifest. */
+  /** Keeps a piece; returns false if its digest does not match the manifest. */
   add(index: number, bytes: Buffer): boolean {
     if (digestOf(bytes) !== this.manifest.digests[index]) return false;
-    // A copy of its own: the buffer may be a part of a larger one, which would be kept whole.
+    // Copied, because the buffer may be a slice of a larger one, which it would keep in memory.
     if (this.have.add(index)) this.#pieces[index] = Buffer.from(bytes);
     return true;
   }
 }
 
-/** Versions of a model that are held at the same time. */
+/** Versions held at the same time per model. */
 const MAX_VERSIONS_PER_MODEL = 3;
 
-/** All versions that this process holds something of. */
+/** All versions of which this process holds pieces. */
 export class WeightsLibrary {
   readonly #held = new Map<string, HeldWeights>();
   onPiece: (held: HeldWeights, index: number) => void = () => {};
 
-  /** What is held of a version; undefined before its manifest is known. */
+  /** The weights held of a version; undefined until its manifest is known. */
   of(version: WeightsVersion): HeldWeights | undefined {
     return this.#held.get(versionKey(version));
   }
@@ -68,7 +68,9 @@
     return [...this.#held.values()];
   }
 
-  /** Starts to hold a version; the oldest of its model goes where there are too many. */
+  /**
+   * Adds a version; the oldest of its model is evicted if there are more than {@link MAX_VERSIONS_PER_MODEL}.
+   */
   open(manifest: PieceManifest): HeldWeights {
     const known = this.of(manifest);
     if (known !== undefined) return known;
@@ -80,7 +82,9 @@
     return held;
   }
 
-  /** Keeps a piece of a version and tells; false where it is corrupt. */
+  /**
+   * Keeps a piece of a version and calls {@link onPiece} if it is new; returns false if the piece is corrupt.
+   */
   add(held: HeldWeights, index: number, bytes: Buffer): boolean {
     const isNew = !held.have.has(index);
     if (!held.add(index, bytes)) return false;
@@ -89,7 +93,7 @@
   }
 }
 
-/** The name of a version in paths and keys. */
+/** The name of a version in map keys, object keys and draw orders. */
 export function versionKey({ model, version }: WeightsVersion): string {
   return `${model}/${version}`;
 }
--- a/src/weights/manifest-search.ts
+++ b/src/weights/manifest-search.ts
@@ -1,4 +1,4 @@
-/** Finds the manifest of a version at whoever has it. */
+/** Finds the manifest of a version at peers, the origin or the object store. */
 import type { ObjectStore } from '../clients/object-store.js';
 import { sleep } from '../fleet/table-follower.js';
 import { withLimit } from '../model/time-limit.js';
@@ -6,31 +6,33 @@
 import type { PieceOrigin } from './piece-source.js';
 import { fetchManifest, fetchStoredManifest } from './piece-sources.js';
 
-/** Time for one call, in milliseconds: a manifest is a few kilobytes. */
+/** Time-out for one call, in milliseconds: a manifest is a few kilobytes. */
 const CALL_TIMEOUT = 1_000;
 /**
- * The next holder is asked where one has not answered in this time, in milliseconds: above an answer over a busy link. Asked
- * only after the time for a call, five holders on machines that are frozen would take 5 of the 8 s in which a version must serve.
+ * The next holder is queried if one has not answered within this time, in milliseconds: longer than an answer
+ * takes over a busy link. If each were given the whole time-out, five holders on frozen machines would take 5
+ * of the 8 s within which a version must be serving.
  */
 const HOLDER_STAGGER = 150;
-/** Pause before all are asked again, in milliseconds. */
+/** Pause between two rounds, in milliseconds. */
 const ROUND_PAUSE = 200;
 
-/** Who may have it. */
+/** Where the manifest may be found. */
 export interface ManifestSources {
   library: WeightsLibrary;
-  /** Addresses of processes of the system that hold something of the version; read anew at each round. */
+  /** Addresses of processes of the system that hold pieces of the version; called in each round. */
   processes: () => string[];
   /**
-   * The origin of weights, where one is known and it is this process's turn to ask it; read anew at each round. It accepts
-   * few connections: if 100 entries and their agents ask it at once, it turns away whoever is to draw the pieces.
+   * The origin of weights, if one is configured and it is this process's turn to query it; called in each
+   * round. The origin accepts few connections: if 100 entries and their agents query it at once, it rejects
+   * the entry that is to draw the pieces.
    */
   origin: () => PieceOrigin | undefined;
-  /** The object store, where it is this process's turn to ask it; read anew at each round. */
+  /** The object store, if it is this process's turn to query it; called in each round. */
   objects: () => ObjectStore | undefined;
 }
 
-/** Asks everybody in turn until the manifest is found; undefined only at `signal`. */
+/** Queries all sources in turn until the manifest is found; returns undefined only if `signal` aborts. */
 export async function findManifest(
   version: WeightsVersion,
   { library, processes, origin, objects }: ManifestSources,
@@ -52,7 +54,10 @@
   return undefined;
 }
 
-/** Asks the processes at `addresses`, the next as one has nothing or is silent; undefined once none of them has it. */
+/**
+ * Queries the processes at `addresses`, each as soon as the one before has no manifest or does not answer in
+ * time; undefined if none of them has it.
+ */
 async function queryHolders(
   addresses: readonly string[],
   version: WeightsVersion,
--- a/src/weights/piece-fetcher.ts
+++ b/src/weights/piece-fetcher.ts
@@ -1,6 +1,7 @@
 /**
- * Fetches the missing pieces of one version from sources in order of preference. A source that fails or gives corrupt
- * bytes rests for a while; a dear one is asked only when nothing comes from the others.
+ * Fetches the missing pieces of one version from sources in order of preference. A source that fails or
+ * returns corrupt bytes is not used for a while; an expensive one is used only when no pieces arrive from the
+ * others.
  */
 
 import { sleep } from '../fleet/table-follower.js';
@@ -10,48 +11,52 @@
 import type { HeldWeights, WeightsLibrary } from './held-weights.js';
 import type { PieceSource } from './piece-source.js';
 
-/** Longest time between two looks at the sources, in milliseconds. */
+/** Longest time between two checks of the sources, in milliseconds. */
 const MAX_WAIT = 60;
-/** First and longest rest of a source that failed, in milliseconds. */
+/** Initial and longest back-off of a source that failed, in milliseconds. */
 const INITIAL_BACKOFF = 150;
 const MAX_BACKOFF = 500;
 
-/** A source that was resorted to and gives is asked on for this long after its latest piece, in milliseconds. */
+/**
+ * A fallback source that has delivered a piece is used for this long without waiting for its patience again,
+ * in milliseconds.
+ */
 const FALLBACK_PREFERRED_TIME = 2_000;
 
 interface SourceState {
   openBatches: number;
-  /** Until when it is asked without waiting for its patience to end. */
+  /**
+   * Until when it is used without waiting for its patience to elapse, in milliseconds of the monotonic clock.
+   */
   preferredUntil: number;
   failures: number;
   backOffUntil: number;
 }
 
-/** How fast pieces are asked for, so that other traffic of the link does not wait behind them. */
+/** Limits on concurrent requests, so that other traffic on the link is not delayed. */
 export interface FetchLimits {
-  /** Batches that are open at the same time, over all sources. */
+  /** Concurrent batches over all sources. */
   open: number;
-  /** Pieces of one batch. */
+  /** Pieces per batch. */
   batch: number;
-  /** Share of the time in which batches are on their way, above 0 and up to 1. */
+  /** Share of the time in which batches are in flight, above 0 and up to 1. */
   share: number;
 }
 
 const UNLIMITED: FetchLimits = { open: Number.POSITIVE_INFINITY, batch: Number.POSITIVE_INFINITY, share: 1 };
 
-/** What a fetcher works with. */
 export interface PieceFetcherOptions {
   held: HeldWeights;
   library: WeightsLibrary;
-  /** In order of preference; read anew at each look, as sources come and go. */
+  /** In order of preference; called at each check, as sources come and go. */
   sources: () => PieceSource[];
-  /** False while others go first. */
+  /** False while other versions are fetched first. */
   mayFetch: () => boolean;
-  /** Pieces are drawn from the origin now: others are to leave them. */
+  /** Called when pieces are requested from the origin, which other entries should then leave to this one. */
   onDrawing?: () => void;
-  /** How much of the link may be used; read anew at each look. Without it there is no limit. */
+  /** How much of the link may be used; called at each check. Unlimited by default. */
   limits?: () => FetchLimits;
-  /** A piece that is on its way for longer may be asked of another source, in milliseconds. */
+  /** A piece in flight for longer than this may be requested from another source, in milliseconds. */
   overdueAfter: number;
   random: Random;
   log: Log;
@@ -61,10 +66,10 @@
 export class PieceFetcher {
   readonly #options: PieceFetcherOptions;
   readonly #sourceStates = new Map<string, SourceState>();
-  /** When each piece that is on its way was asked for. */
+  /** When each piece in flight was requested, by index. */
   readonly #requestedAt = new Map<number, number>();
   readonly #piecesBySource = new Map<string, number>();
-  /** Pieces that are on their way from the origin. */
+  /** Pieces in flight from the origin. */
   readonly #drawing = new Set<number>();
   #lastPieceAt = performance.now();
   #wake: () => void = () => {};
@@ -79,24 +84,25 @@
     this.#options = options;
   }
 
-  /** When a piece came last, in milliseconds of the steady clock. */
+  /** When the last piece arrived, in milliseconds of the monotonic clock. */
   get lastPieceAt(): number {
     return this.#lastPieceAt;
   }
 
-  /** Pieces that are on their way from the origin. */
+  /** Pieces in flight from the origin. */
   get drawing(): number[] {
     return [...this.#drawing];
   }
 
-  /** Time that the latest batch took, in milliseconds. */
+  /** Duration of the last batch, in milliseconds. */
   get lastBatchDuration(): number {
     return this.#lastBatchDuration;
   }
 
   /**
-   * When the version will be whole at the rate since the start, in milliseconds of the steady clock; infinite without
-   * one. Time without a piece counts: an end that drew near while nothing came would be believed by those who wait.
+   * When the version will be complete at the average rate since the start, in milliseconds of the monotonic
+   * clock; infinite if no piece has arrived. Time without pieces counts, so that a stalled fetch does not
+   * appear to come close to its end.
    */
   get expectedEnd(): number {
     const { size, capacity } = this.#options.held.have;
@@ -106,12 +112,14 @@
     return now + ((now - this.#startedAt) / received) * (capacity - size);
   }
 
-  /** Time that it took to fetch all pieces, in milliseconds; 0 where that has not happened. */
+  /**
+   * Duration of the fetch of all pieces, in milliseconds; 0 if it has not ended or nothing had to be fetched.
+   */
   get duration(): number {
     return this.#duration;
   }
 
-  /** Returns when the version is whole, or at `signal`. */
+  /** Returns when the version is complete or `signal` aborts. */
   async run(signal: AbortSignal): Promise<void> {
     const { held, log } = this.#options;
     const startedAt = performance.now();
@@ -130,7 +138,7 @@
     log.info('version fetched', { model, version, from, tookMs: Math.round(this.#duration) });
   }
 
-  /** Waits for a tick, or until something has come. */
+  /** Waits until a batch has ended, {@link MAX_WAIT} has passed or `signal` aborts. */
   #waitForProgress(signal: AbortSignal): Promise<void> {
     return new Promise((resolve) => {
       const end = () => {
@@ -205,7 +213,7 @@
     this.#options.onDrawing?.();
   }
 
-  /** After a batch the link is left to others for a while. */
+  /** Leaves the link to other traffic after a batch. */
   #pause(batchDuration: number, signal: AbortSignal): void {
     const pause = batchDuration * (1 / this.#limits().share - 1);
     if (pause <= 0) return;
--- a/src/weights/piece-server.ts
+++ b/src/weights/piece-server.ts
@@ -1,14 +1,14 @@
-/** Serves what a process holds of weights to the system's other processes. */
+/** Serves the manifests and pieces held by a process to the system's other processes. */
 import type { ServerResponse } from 'node:http';
 import Router from '@koa/router';
 import { UploadLimit } from '../systems/upload-limit.js';
 import type { HeldWeights, WeightsLibrary } from './held-weights.js';
 
-/** Paths below which pieces are served. */
+/** Path prefix of manifests and pieces. */
 const PREFIX = '/weights';
-/** What a process answers that sends as much as its link carries soon. */
+/** Status of the answer when the uploads in flight already use the link's capacity for the near future. */
 export const BUSY_STATUS = 503;
-/** A batch counts as on its way for this long at the most, in milliseconds: whoever asked has given it up by then. */
+/** A batch counts as in flight for at most this long, in milliseconds: the receiver has timed out by then. */
 const MAX_UPLOAD_TIME = 4_000;
 
 /** Routes that serve the manifests and pieces in `library`. */
@@ -36,7 +36,10 @@
   return router;
 }
 
-/** Counts a batch until `response` has closed, as an answer that was sent or given up does; false where it is one too many. */
+/**
+ * Counts a batch as in flight until `response` closes, whether sent or aborted; returns false if the batch
+ * exceeds the limit.
+ */
 function beginUpload(uploads: UploadLimit, pieces: readonly Buffer[], response: ServerResponse): boolean {
   const bytes = pieces.reduce((sum, { byteLength }) => sum + byteLength, 0);
   if (!uploads.begin(pieces.length, bytes)) return false;
@@ -45,7 +48,7 @@
     response.off('close', end);
     uploads.end(pieces.length, bytes);
   };
-  // A connection that has gone silent does not close.
+  // A connection that has gone silent does not close by itself.
   const timer = setTimeout(end, MAX_UPLOAD_TIME);
   timer.unref();
   response.on('close', end);
@@ -57,12 +60,12 @@
   return `${PREFIX}/${encodeURIComponent(model)}/${version}/manifest`;
 }
 
-/** Path of some pieces of a version, one after the other in the answer. */
+/** Path of a batch of pieces of a version, which the answer concatenates. */
 export function piecesPath(model: string, version: number, indexes: readonly number[]): string {
   return `${PREFIX}/${encodeURIComponent(model)}/${version}/pieces/${indexes.join('-')}`;
 }
 
-/** The pieces at `indexes` (numbers joined by dashes), or undefined where one is missing. */
+/** The pieces at `indexes` (numbers joined by dashes); undefined if one is missing. */
 function piecesOf(held: HeldWeights, indexes: string): Buffer[] | undefined {
   const pieces = indexes.split('-').map((index) => held.piece(Number(index)));
   return pieces.includes(undefined) ? undefined : (pieces as Buffer[]);
--- a/src/weights/piece-source.ts
+++ b/src/weights/piece-source.ts
@@ -1,28 +1,31 @@
-/** The contract of everything that pieces of weights can come from. None is trusted: pieces are verified. */
+/**
+ * The interface of everything from which pieces of weights can be fetched. No source is trusted: pieces are
+ * verified.
+ */
 import type { Result } from '../model/result.js';
 import type { PieceManifest, WeightsVersion } from './held-weights.js';
 
-/** Why a source gave nothing. */
+/** Why a source delivered nothing. */
 export type PieceSourceError = { type: 'sourceFailed'; reason: string };
 
-/** Pieces by their index. */
+/** Pieces with their indexes. */
 export type Pieces = Array<[index: number, bytes: Buffer]>;
 
 /** A source of pieces of one version. */
 export interface PieceSource {
-  /** For logs and counters. */
+  /** Identifies the source in logs and counters. */
   readonly name: string;
-  /** It is asked only when no piece came from anywhere for this long, in milliseconds. */
+  /** The source is used only when no piece has arrived from any source for this long, in milliseconds. */
   readonly patience: number;
-  /** Batches that are open at the same time. */
+  /** Concurrent batches. */
   readonly concurrency: number;
-  /** Time for one batch, in milliseconds. */
+  /** Time-out of one batch, in milliseconds. */
   readonly batchTimeout: number;
-  /** It is the origin, of which a piece is to be drawn once. */
+  /** The source is the origin, from which each piece should be fetched only once. */
   readonly isOrigin: boolean;
-  /** False where a part of a batch costs as much as all of it. */
+  /** False if a part of a batch costs as much as the whole batch. */
   readonly isDivisible: boolean;
-  /** Of the pieces that are wanted those to ask for next; empty where it has none. */
+  /** Selects the wanted pieces to request next; empty if the source has none of them. */
   nextBatch(wanted: readonly number[]): number[];
   fetch(batch: readonly number[], signal: AbortSignal): Promise<Result<Pieces, PieceSourceError>>;
 }
--- a/src/weights/piece-sources.ts
+++ b/src/weights/piece-sources.ts
@@ -1,4 +1,4 @@
-/** The sources of pieces: other processes of the system, the object store, the origin. */
+/** The sources of pieces: other processes of the system, the object store and the origin. */
 import { z } from 'zod';
 import { callHttp } from '../clients/http.js';
 import type { ObjectStore } from '../clients/object-store.js';
@@ -9,23 +9,23 @@
 import { BUSY_STATUS, manifestPath, piecesPath } from './piece-server.js';
 import type { PieceOrigin, PieceSource, PieceSourceError, Pieces } from './piece-source.js';
 
-/** Objects into which the pieces of a version are put together. */
+/** Number of objects into which the pieces of a version are combined. */
 const PARTS_PER_VERSION = 8;
 
-/** Another process of the system that holds pieces. */
+/** A source that fetches pieces from another process of the system. */
 export function peerSource(options: {
   name: string;
   /** `host:port` at which it serves pieces. */
   address: string;
   manifest: PieceManifest;
-  /** What it is known to hold. */
+  /** Whether it is known to hold a piece. */
   has: (index: number) => boolean;
   patience: number;
   concurrency: number;
-  /** Pieces in one answer. */
+  /** Pieces per batch. */
   batchSize: number;
   batchTimeout: number;
-  /** A number that spreads several receivers over the pieces. */
+  /** Rotates the order of the pieces, so that several receivers start at different ones. */
   offset?: number;
 }): PieceSource {
   const {
@@ -58,7 +58,7 @@
   };
 }
 
-/** Asks another process for the manifest of a version. */
+/** Fetches the manifest of a version from another process. */
 export async function fetchManifest(
   address: string,
   version: WeightsVersion,
@@ -66,12 +66,12 @@
 ): Promise<Result<PieceManifest, PieceSourceError>> {
   const url = `http://${address}${manifestPath(version.model, version.version)}`;
   const answer = await callHttp({ service: 'manifest', method: 'GET', url, signal });
-  if (!answer.ok || answer.value.status !== 200) return failed('no manifest there');
+  if (!answer.ok || answer.value.status !== 200) return failed('manifest not available');
   const manifest = parseManifest(answer.value.body, version);
   return manifest === undefined ? failed('malformed manifest') : success(manifest);
 }
 
-/** Reads the manifest of a version from the object store; undefined where it is not there, or cannot be read. */
+/** Reads the manifest of a version from the object store; undefined if it cannot be read or is invalid. */
 export async function fetchStoredManifest(
   objects: ObjectStore,
   version: WeightsVersion,
@@ -81,7 +81,10 @@
   return stored.ok ? parseManifest(stored.value, version) : undefined;
 }
 
-/** What other processes tell or stored: a manifest without digests of its pieces would pass for one that is whole. */
+/**
+ * Manifests come from other processes, so they are validated: a version without digests would count as
+ * complete at once.
+ */
 const manifestSchema = z.object({
   model: z.string(),
   version: z.int(),
@@ -89,7 +92,7 @@
   digests: z.array(z.string()).min(1),
 });
 
-/** The manifest of a version; undefined for bytes that are none, or that of another version. */
+/** The manifest in `bytes`; undefined if it is malformed or that of another version. */
 function parseManifest(bytes: Buffer, { model, version }: WeightsVersion): PieceManifest | undefined {
   try {
     const read = manifestSchema.safeParse(JSON.parse(bytes.toString('utf8')));
@@ -100,14 +103,14 @@
   }
 }
 
-/** Several pieces of a version that lie in one object. */
+/** Consecutive pieces of a version that are stored in one object. */
 export interface StoredPart {
   index: number;
   key: string;
   pieces: number[];
 }
 
-/** The objects of a version. */
+/** The parts of a version, each stored as one object. */
 export function partsOf(manifest: PieceManifest): StoredPart[] {
   const count = manifest.digests.length;
   const size = Math.ceil(count / PARTS_PER_VERSION);
@@ -124,22 +127,25 @@
   return objectName(`${versionKey(version)}/manifest`);
 }
 
-/** What the keys of a version begin with. */
+/** Common prefix of the keys of a version. */
 export function storedPrefix(version: WeightsVersion): string {
   return objectName(`${versionKey(version)}/`);
 }
 
-/** The object store. */
+/** A source that reads parts from the object store. */
 export function objectSource(options: {
   objects: ObjectStore;
   manifest: PieceManifest;
-  /** Indexes of the parts that lie there. */
+  /** Indexes of the parts in the object store. */
   stored: ReadonlySet<number>;
   patience: number;
-  /** Parts that are read at the same time. */
+  /** Parts read concurrently. */
   concurrency: number;
   batchTimeout: number;
-  /** A number that spreads receivers that do not know of one another over the parts. */
+  /**
+   * Rotates the order of the parts, so that receivers that do not know of one another start at different
+   * ones.
+   */
   offset: number;
 }): PieceSource {
   const { objects, manifest, stored, patience, concurrency, batchTimeout, offset } = options;
@@ -172,16 +178,16 @@
   };
 }
 
-/** The origin of weights. */
+/** A source that fetches pieces from the origin. */
 export function originSource(options: {
   origin: PieceOrigin;
   version: WeightsVersion;
   patience: number;
   concurrency: number;
   batchTimeout: number;
-  /** Whether a piece is to be drawn: not where another process has it. */
+  /** Whether a piece may be fetched from the origin; false if another process has it. */
   mayDraw: (index: number) => boolean;
-  /** Where to begin, so that several that draw at the same time draw different pieces. */
+  /** Index at which to start, so that several processes that draw at the same time fetch different pieces. */
   offset: number;
 }): PieceSource {
   const { origin, version, patience, concurrency, batchTimeout, mayDraw, offset } = options;
@@ -200,7 +206,7 @@
   };
 }
 
-/** Whether a set of pieces, as told by another process, holds `index`. */
+/** A predicate for the pieces that another process has announced. */
 export function holds(have: ChunkSet | undefined): (index: number) => boolean {
   return (index) => have?.has(index) ?? false;
 }
@@ -209,7 +215,7 @@
   return objectName(`${versionKey(manifest)}/${index}`);
 }
 
-/** Keys of objects are one path segment. */
+/** Object keys must be a single path segment. */
 function objectName(path: string): string {
   return `weights.${path.replaceAll('/', '.')}`;
 }
--- a/src/weights/report-throttle.ts
+++ b/src/weights/report-news.ts
@@ -1,26 +1,36 @@
-/** Whether a report of an engine is worth sending: it changes at each look, and whoever hears it passes much of it on. */
+/**
+ * Decides whether an engine report is sent: reports change with each poll, and receivers forward much of what
+ * they hear.
+ */
 import type { EngineReport } from '../protocol/reports.js';
 
-/** An engine is reported at least this often, in milliseconds. */
+/** A report is sent at least this often, in milliseconds. */
 const REPORT_INTERVAL = 1_000;
-/** Report at once when the load has changed by this many requests: one report a second is due anyway. */
+/**
+ * A report is sent at once when the load has changed by this many requests; smaller changes wait for the next
+ * regular report.
+ */
 const LOAD_STEP = 3;
-/** Report at once when the expected time of the switch has moved by this much, in milliseconds. */
+/** A report is sent at once when the expected time of the switch has moved by this much, in milliseconds. */
 const SWITCH_TIME_STEP = 400;
 
-/** What was sent last of one engine. */
+/** Compares the reports of one engine with the last one sent. */
 export class ReportThrottle {
   #sentFields = '';
   #sentAt = 0;
-  /** When the engine was last said to switch, in milliseconds of the steady clock; infinite where it is not. */
+  /**
+   * Switch time in the last report sent, in milliseconds of the monotonic clock; infinite if none was due.
+   */
   #sentSwitchAt = Number.POSITIVE_INFINITY;
 
-  /** The next report is news, whatever it says. */
+  /** Lets the next report through, whatever it contains. */
   reset(): void {
     this.#sentFields = '';
   }
 
-  /** True if `report` is to be sent at `now`, in milliseconds of the steady clock; it counts as sent then. */
+  /**
+   * True if `report` is to be sent at `now`, in milliseconds of the monotonic clock; it then counts as sent.
+   */
   admit(report: EngineReport, now: number): boolean {
     const text = immediateFieldsOf(report);
     const switchAt = now + (report.switchesIn ?? Number.POSITIVE_INFINITY);
@@ -34,7 +44,7 @@
   }
 }
 
-/** What of a report is news as soon as it changes. */
+/** The fields of which any change is reported at once, serialized for comparison. */
 function immediateFieldsOf({ start, version, isReached, isSwitching, load, held }: EngineReport): string {
   return JSON.stringify([
     start,
--- a/src/weights/request-moves.ts
+++ b/src/weights/request-moves.ts
@@ -1,28 +1,32 @@
 /**
- * Whether the requests of an engine are known to be able to go on at others while it takes another version. Requests of
- * which that is not known must be left to end.
+ * Decides whether the running requests of an engine can continue on other engines while it switches to
+ * another version. Unless that is certain, they must be left to finish.
  */
 import type { Route } from '../fleet/configuration.js';
 
-/** Share of the room of the others that moved requests may take: new requests need some too. */
+/**
+ * Share of the other engines' spare capacity that moved requests may use: new requests need some of it too.
+ */
 const USABLE_CAPACITY_SHARE = 0.5;
-/** Room of an engine beside its slots, as a share of them: moved requests may wait there for a short while. */
+/** Queue capacity of an engine as a share of its slots: moved requests may wait there briefly. */
 const QUEUE_CAPACITY_SHARE = 0.25;
-/** A moved request needs this long, in milliseconds, or it would be cut when the next engine drops it as well. Streams
- * took 0.75 to 1.2 s in the median, and are about half over when they move. */
+/**
+ * Least time until the next switch of an engine that takes moved requests, in milliseconds; it would cut them
+ * again otherwise. Streams took 0.75 to 1.2 s in the median, and are about half over when they move.
+ */
 const MIN_TIME_BEFORE_SWITCH = 700;
 
-/** An engine that may serve. */
+/** The state of an engine on which the decision depends. */
 export interface ServingEngine {
-  /** Version of which it holds all layers; 0 for none. */
+  /** Version of which it holds all layers; 0 if none. */
   version: number;
   isSwitching: boolean;
-  /** Time until it is to be ordered to take another version, in milliseconds; infinite where that is not due. */
+  /** Time until it is ordered to switch to another version, in milliseconds; infinite if no switch is due. */
   switchesIn: number;
-  /** Requests that it can run at the same time, and those that are there. */
+  /** Requests that it can run concurrently, and requests that run or wait there. */
   slots: number;
   load: number;
-  /** Requests there that may not run again elsewhere; undefined where that is not known. */
+  /** Requests there that must not be repeated elsewhere; undefined if unknown. */
   unmovable?: number;
 }
 
@@ -43,7 +47,7 @@
     (other) => other.version === version && !other.isSwitching && other.switchesIn >= MIN_TIME_BEFORE_SWITCH,
   );
   const spare = remaining.reduce((sum, other) => sum + spareCapacityOf(other), 0);
-  // Engines that switch at the same time need the same room.
+  // The requests of engines that switch at the same time need the same capacity.
   const switching = others.filter((other) => other.version === version && other.isSwitching);
   const movingLoad = switching.reduce((sum, other) => sum + other.load, load);
   return remaining.length > 0 && movingLoad <= spare * USABLE_CAPACITY_SHARE;
--- a/src/weights/staged-engine.ts
+++ b/src/weights/staged-engine.ts
@@ -1,4 +1,4 @@
-/** The contract of an engine that loads weights from a stage on its own machine. */
+/** The interface of an engine that loads weights from a staging area on its own machine. */
 import type { BackEndIdentity } from '../model/back-end-identity.js';
 import type { Result } from '../model/result.js';
 import type { HeldLayers } from '../protocol/back-end-list-state.js';
@@ -9,50 +9,50 @@
 
 /** The state of an engine. */
 export interface EngineState {
-  /** Names its start ({@link BackEndIdentity}); undefined where it does not tell it. */
+  /** Identifies its current start ({@link BackEndIdentity}); undefined if the engine does not report it. */
   start?: BackEndIdentity['start'];
-  /** The model that it serves or is to serve; empty where it tells none. */
+  /** The model that it serves or is to serve; empty if it reports none. */
   model: string;
-  /** Undefined where it holds none. */
+  /** Undefined if it holds none. */
   layers: HeldLayers | undefined;
   /** An order is being carried out. */
   isBusy: boolean;
   /** Requests of all callers that run or wait there. */
   load: number;
-  /** Orders that it has taken. */
+  /** Number of orders accepted since the start. */
   sequence: number;
   /** Rate limit in requests per second; undefined if this answer names none. */
   rateLimit?: number | undefined;
 }
 
-/** What became of an order. */
+/** The engine's answer to an order. */
 export type OrderOutcome =
-  /** It is being carried out, or holds already. */
+  /** The order is being carried out, or the engine already holds the version. */
   | { type: 'taken' }
-  /** It does not fit the engine's state, or a newer order was given. */
+  /** The order does not match the engine's state, or a newer one was accepted. */
   | { type: 'refused'; status: number };
 
-/** What becomes of the requests that run at an engine when it takes another version. */
+/** What happens to an engine's running requests when it switches to another version. */
 export type RunningRequests =
-  /** The engine takes nothing new and waits for them. */
+  /** The engine accepts no new requests and waits for them to finish. */
   | 'finish'
-  /** The engine drops them at once; who sent them goes on with them elsewhere. */
+  /** The engine drops them at once; their senders continue them elsewhere. */
   | 'drop';
 
-/** The order to take what lies in the stage. */
+/** An order to load the version in the stage. */
 export interface StartOrder extends WeightsVersion {
   running: RunningRequests;
-  /** Orders that the engine has taken so far; with any other number it refuses. */
+  /** Number of orders accepted so far; the engine refuses an order with any other number. */
   expectedSequence: number;
 }
 
-/** The engine beside this process. */
+/** The engine next to this agent. */
 export interface StagedEngine {
   state(signal: AbortSignal): Promise<Result<EngineState, EngineError>>;
-  /** Lays a piece into the stage, which holds one version of a model. */
+  /** Writes a piece to the stage, which holds one version of a model. */
   stage(model: string, index: number, bytes: Buffer, signal: AbortSignal): Promise<Result<void, EngineError>>;
-  /** What lies in the stage; undefined for nothing. */
+  /** Reads a piece from the stage; undefined if it is not there. */
   staged(model: string, index: number, signal: AbortSignal): Promise<Result<Buffer | undefined, EngineError>>;
-  /** Orders the engine to take what lies in the stage. */
+  /** Orders the engine to load the version in the stage. */
   start(order: StartOrder, signal: AbortSignal): Promise<Result<OrderOutcome, EngineError>>;
 }
--- a/src/weights/store-plan-reader.ts
+++ b/src/weights/store-plan-reader.ts
@@ -1,6 +1,6 @@
 /**
- * What an agent is to load, read from the store: for the moments in which no entry tells, as when all machines start
- * again together.
+ * Reads the plan of an agent from the store when no entry provides one, as when all machines restart
+ * together.
  */
 import type { WatchedTables } from '../clients/watched-tables.js';
 import type { FleetConfiguration } from '../fleet/configuration.js';
@@ -13,25 +13,27 @@
 import type { NamedVersion, WeightsPlan } from '../protocol/reports.js';
 import type { EngineLoader } from './engine-loader.js';
 
-/** An entry has this long to tell before the store is asked, and again between two tries, in milliseconds. */
+/**
+ * Time that entries have to send a plan before the store is read, and pause between two reads, in
+ * milliseconds.
+ */
 const ENTRY_GRACE_TIME = 30;
 const RETRY_PAUSE = 1_500;
 const CALL_TIMEOUT = 1_000;
 
-/** What the plan is read with. */
 export interface StorePlanReaderOptions {
   tables: WatchedTables;
   decoder: RecordDecoder;
-  /** Time in which a named version must serve everywhere, in milliseconds. */
+  /** Time after its naming within which a version must be serving everywhere, in milliseconds. */
   versionBound: number;
   loader: EngineLoader;
   log: Log;
 }
 
-/** Asks the store until there is a plan from anywhere. */
+/** Reads the store until the loader has a plan from any side. */
 export class StorePlanReader implements Startable {
   readonly #options: StorePlanReaderOptions;
-  /** The records that cannot be used. */
+  /** The records that could not be decoded. */
   readonly faults: RecordFaults;
   #stopped = new AbortController();
 
@@ -62,7 +64,10 @@
     }
   }
 
-  /** The newest named versions; undefined where the store does not answer, or none is named. */
+  /**
+   * A plan with the named versions; undefined if the store does not answer, holds no configuration or names
+   * no version.
+   */
   async #read(signal: AbortSignal): Promise<WeightsPlan | undefined> {
     const { tables, decoder, versionBound } = this.#options;
     const limit = withLimit(signal, CALL_TIMEOUT);
--- a/src/weights/switch-schedule.ts
+++ b/src/weights/switch-schedule.ts
@@ -1,38 +1,45 @@
 /**
- * When an engine may go over to another version. An engine that does takes nothing new until its requests have ended,
- * so the engines of a zone go in waves inside the bound in which a version must serve.
+ * Schedules when an engine may switch to another version. An engine that switches accepts no new requests
+ * until its running requests have ended, so the engines of a zone switch in waves within the bound in which a
+ * version must be serving everywhere.
  */
 
-/** Waves in which the engines of a zone go. */
+/** Number of waves in which the engines of a zone switch. */
 export const SWITCH_WAVES = 6;
 /**
- * Shares of the bound: between two waves, so that streams of one have moved or ended before the next, and after which no
- * engine waits any more.
+ * Shares of the bound: the interval between two waves, which lets the streams of one wave move or end before
+ * the next, and the time after which no engine waits any longer.
  */
 const WAVE_INTERVAL_SHARE = 0.1;
 const LATEST_SWITCH_SHARE = 0.875;
-/** An engine whose version may not serve any more within this time has nothing to lose, in milliseconds. */
+/**
+ * An engine switches at the latest this long before its version expires, in milliseconds: it could accept
+ * hardly any new requests in that time.
+ */
 const EXPIRY_MARGIN = 1_000;
 
-/** Of this many engines one leaves out a version that another follows. */
+/** One engine in this many skips a version that a newer one follows. */
 const SKIP_EVERY = 3;
-/** Share of the bound up to which two versions follow each other closely. */
+/** Two versions count as close if they are named within this share of the bound. */
 const CLOSE_NAMING_SHARE = 0.3;
-/** A version that is left out must be replaced this long before it would be missed, in milliseconds. */
+/**
+ * A version is skipped only if the newer one is complete this long before the engine's version expires, in
+ * milliseconds.
+ */
 const SKIP_MARGIN = 300;
 
-/** What the time depends on. Times are in milliseconds of the steady clock. */
+/** Inputs of {@link switchTime}. Times are in milliseconds of the monotonic clock. */
 export interface SwitchTiming {
-  /** The engine's version; 0 where it holds none. */
+  /** The engine's version; 0 if it holds none. */
   version: number;
-  /** Until when requests may start on that version; infinite where no newer one is named. */
+  /** Until when requests may start on that version; infinite if no newer one is named. */
   expiresAt: number;
-  /** When the new version was named, and when all its pieces were here. */
+  /** When the new version was named, and when all its pieces had been fetched. */
   namedAt: number;
   completeAt: number;
-  /** Time in which it must serve everywhere. */
+  /** Time after the naming within which it must be serving everywhere. */
   bound: number;
-  /** The engine's number among those of its zone. */
+  /** Index of the engine among those of its zone. */
   position: number;
 }
 
@@ -41,7 +48,7 @@
   return position % SWITCH_WAVES;
 }
 
-/** The earliest time for the switch: an engine that serves nothing waits for nothing. */
+/** The earliest time for the switch. An engine that serves nothing need not wait. */
 export function switchTime(timing: SwitchTiming): number {
   const { version, expiresAt, namedAt, completeAt, bound, position } = timing;
   if (version === 0) return Number.NEGATIVE_INFINITY;
@@ -49,12 +56,12 @@
   return Math.min(waveTime, namedAt + LATEST_SWITCH_SHARE * bound, expiresAt - EXPIRY_MARGIN);
 }
 
-/** What it depends on whether a version is taken although a newer one is named. Times as above. */
+/** Inputs of {@link shouldSkip}. Times are in milliseconds of the monotonic clock. */
 export interface SkipTiming {
-  /** When the version, and the newest one, were named. */
+  /** When the version and the newest version were named. */
   namedAt: number;
   newestNamedAt: number;
-  /** When all pieces of the newest will be here, as far as can be told. */
+  /** When all pieces of the newest version are expected to have been fetched. */
   newestCompleteAt: number;
   /** Until when requests may start on the engine's version. */
   expiresAt: number;
@@ -63,9 +70,10 @@
 }
 
 /**
- * Whether the engine should leave a version out, as a newer one will be here before its own expires. Of versions that
- * follow closely only the newest is taken: each switch costs service. Of others a third leave the older one out, so that
- * some engines serve while the rest go over.
+ * Whether the engine should skip a version because a newer one will be complete before the engine's own
+ * expires. Of versions named in close succession only the newest is loaded, since each switch interrupts
+ * service. Otherwise a third of the engines skip the older one, so that some engines serve while the rest
+ * switch.
  */
 export function shouldSkip(timing: SkipTiming): boolean {
   const { namedAt, newestNamedAt, newestCompleteAt, expiresAt, bound, position } = timing;
--- a/src/weights/version-collector.ts
+++ b/src/weights/version-collector.ts
@@ -1,8 +1,9 @@
 /**
- * Brings the versions that matter into an entry's memory, from which the agents of its zone fetch them. One entry of a
- * zone, by rendezvous hash, fetches from outside the zone; one of all draws from the origin and puts the version into
- * the object store, for machines that lose everything. Others step in when nothing comes: no step needs one certain
- * machine, and two that do the same cost bytes, never correctness.
+ * Collects the wanted versions in an entry's memory, from which the agents of its zone fetch them. In each
+ * zone one entry, chosen by rendezvous hashing, fetches from outside the zone; one of all entries draws from
+ * the origin (fetches pieces there) and writes the version to the object store, for machines that lose
+ * everything. Other entries take over when no pieces arrive: no step depends on a particular machine, and
+ * duplicated work costs bytes, never correctness.
  */
 import type { ListedObjectStore } from '../clients/object-store.js';
 import type { FleetView } from '../fleet/fleet-view.js';
@@ -35,33 +36,41 @@
 import type { PieceOrigin, PieceOriginFactory, PieceSource } from './piece-source.js';
 import { partsOf, type StoredPart, storedManifestKey, storedPrefix } from './piece-sources.js';
 
-/** Time between two looks at what is wanted, in milliseconds. */
+/** Interval at which collections are matched with the wanted versions, in milliseconds. */
 const RECONCILE_INTERVAL = 200;
-/** Time for one small call, in milliseconds. */
+/** Time-out for a small call, in milliseconds. */
 const CALL_TIMEOUT = 1_000;
-/** The object store is asked again what it has after this, in milliseconds. */
+/**
+ * Interval of retries after a failed listing, and of checks that a complete version is stored, in
+ * milliseconds.
+ */
 const LISTING_INTERVAL = 2_000;
-/** After the store has come back from an older copy, entries that have not heard of it tell of what it had for this long, in
- * milliseconds: they hear of it within two seconds. */
+/**
+ * After the store has been restored from an older copy, what peers say of its contents is ignored for this
+ * long, in milliseconds: entries that have not heard of the restoration still report lost objects, and hear
+ * of it within two seconds.
+ */
 const STALE_LISTING_TIME = 3_000;
-/** A piece that is on its way for longer is asked of another source as well, in milliseconds: a batch takes 0.1 to 0.7 s. */
+/**
+ * A piece in flight for longer than this is requested from another source as well, in milliseconds: a batch
+ * takes 0.1 to 0.7 s.
+ */
 const PIECE_OVERDUE_TIME = 800;
-/** What the duty works with. */
 export interface VersionCollectorOptions {
   self: { id: string; zone: string; linkRate: number };
   fleet: FleetView;
   library: WeightsLibrary;
   objects: ListedObjectStore;
   originAt: PieceOriginFactory;
-  /** Other entries that live. */
+  /** Live entries other than this one. */
   peers: () => EntryReport[];
-  /** Agents that are connected here. */
+  /** Agents connected to this entry. */
   agents: () => EngineAgentRow[];
-  /** The version that most engines hold, where the operator has named none. */
+  /** For each model without a named version, the version that most engines hold. */
   servedVersions: () => WeightsVersion[];
-  /** Time in which a named version must serve everywhere, in milliseconds. */
+  /** Time after its naming within which a version must be serving everywhere, in milliseconds. */
   versionBound: number;
-  /** @param isDrawing - others that could draw too should know of it at once */
+  /** @param isDrawing - entries that might draw too should be told at once */
   onHeldChanged: (isDrawing: boolean) => void;
   random: Random;
   log: Log;
@@ -69,28 +78,28 @@
 
 interface Collection {
   version: WeightsVersion;
-  /** When it began, in milliseconds of the steady clock. */
+  /** When the collection started, in milliseconds of the monotonic clock. */
   startedAt: number;
   stopped: AbortController;
   held: HeldWeights | undefined;
   fetcher: PieceFetcher | undefined;
-  /** Parts that are known to lie in the object store. */
+  /** Indexes of the parts known to be in the object store. */
   stored: Set<number>;
-  /** True once the object store has said what it has. */
+  /** True once the object store has been listed, or has failed to list. */
   isListed: boolean;
   listedAt: number;
-  /** A part is being put there. */
+  /** A part is being written to the object store. */
   isPutting: boolean;
-  /** The manifest lies in the object store, put there from here. */
+  /** This entry has written the manifest to the object store. */
   isManifestStored: boolean;
 }
 
-/** The duty. */
+/** Runs one collection per wanted version. */
 export class VersionCollector implements Startable {
   readonly #options: VersionCollectorOptions;
   readonly #collections = new Map<string, Collection>();
   #timer: NodeJS.Timeout | undefined;
-  /** Until when peers may tell of objects that are lost, in milliseconds of the steady clock. */
+  /** Until when peers may report objects that no longer exist, in milliseconds of the monotonic clock. */
   #staleListingsUntil = Number.NEGATIVE_INFINITY;
 
   constructor(options: VersionCollectorOptions) {
@@ -108,7 +117,10 @@
     for (const { stopped } of this.#collections.values()) stopped.abort();
   }
 
-  /** The versions that matter now: the newest named of each model, those whose bound has not passed, what serves. */
+  /**
+   * The versions to collect: the newest named version of each model, named versions whose bound has not
+   * passed, and the served version of models without a named one.
+   */
   wantedVersions(): WeightsVersion[] {
     const { fleet, versionBound, servedVersions } = this.#options;
     const now = performance.now();
@@ -120,7 +132,10 @@
     return [...named, ...served].map(({ model, version }) => ({ model, version }));
   }
 
-  /** The store has come back from an older copy of itself: objects that were put lately may not be there any more. */
+  /**
+   * Forgets what is known of the object store after it was restored from an older copy: recent objects may be
+   * missing.
+   */
   noteOlderCopy(): void {
     this.#staleListingsUntil = performance.now() + STALE_LISTING_TIME;
     for (const collection of this.#collections.values()) {
@@ -130,7 +145,7 @@
     }
   }
 
-  /** What is held here, for others. */
+  /** The pieces held by this entry, as reported to its peers. */
   held(): HeldPieces[] {
     return [...this.#collections.values()].flatMap(({ version, held, fetcher, stored }) => {
       if (held === undefined) return [];
@@ -140,7 +155,7 @@
     });
   }
 
-  /** Starts and ends collections. */
+  /** Starts and stops collections to match the wanted versions. */
   reconcile(): void {
     const wanted = new Map(this.wantedVersions().map((version) => [versionKey(version), version]));
     for (const [key, collection] of this.#collections) {
@@ -181,7 +196,7 @@
     if (manifest === undefined) return;
     const held = library.open(manifest);
     collection.held = held;
-    // All others wait for the manifest of whoever draws.
+    // All other entries wait for the manifest of the entry that draws.
     onHeldChanged(this.#place(collection).overall <= QUICK_STAND_INS);
     collection.fetcher = new PieceFetcher({
       held,
@@ -198,7 +213,7 @@
     await this.#maintainStoredCopy(collection, held, signal);
   }
 
-  /** Whether this entry is among those of its zone that hold a copy. */
+  /** Whether this entry is one of those of its zone that hold a copy. */
   #isHolder(collection: Collection): boolean {
     return holdsCopy(this.#place(collection).inZone, this.#enginesOfZone());
   }
@@ -246,12 +261,12 @@
     });
   }
 
-  /** This entry's place in the order of those responsible. */
+  /** This entry's position in the orders in which entries fetch the version. */
   #place({ version }: Collection): EntryRank {
     const { self, peers } = this.#options;
     const entries = [self, ...peers()];
     const key = versionKey(version);
-    // The first of all is the first of its zone.
+    // The first entry overall is also the first of its zone.
     const overall = drawOrder(key, entries);
     const inZone = drawOrder(
       key,
@@ -273,7 +288,7 @@
     });
   }
 
-  /** Peers that hold something of `version`, those of this zone first. */
+  /** Peers that hold pieces of `version`, those of this zone first. */
   #peersHolding(version: WeightsVersion): EntryReport[] {
     const holding = this.#options
       .peers()
@@ -282,7 +297,7 @@
     return holding.sort((a, b) => isOtherZone(a) - isOtherZone(b));
   }
 
-  /** Parts in the object store, as this entry and its peers know. */
+  /** Indexes of the parts that this entry and its peers know to be in the object store. */
   #storedParts({ version, stored }: Collection): Set<number> {
     const peers = performance.now() < this.#staleListingsUntil ? [] : this.#options.peers();
     for (const { held } of peers) {
@@ -292,7 +307,10 @@
     return stored;
   }
 
-  /** Learns what lies in the object store; the origin is not drawn from before that is known, or cannot be. */
+  /**
+   * Lists the version's parts in the object store, retrying on failure. The origin is not used before the
+   * first attempt has ended.
+   */
   async #listStoredParts(collection: Collection, signal: AbortSignal): Promise<void> {
     const { objects, log } = this.#options;
     while (!signal.aborted) {
@@ -307,7 +325,7 @@
         }
         return;
       }
-      log.warn('object store lost', { ...collection.version, reason: names.error.type });
+      log.warn('object store listing failed', { ...collection.version, reason: names.error.type });
       await sleep(LISTING_INTERVAL, signal);
     }
   }
@@ -321,8 +339,8 @@
   }
 
   /**
-   * Puts parts that are whole here and not in the object store yet, one at a time: what else goes to the store waits behind
-   * them on the link between regions.
+   * Writes the parts that are complete here and missing in the object store, one at a time: other traffic to
+   * the store queues behind them on the link between regions.
    */
   async #putParts(collection: Collection, held: HeldWeights, signal: AbortSignal): Promise<void> {
     if (!collection.isListed || collection.isPutting) return;
@@ -334,7 +352,7 @@
     }
   }
 
-  /** Puts one part; false where none is due, or the object store has not taken it. */
+  /** Writes one part; returns false if none is due or the object store did not accept it. */
   async #putNextPart(collection: Collection, held: HeldWeights, signal: AbortSignal): Promise<boolean> {
     const part = this.#nextUnstoredPart(collection, held);
     if (part === undefined || signal.aborted) return false;
@@ -352,7 +370,10 @@
     );
   }
 
-  /** Sees to it that a whole version lies in the object store, whoever was to put it there. */
+  /**
+   * Keeps a complete copy of the version in the object store while this entry is first in the order,
+   * whichever entry was to write it before.
+   */
   async #maintainStoredCopy(collection: Collection, held: HeldWeights, signal: AbortSignal): Promise<void> {
     const parts = partsOf(held.manifest);
     while (!signal.aborted) {
