--- a/src/peers/dialling.ts
+++ b/src/peers/dialling.ts
@@ -5,31 +5,31 @@
  */
 
 /** Limit of the first try: a busy entry has answered within 0.1 s wherever that was measured. */
-const FIRST_LIMIT = 250;
-const LONGEST_LIMIT = 700;
+const INITIAL_TIMEOUT = 250;
+const MAX_TIMEOUT = 700;
 /** Pause after the first failed try. */
-const FIRST_PAUSE = 100;
+const INITIAL_PAUSE = 100;
 /** Each failed try makes the next limit and pause longer by this factor. */
-const GROWTH = 1.5;
+const GROWTH_FACTOR = 1.5;
 
 /** The tries of one address, or of one round over several. */
-export class Dialling {
-  readonly #longestPause: number;
+export class DialBackoff {
+  readonly #maxPause: number;
   #failures = 0;
 
-  /** @param longestPause - between two tries, in milliseconds */
-  constructor(longestPause: number) {
-    this.#longestPause = longestPause;
+  /** @param maxPause - between two tries, in milliseconds */
+  constructor(maxPause: number) {
+    this.#maxPause = maxPause;
   }
 
   /** Time that the next try may take; a whole number, as abort signals take no other. */
-  get limit(): number {
-    return Math.round(Math.min(LONGEST_LIMIT, FIRST_LIMIT * GROWTH ** this.#failures));
+  get timeout(): number {
+    return Math.round(Math.min(MAX_TIMEOUT, INITIAL_TIMEOUT * GROWTH_FACTOR ** this.#failures));
   }
 
   /** A try has failed; returns the pause before the next. */
   noteFailure(): number {
-    const pause = Math.min(this.#longestPause, FIRST_PAUSE * GROWTH ** this.#failures);
+    const pause = Math.min(this.#maxPause, INITIAL_PAUSE * GROWTH_FACTOR ** this.#failures);
     this.#failures++;
     return pause;
   }
--- a/src/peers/engine-agents.ts
+++ b/src/peers/engine-agents.ts
@@ -36,7 +36,7 @@
   }
 
   async start(): Promise<void> {
-    this.#timer = setInterval(() => this.tell(), PLAN_INTERVAL);
+    this.#timer = setInterval(() => this.sendPlans(), PLAN_INTERVAL);
   }
 
   async stop(): Promise<void> {
@@ -53,17 +53,17 @@
     };
     connection.handleMessages((message) => {
       if (message.type !== 'engineReport') return;
-      const before = row.report;
+      const previous = row.report;
       row.report = message.report;
       row.reportedAt = performance.now();
-      this.#onReport(message.report, before);
+      this.#onReport(message.report, previous);
     });
-    this.#tellOne(row);
+    this.#sendPlan(row);
   }
 
   /** Tells every agent its plan. */
-  tell(): void {
-    for (const row of this.rows.values()) this.#tellOne(row);
+  sendPlans(): void {
+    for (const row of this.rows.values()) this.#sendPlan(row);
   }
 
   /**
@@ -80,7 +80,7 @@
     });
   }
 
-  #tellOne(row: EngineAgentRow): void {
+  #sendPlan(row: EngineAgentRow): void {
     row.connection.send({ type: 'weightsPlan', plan: this.#planFor(row) });
   }
 }
--- a/src/peers/entry-link.ts
+++ b/src/peers/entry-link.ts
@@ -7,15 +7,15 @@
 import { withLimit } from '../model/time-limit.js';
 import { type Connection, type ConnectionContext, connect } from '../protocol/connection.js';
 import type { WeightsPlan } from '../protocol/reports.js';
-import { Dialling } from './dialling.js';
+import { DialBackoff } from './dialling.js';
 
 /** Longest pause between two rounds over all known entries, in milliseconds. */
-const LONGEST_ROUND_PAUSE = 400;
+const MAX_ROUND_PAUSE = 400;
 /** Without a plan for this long the entry is left, in milliseconds. */
-const PLAN_LIMIT = 2_200;
+const PLAN_TIMEOUT = 2_200;
 const CHECK_INTERVAL = 250;
 /** Time between the first words to one entry and to the next, in milliseconds. */
-const STAGGER = 120;
+const DIAL_STAGGER = 120;
 
 /** What the link works with. */
 export interface EntryLinkOptions {
@@ -32,8 +32,8 @@
   #stopped = new AbortController();
   #connection: Connection | undefined;
   #entries: readonly string[] = [];
-  #heardAt = 0;
-  readonly #dialling = new Dialling(LONGEST_ROUND_PAUSE);
+  #lastPlanAt = 0;
+  readonly #dialBackoff = new DialBackoff(MAX_ROUND_PAUSE);
   /** Whether the latest plan names an entry of this agent's zone. */
   #hasNearEntry = false;
 
@@ -60,11 +60,11 @@
     while (!signal.aborted) {
       const connection = await this.#dial(signal);
       if (connection !== undefined) {
-        this.#dialling.noteSuccess();
-        await this.#use(connection, signal);
+        this.#dialBackoff.noteSuccess();
+        await this.#monitor(connection, signal);
         continue;
       }
-      const pause = this.#dialling.noteFailure();
+      const pause = this.#dialBackoff.noteFailure();
       await sleep(pause * (0.5 + this.#options.random.fraction() / 2), signal);
     }
   }
@@ -78,9 +78,9 @@
     const round = AbortSignal.any([signal, others.signal]);
     const first = new Promise<Connection | undefined>((resolve) => {
       const tries = this.#candidates().map(async (address, place) => {
-        await sleep(place * STAGGER, round);
+        await sleep(place * DIAL_STAGGER, round);
         if (round.aborted) return;
-        const limit = withLimit(round, this.#dialling.limit);
+        const limit = withLimit(round, this.#dialBackoff.timeout);
         const connected = await connect(address, this.#options.context, limit);
         if (!connected.ok) return;
         if (round.aborted) return connected.value.close();
@@ -98,21 +98,21 @@
   }
 
   /** Uses a connection until it breaks, goes silent, or a nearer entry is known. */
-  async #use(connection: Connection, signal: AbortSignal): Promise<void> {
+  async #monitor(connection: Connection, signal: AbortSignal): Promise<void> {
     const ownZone = this.#options.context.hello().peer.zone;
     this.#connection = connection;
-    this.#heardAt = performance.now();
+    this.#lastPlanAt = performance.now();
     connection.handleMessages((message) => {
       if (message.type !== 'weightsPlan') return;
-      this.#heardAt = performance.now();
+      this.#lastPlanAt = performance.now();
       this.#entries = message.plan.entries;
       this.#hasNearEntry = message.plan.hasNearEntry;
       this.#options.onPlan(message.plan);
     });
     this.#options.onConnected();
     const standstills = new Standstills(CHECK_INTERVAL, performance.now());
-    const silence = () => standstills.runningTime(this.#heardAt, performance.now());
-    while (!signal.aborted && connection.open && silence() < PLAN_LIMIT) {
+    const silence = () => standstills.runningTime(this.#lastPlanAt, performance.now());
+    while (!signal.aborted && connection.open && silence() < PLAN_TIMEOUT) {
       await sleep(CHECK_INTERVAL, signal);
       standstills.tick(performance.now());
       if (this.#hasNearEntry && connection.remote.peer.zone !== ownZone) break;
--- a/src/peers/peer-news.ts
+++ b/src/peers/peer-news.ts
@@ -33,7 +33,7 @@
   }
 
   /** Applies a message from another entry; false if it is of another type. */
-  take(message: Message): boolean {
+  apply(message: Message): boolean {
     const now = performance.now();
     // The codec decodes undefined as null.
     const withoutNullStart = <T extends { start?: number | undefined }>(one: T): T => ({
--- a/src/peers/slot-client.ts
+++ b/src/peers/slot-client.ts
@@ -34,14 +34,14 @@
 
   async start(): Promise<void> {
     await this.#endpoint.start();
-    this.#timer = setInterval(() => this.#state(), STATEMENT_INTERVAL);
+    this.#timer = setInterval(() => this.#sendStatements(), STATEMENT_INTERVAL);
   }
 
   /** Gives back all that is open. */
   async stop(): Promise<void> {
     clearInterval(this.#timer);
-    for (const id of this.#openClaims.keys()) this.#end(id);
-    this.#state();
+    for (const id of this.#openClaims.keys()) this.#closeClaim(id);
+    this.#sendStatements();
     await this.#endpoint.stop();
   }
 
@@ -56,18 +56,19 @@
         this.#endpoint.send(agent, { type: 'slotAnswered', id, rateLimit });
       },
       release: (wasUsed) => {
-        if (this.#end(id) !== undefined) this.#endpoint.send(agent, { type: 'slotReleased', id, wasUsed });
+        if (this.#closeClaim(id) !== undefined)
+          this.#endpoint.send(agent, { type: 'slotReleased', id, wasUsed });
       },
     };
   }
 
-  #state(): void {
+  #sendStatements(): void {
     for (const { agent, statement } of this.#claims.statements())
       this.#endpoint.send(agent, { type: 'slotsStated', ...statement });
   }
 
   /** Ends a request for a slot; returns who asked. */
-  #end(id: number): SlotAnswers | undefined {
+  #closeClaim(id: number): SlotAnswers | undefined {
     const open = this.#openClaims.get(id);
     this.#openClaims.delete(id);
     this.#claims.close(id);
@@ -76,8 +77,8 @@
 
   #handle(message: Message, from: string): void {
     if (message.type === 'slotQueued') return this.#openClaims.get(message.id)?.answers.onQueued();
-    if (message.type === 'slotRefused') return this.#end(message.id)?.onRefused();
-    if (message.type === 'slotUnready') return this.#end(message.id)?.onUnready();
+    if (message.type === 'slotRefused') return this.#closeClaim(message.id)?.onRefused();
+    if (message.type === 'slotUnready') return this.#closeClaim(message.id)?.onUnready();
     if (message.type !== 'slotGranted') return;
     const { id, isLimited } = message;
     const open = this.#openClaims.get(id);
--- a/src/peers/slot-server.ts
+++ b/src/peers/slot-server.ts
@@ -61,42 +61,45 @@
   async start(): Promise<void> {
     await this.#endpoint.start();
     this.#standstills.begin(performance.now());
-    this.#timer = setInterval(() => this.#check(), CHECK_INTERVAL);
+    this.#timer = setInterval(() => this.#checkHolders(), CHECK_INTERVAL);
   }
 
   /** Sends those that wait elsewhere. */
   async stop(): Promise<void> {
     clearInterval(this.#timer);
     clearTimeout(this.#grantTimer);
-    this.#tell(this.#table.refuseAll());
+    this.#sendDecisions(this.#table.refuseAll());
     await this.#endpoint.stop();
   }
 
   /** Takes what the agent has read of its engine; undefined where that did not answer. */
   observe(engine: ObservedEngine | undefined): void {
-    this.#tell(engine === undefined ? this.#table.lose() : this.#table.observe(engine, performance.now()));
+    this.#sendDecisions(
+      engine === undefined ? this.#table.lose() : this.#table.observe(engine, performance.now()),
+    );
     const { figures } = this;
     if (figures.granted > 0 || figures.waiting > 0) this.#log.info('slots', figures);
   }
 
-  #check(): void {
+  #checkHolders(): void {
     const now = performance.now();
     this.#standstills.tick(now);
-    this.#tell(this.#holders.check(now, (since) => this.#standstills.runningTime(since, now)));
+    this.#sendDecisions(this.#holders.check(now, (since) => this.#standstills.runningTime(since, now)));
   }
 
   #handle(message: Message, from: string): void {
     const now = performance.now();
     if (message.type === 'slotReleased')
-      return this.#tell(this.#table.release(tableId(from, message.id), now, message.wasUsed));
+      return this.#sendDecisions(this.#table.release(tableId(from, message.id), now, message.wasUsed));
     if (message.type === 'slotAnswered')
-      return this.#tell(
+      return this.#sendDecisions(
         this.#table.noteAnswer(tableId(from, message.id), message.rateLimit ?? undefined, now),
       );
-    if (message.type === 'slotsStated') return this.#tell(this.#holders.takeStatement(from, message, now));
+    if (message.type === 'slotsStated')
+      return this.#sendDecisions(this.#holders.takeStatement(from, message, now));
     if (message.type !== 'slotAsked') return;
     const { id, urgency, waitedFor, patience, slots, rateLimit } = message;
-    this.#tell(this.#holders.noteAsk(from, id, now));
+    this.#sendDecisions(this.#holders.noteAsk(from, id, now));
     const ask = {
       id: tableId(from, id),
       urgency,
@@ -105,10 +108,10 @@
       slots,
       rateLimit: rateLimit ?? undefined,
     };
-    this.#tell(this.#table.ask(ask, now));
+    this.#sendDecisions(this.#table.ask(ask, now));
   }
 
-  #tell(decisions: readonly SlotDecision[]): void {
+  #sendDecisions(decisions: readonly SlotDecision[]): void {
     const isLimited = this.rateLimit !== undefined;
     for (const { type, id } of decisions) {
       this.decisions[type]++;
@@ -137,6 +140,6 @@
     const { nextGrantAt } = this.#table;
     if (nextGrantAt === undefined) return;
     const delay = Math.max(0, Math.ceil(nextGrantAt - performance.now()));
-    this.#grantTimer = setTimeout(() => this.#tell(this.#table.grantFree(performance.now())), delay);
+    this.#grantTimer = setTimeout(() => this.#sendDecisions(this.#table.grantFree(performance.now())), delay);
   }
 }
--- a/src/roles/direct-entry.ts
+++ b/src/roles/direct-entry.ts
@@ -79,7 +79,7 @@
       hasEnded: (row) => backEnds.hasEnded(row),
       records: quarantineRecords,
     });
-    this.#poison.onNews = (news) => this.#peers.passNews({ type: 'poisonNews', news: [news] });
+    this.#poison.onNews = (news) => this.#peers.broadcastNews({ type: 'poisonNews', news: [news] });
     this.#limits = new BackEndLimits(log, metrics);
     this.#permits = new DirectPermits({
       tables: components.tables,
@@ -93,7 +93,7 @@
     this.#limits.listen({
       onNamed: (backEnd, rate) => void this.#permits.noteNamed(backEnd, rate),
       onLifted: (backEnd) => void this.#permits.noteLifted(backEnd),
-      onNews: (news) => this.#peers.passNews({ type: 'limitNews', news: [news] }),
+      onNews: (news) => this.#peers.broadcastNews({ type: 'limitNews', news: [news] }),
     });
     this.#peers = new EntryPeers({
       context,
@@ -102,7 +102,7 @@
       seeds: settings.seeds,
       fleet,
       decoder: components.decoder,
-      hearsStore: () => sync.connected,
+      isStoreConnected: () => sync.connected,
       random,
       report: () => this.#report(),
       onReport: (report) => this.#onPeerReport(report),
@@ -111,7 +111,7 @@
         this.#storeReaders[news.table].noteNews(id, performance.now());
         sync.take(news);
       },
-      onLapsed: ({ id }) => {
+      onExpired: ({ id }) => {
         for (const readers of Object.values(this.#storeReaders)) readers.forget(id);
         backEnds.takeLoads(id, []);
       },
@@ -127,7 +127,7 @@
       quarantineRecords.noteOlderCopy();
       this.#permits.noteOlderCopy();
     };
-    sync.onNews = (news) => this.#peers.passStoreNews(news);
+    sync.onNews = (news) => this.#peers.forwardStoreNews(news);
     backEnds.mostConnectionsKept = (service) => this.#connectionsKept(service);
     this.#agents = new EngineAgents(
       (row) => this.#planner.planFor(row),
@@ -322,7 +322,7 @@
     const audience = this.#announcement ?? 'zone';
     this.#announcement = undefined;
     this.#peers.announce(audience);
-    this.#agents.tell();
+    this.#agents.sendPlans();
   }
 
   #onPeerReport(report: EntryReport): void {
--- a/test/peers/configuration-copies.test.ts
+++ b/test/peers/configuration-copies.test.ts
@@ -81,13 +81,13 @@
     seeds,
     fleet,
     decoder: textRecords,
-    hearsStore: () => true,
+    isStoreConnected: () => true,
     random: seededRandom(1),
     report,
     onReport: () => {},
     news: NO_NEWS,
     onStoreNews: () => {},
-    onLapsed: () => {},
+    onExpired: () => {},
     log: silentLog,
   });
   const listener = new ConnectionListener(address, context, (connection) => peers.accept(connection));
--- a/test/peers/entry-peers.test.ts
+++ b/test/peers/entry-peers.test.ts
@@ -61,7 +61,7 @@
   onLapsed?: (report: EntryReport) => void;
   /** Another entry has connected. */
   onAccepted?: () => void;
-  otherDialsFirst?: number;
+  dialDeferral?: number;
   fleet?: FleetView;
   news?: PeerNews;
 }
@@ -77,7 +77,7 @@
     onReport = () => {},
     onLapsed = () => {},
     onAccepted = () => {},
-    otherDialsFirst,
+    dialDeferral,
     fleet = new FleetView(),
     news = NO_NEWS,
   }: EntryInit = {},
@@ -98,16 +98,16 @@
     seeds,
     fleet,
     decoder: {} as RecordDecoder,
-    hearsStore: () => true,
+    isStoreConnected: () => true,
     random: seededRandom(1),
     // None are told in their turn while this test runs.
-    addressesInterval: 3_600_000,
-    otherDialsFirst,
+    addressGossipInterval: 3_600_000,
+    dialDeferral,
     report: () => ({ ...reportOf(id, address), zone, configurationRevision: revision() }),
     onReport,
     news,
     onStoreNews: () => {},
-    onLapsed,
+    onExpired: onLapsed,
     log: silentLog,
   });
   const listener = new ConnectionListener(
@@ -142,7 +142,7 @@
   const hub = await startEntry('seed', seed, [], { onAccepted });
   const others = await Promise.all(
     // However slow this machine is, the others have connected by then.
-    addresses.map((address) => startEntry(address, address, [seed], { onAccepted, otherDialsFirst: 20_000 })),
+    addresses.map((address) => startEntry(address, address, [seed], { onAccepted, dialDeferral: 20_000 })),
   );
   const all = [hub, ...others];
   await until(() => all.every((entry) => entry.live().length === others.length), 'all to hear all');
--- a/test/peers/fleet-wish.test.ts
+++ b/test/peers/fleet-wish.test.ts
@@ -6,7 +6,7 @@
 import { seededRandom } from '../../src/model/random.js';
 import { silentLog } from '../../src/observability/log.js';
 import { EntryPeers } from '../../src/peers/entry-peers.js';
-import { FleetWish } from '../../src/peers/fleet-wish.js';
+import { FleetRequestGate } from '../../src/peers/fleet-wish.js';
 import {
   type ConnectionContext,
   ConnectionListener,
@@ -43,7 +43,7 @@
 async function startEntry(
   address: string,
   seeds: string[],
-  init: { tells?: number; document?: string; answerTime?: number },
+  init: { tells?: number; document?: string; answerTimeout?: number },
 ): Promise<Entry> {
   const peer = { id: address, address, place: 'zone-a', region: 'region-a', zone: 'zone-a' };
   const context: ConnectionContext = {
@@ -67,8 +67,8 @@
     seeds,
     fleet,
     decoder,
-    hearsStore: () => true,
-    answerTime: init.answerTime ?? LONG,
+    isStoreConnected: () => true,
+    answerTimeout: init.answerTimeout ?? LONG,
     random: seededRandom(1),
     report: () => ({
       id: address,
@@ -90,7 +90,7 @@
     onReport: () => {},
     news: NO_NEWS,
     onStoreNews: () => {},
-    onLapsed: () => {},
+    onExpired: () => {},
     log: silentLog,
   });
   const entry: Entry = { fleet, peers, sent: 0 };
@@ -118,7 +118,7 @@
 it('another one is asked where the first does not answer', async () => {
   const [silent, other, own] = await Promise.all([freeAddress(), freeAddress(), freeAddress()]);
   await startEntry(silent, [], { tells: REVISION });
-  const late = await startEntry(own, [silent, other], { answerTime: 100 });
+  const late = await startEntry(own, [silent, other], { answerTimeout: 100 });
   await until(() => late.peers.live().length === 1, 'the silent one heard');
   await startEntry(other, [], { document: `${REVISION}` });
   await until(() => late.fleet.configurationRevision === REVISION, 'the configuration');
@@ -139,39 +139,39 @@
   const other = { open: true };
 
   it('is asked of the own zone first, once it has had the time to come by itself', () => {
-    const wish = new FleetWish();
-    expect(wish.mayAsk(far, { own: 4, isNear: false, now: 0 })).toBe(false);
-    expect(wish.mayAsk(near, { own: 4, isNear: true, now: 150 })).toBe(false);
-    expect(wish.mayAsk(far, { own: 4, isNear: false, now: 300 })).toBe(false);
-    expect(wish.mayAsk(near, { own: 4, isNear: true, now: 300 })).toBe(true);
-    expect(wish.mayAsk(far, { own: 4, isNear: false, now: 900 })).toBe(false);
+    const gate = new FleetRequestGate();
+    expect(gate.tryRequest(far, { ownRevision: 4, isNear: false, now: 0 })).toBe(false);
+    expect(gate.tryRequest(near, { ownRevision: 4, isNear: true, now: 150 })).toBe(false);
+    expect(gate.tryRequest(far, { ownRevision: 4, isNear: false, now: 300 })).toBe(false);
+    expect(gate.tryRequest(near, { ownRevision: 4, isNear: true, now: 300 })).toBe(true);
+    expect(gate.tryRequest(far, { ownRevision: 4, isNear: false, now: 900 })).toBe(false);
   });
 
   it('is asked of another zone where the own one does not have it', () => {
-    const wish = new FleetWish();
-    expect(wish.mayAsk(far, { own: 4, isNear: false, now: 0 })).toBe(false);
-    expect(wish.mayAsk(far, { own: 4, isNear: false, now: 600 })).toBe(true);
+    const gate = new FleetRequestGate();
+    expect(gate.tryRequest(far, { ownRevision: 4, isNear: false, now: 0 })).toBe(false);
+    expect(gate.tryRequest(far, { ownRevision: 4, isNear: false, now: 600 })).toBe(true);
   });
 
   it('begins anew with each revision that is taken', () => {
-    const wish = new FleetWish();
-    wish.mayAsk(far, { own: 4, isNear: false, now: 0 });
-    expect(wish.mayAsk(far, { own: 5, isNear: false, now: 600 })).toBe(false);
+    const gate = new FleetRequestGate();
+    gate.tryRequest(far, { ownRevision: 4, isNear: false, now: 0 });
+    expect(gate.tryRequest(far, { ownRevision: 5, isNear: false, now: 600 })).toBe(false);
   });
 
   it('is asked for more and more seldom while nobody answers', () => {
-    const wish = new FleetWish(100);
+    const gate = new FleetRequestGate(100);
     const asks: number[] = [];
     for (let now = 0; now <= 4_000; now += 50) {
       const connection = asks.length % 2 === 0 ? near : other;
-      if (wish.mayAsk(connection, { own: 4, isNear: true, now })) asks.push(now);
+      if (gate.tryRequest(connection, { ownRevision: 4, isNear: true, now })) asks.push(now);
     }
     expect(asks).toEqual([200, 300, 500, 900, 1_700, 2_500, 3_300]);
-    wish.noteAnswer();
-    expect(wish.mayAsk(near, { own: 4, isNear: true, now: 4_050 })).toBe(true);
+    gate.noteAnswer();
+    expect(gate.tryRequest(near, { ownRevision: 4, isNear: true, now: 4_050 })).toBe(true);
   });
 
   it('is asked for at once where this process has nothing', () => {
-    expect(new FleetWish().mayAsk(near, { own: 0, isNear: true, now: 0 })).toBe(true);
+    expect(new FleetRequestGate().tryRequest(near, { ownRevision: 0, isNear: true, now: 0 })).toBe(true);
   });
 });
--- a/test/peers/report-rate.test.ts
+++ b/test/peers/report-rate.test.ts
@@ -1,6 +1,6 @@
 /** What entries tell one another stays in bounds however many there are. */
 import { describe, expect, it } from 'vitest';
-import { reportInterval, reportLife, signTime, silenceLimit } from '../../src/peers/report-rate.js';
+import { pingDelay, reportInterval, reportLifetime, silenceLimit } from '../../src/peers/report-rate.js';
 
 const SECOND = 1_000;
 
@@ -25,14 +25,14 @@
 
   it.each([6, 34, 400])('of %i may be missed twice before an entry is taken for dead', (entryCount) => {
     for (const isNear of [true, false])
-      expect(reportLife(isNear, entryCount - 1)).toBeGreaterThanOrEqual(
+      expect(reportLifetime(isNear, entryCount - 1)).toBeGreaterThanOrEqual(
         3 * reportInterval(isNear, entryCount - 1),
       );
   });
 
   it.each([6, 34, 42, 100, 400])('of %i are signs of life: none is asked for between them', (entryCount) => {
     for (const isNear of [true, false])
-      expect(signTime(isNear, entryCount - 1)).toBeGreaterThan(1.1 * reportInterval(isNear, entryCount - 1));
+      expect(pingDelay(isNear, entryCount - 1)).toBeGreaterThan(1.1 * reportInterval(isNear, entryCount - 1));
   });
 
   it.each([
@@ -49,7 +49,7 @@
       // Who is to be asked is looked at once a second.
       for (const isNear of [true, false])
         expect(silenceLimit(isNear, entryCount - 1)).toBeGreaterThan(
-          signTime(isNear, entryCount - 1) + 1_300,
+          pingDelay(isNear, entryCount - 1) + 1_300,
         );
     },
   );
--- a/test/peers/standstill.test.ts
+++ b/test/peers/standstill.test.ts
@@ -46,13 +46,13 @@
     seeds,
     fleet: new FleetView(),
     decoder: {} as RecordDecoder,
-    hearsStore: () => true,
+    isStoreConnected: () => true,
     random: seededRandom(1),
     report,
     onReport: () => {},
     news: NO_NEWS,
     onStoreNews: () => {},
-    onLapsed: () => {},
+    onExpired: () => {},
     log: silentLog,
   });
   const listener = new ConnectionListener(address, context, (connection) => peers.accept(connection));
--- a/tools/guard-table.mjs
+++ b/tools/guard-table.mjs
@@ -58,7 +58,7 @@
   {
     fault: 'all entries of a zone ask another zone for the configuration at the same time',
     file: 'src/peers/fleet-wish.ts',
-    find: 'OTHER_ZONE_STEP * Math.min(place, LAST_STEP)',
+    find: 'OTHER_ZONE_STAGGER * Math.min(place, MAX_STAGGER_STEPS)',
     replace: '0',
     test: 'test/peers/configuration-copies.test.ts',
   },
@@ -164,8 +164,8 @@
   {
     fault: 'an entry that is started again at once does not learn of contents in quarantine',
     file: 'src/peers/entry-peers.ts',
-    find: 'if (row.toldNewsOn !== connection) this.#tellNews(row, connection);',
-    replace: 'if (isNewcomer) this.#tellNews(row, connection);',
+    find: 'if (row.newsSentOn !== connection) this.#sendAllNews(row, connection);',
+    replace: 'if (isNewcomer) this.#sendAllNews(row, connection);',
     test: 'test/peers/entry-peers.test.ts',
   },
   {
@@ -328,14 +328,14 @@
   {
     fault: 'entries do not tell one another of contents that crash back ends',
     file: 'src/roles/direct-entry.ts',
-    find: "this.#poison.onNews = (news) => this.#peers.passNews({ type: 'poisonNews', news: [news] });",
+    find: "this.#poison.onNews = (news) => this.#peers.broadcastNews({ type: 'poisonNews', news: [news] });",
     replace: '',
     test: 'test/roles/poison-request.test.ts',
   },
   {
     fault: 'an entry that starts does not learn of contents in quarantine',
     file: 'src/peers/entry-peers.ts',
-    find: 'if (row.toldNewsOn !== connection) this.#tellNews(row, connection);',
+    find: 'if (row.newsSentOn !== connection) this.#sendAllNews(row, connection);',
     replace: '',
     test: 'test/peers/entry-peers.test.ts',
   },
@@ -907,14 +907,14 @@
   {
     fault: 'entries that start together do not hear one another',
     file: 'src/peers/entry-peers.ts',
-    find: 'this.#tellNewAddresses(row);',
+    find: 'this.#scheduleNewcomerGossip(row);',
     replace: '',
     test: 'test/peers/entry-peers.test.ts',
   },
   {
     fault: 'what entries tell one another grows with the square of their number',
     file: 'src/peers/report-rate.ts',
-    find: 'Math.max(1, peerCount / FREQUENT_PEERS)',
+    find: 'Math.max(1, peerCount / FULL_RATE_PEERS)',
     replace: '1',
     test: 'test/peers/report-rate.test.ts',
   },
@@ -1012,7 +1012,7 @@
   {
     fault: 'an entry that stops keeps its slots',
     file: 'src/peers/slot-client.ts',
-    find: 'for (const id of this.#openClaims.keys()) this.#end(id);',
+    find: 'for (const id of this.#openClaims.keys()) this.#closeClaim(id);',
     replace: '',
     test: 'test/peers/slot-messages.test.ts',
   },
@@ -1089,15 +1089,15 @@
   {
     fault: 'entries that learn of one another both connect',
     file: 'src/peers/entry-peers.ts',
-    find: 'row.dialAt = now + otherDialsFirst;',
+    find: 'row.dialAt = now + dialDeferral;',
     replace: 'row.dialAt = now;',
     test: 'test/peers/entry-peers.test.ts',
   },
   {
     fault: 'signs of life are asked for between reports',
     file: 'src/peers/report-rate.ts',
-    find: 'return Math.max(SIGN_TIME, SIGN_INTERVALS * reportInterval(isNear, peerCount));',
-    replace: 'return SIGN_TIME;',
+    find: 'return Math.max(MIN_PING_DELAY, PING_INTERVALS * reportInterval(isNear, peerCount));',
+    replace: 'return MIN_PING_DELAY;',
     test: 'test/peers/report-rate.test.ts',
   },
   {
@@ -1117,7 +1117,7 @@
   {
     fault: 'an entry that cannot be connected to is waited for',
     file: 'src/peers/entry-peers.ts',
-    find: 'closedAt === undefined || now - closedAt < RECONNECT_TIME',
+    find: 'closedAt === undefined || now - closedAt < RECONNECT_GRACE',
     replace: 'true',
     test: 'test/peers/entry-peers.test.ts',
   },
@@ -1166,21 +1166,21 @@
   {
     fault: 'the whole configuration comes from each entry that has it',
     file: 'src/peers/fleet-wish.ts',
-    find: 'if (isWaiting) return false;',
+    find: 'if (isPending) return false;',
     replace: '',
     test: 'test/peers/fleet-wish.test.ts',
   },
   {
     fault: 'entries of other zones are asked for what comes from the own one',
     file: 'src/peers/fleet-wish.ts',
-    find: 'if (now - this.#behind.since < patienceFor(isNear, own === 0, place)) return false;',
+    find: 'if (now - this.#behind.since < delayFor(isNear, ownRevision === 0, place)) return false;',
     replace: '',
     test: 'test/peers/fleet-wish.test.ts',
   },
   {
     fault: 'copies of one configuration are asked for again while they are on their way',
     file: 'src/peers/fleet-wish.ts',
-    find: '* 2 ** Math.min(this.#unanswered - 1, MOST_DOUBLINGS)',
+    find: '* 2 ** Math.min(this.#unanswered - 1, MAX_DOUBLINGS)',
     replace: '',
     test: 'test/peers/fleet-wish.test.ts',
   },
