--- a/src/peers/engine-agents.ts
+++ b/src/peers/engine-agents.ts
@@ -1,9 +1,9 @@
-/** The agents of engines that are connected to an entry: what they report, and the plan that they are told. */
+/** The engine agents connected to an entry: receives their reports and sends them their plans. */
 import type { Startable } from '../model/startable.js';
 import type { Connection } from '../protocol/connection.js';
 import type { EngineReport, WeightsPlan } from '../protocol/reports.js';
 
-/** Time between two tellings of the plan, in milliseconds. */
+/** Interval at which plans are sent, in milliseconds. */
 const PLAN_INTERVAL = 700;
 
 /** A connected agent. */
@@ -12,11 +12,11 @@
   /** `host:port` at which it serves pieces. */
   address: string;
   report: EngineReport | undefined;
-  /** When that came, in milliseconds of the steady clock. */
+  /** When the report arrived, in milliseconds of the monotonic clock. */
   reportedAt: number;
 }
 
-/** The agents. */
+/** Tracks the connected agents, their reports and plans. */
 export class EngineAgents implements Startable {
   readonly rows = new Map<string, EngineAgentRow>();
   readonly #planFor: (row: EngineAgentRow) => WeightsPlan;
@@ -24,8 +24,8 @@
   #timer: NodeJS.Timeout | undefined;
 
   /**
-   * @param planFor - what an agent is to know now
-   * @param onReport - takes what an agent reports, with what it reported before
+   * @param planFor - creates the current plan of an agent
+   * @param onReport - called with each report of an agent and the one before it
    */
   constructor(
     planFor: (row: EngineAgentRow) => WeightsPlan,
@@ -61,20 +61,21 @@
     this.#sendPlan(row);
   }
 
-  /** Tells every agent its plan. */
+  /** Sends every agent its plan. */
   sendPlans(): void {
     for (const row of this.rows.values()) this.#sendPlan(row);
   }
 
   /**
-   * The latest reports, as of now: passed on as it came, the time to a switch would begin anew here, and others would send to
-   * an engine for up to a second more, the time between two reports.
+   * The latest reports, with the time until a switch reduced by the age of the report. If it were passed on
+   * unchanged, it would count from the moment of forwarding, and other entries would send requests to an
+   * engine for up to a second too long, the time between two reports.
    */
   reports(): EngineReport[] {
     const now = performance.now();
     return [...this.rows.values()].flatMap(({ report, reportedAt }) => {
       if (report === undefined) return [];
-      // The codec carries no undefined in lists.
+      // The codec turns undefined in lists into null.
       if (report.switchesIn === undefined || report.switchesIn === null) return report;
       return { ...report, switchesIn: Math.max(0, report.switchesIn - (now - reportedAt)) };
     });
--- a/src/peers/entry-link.ts
+++ b/src/peers/entry-link.ts
@@ -1,4 +1,7 @@
-/** An agent's connection to one entry: of its own zone where there is one; another when it breaks. */
+/**
+ * An agent's connection to one entry, in its own zone if possible. If the connection breaks, the agent
+ * connects to another.
+ */
 
 import { sleep } from '../fleet/table-follower.js';
 import type { Random } from '../model/random.js';
@@ -11,13 +14,12 @@
 
 /** Longest pause between two rounds over all known entries, in milliseconds. */
 const MAX_ROUND_PAUSE = 400;
-/** Without a plan for this long the entry is left, in milliseconds. */
+/** The connection is closed after this long without a plan, in milliseconds. */
 const PLAN_TIMEOUT = 2_200;
 const CHECK_INTERVAL = 250;
-/** Time between the first words to one entry and to the next, in milliseconds. */
+/** Delay between the attempts to connect to one entry and to the next, in milliseconds. */
 const DIAL_STAGGER = 120;
 
-/** What the link works with. */
 export interface EntryLinkOptions {
   context: ConnectionContext;
   seeds: readonly string[];
@@ -26,7 +28,7 @@
   onConnected: () => void;
 }
 
-/** The link. */
+/** Keeps one connection open. */
 export class EntryLink implements Startable {
   readonly #options: EntryLinkOptions;
   #stopped = new AbortController();
@@ -41,7 +43,7 @@
     this.#options = options;
   }
 
-  /** The entry that is connected. */
+  /** The current connection, if any. */
   get connection(): Connection | undefined {
     return this.#connection;
   }
@@ -70,8 +72,8 @@
   }
 
   /**
-   * Asks the candidates, a moment after one another, until one answers: one that is cut off would answer nothing for
-   * long.
+   * Connects to the candidates, each shortly after the one before, until one answers: an entry that is cut
+   * off would not answer for a long time.
    */
   async #dial(signal: AbortSignal): Promise<Connection | undefined> {
     const others = new AbortController();
@@ -92,12 +94,12 @@
     return first;
   }
 
-  /** Entries that were told of, nearest first, then those of the settings. */
+  /** The entries named in the latest plan, nearest first, then those of the settings. */
   #candidates(): string[] {
     return [...new Set([...this.#entries, ...this.#options.seeds])];
   }
 
-  /** Uses a connection until it breaks, goes silent, or a nearer entry is known. */
+  /** Uses a connection until it breaks, goes silent, or an entry in the agent's own zone becomes known. */
   async #monitor(connection: Connection, signal: AbortSignal): Promise<void> {
     const ownZone = this.#options.context.hello().peer.zone;
     this.#connection = connection;
--- a/src/peers/entry-peers.ts
+++ b/src/peers/entry-peers.ts
@@ -1,7 +1,7 @@
 /**
- * Entries that call back ends directly know one another: each tells all others several times a second that it lives,
- * what it has in flight and how far it knows the store's news, so that one that is cut off from the store learns from
- * those that are not.
+ * Connections among the entries that call back ends directly. Each entry reports to all others several times
+ * a second that it is live, its requests in flight and the newest store revisions it knows, so that an entry
+ * that is cut off from the store learns of changes from those that are not.
  */
 import type { FleetView } from '../fleet/fleet-view.js';
 import type { RecordDecoder } from '../fleet/record-decoder.js';
@@ -28,32 +28,37 @@
 import type { PeerNews } from './peer-news.js';
 import { pingDelay, REPORT_TICK, reportInterval, reportLifetime, silenceLimit } from './report-rate.js';
 
-/** Longest time between two tries to reach an entry, in milliseconds. */
+/** Longest pause between two attempts to connect to an entry, in milliseconds. */
 const MAX_REDIAL_PAUSE = 4_000;
-/** Time between two tellings of all addresses, to all or to some, in milliseconds. */
+/** Interval at which all known addresses are sent to all or some of the other entries, in milliseconds. */
 const ADDRESS_GOSSIP_INTERVAL = 2_000;
 /**
- * New addresses are told after this, in milliseconds: entries that start together know only the seeds, and fetch
- * weights twice until they know of one another. Several that come up in one moment are told together.
+ * New addresses are sent after this delay, in milliseconds: entries that start together know only the seeds,
+ * and fetch weights twice until they know of one another. Entries that come up within the delay are announced
+ * together.
  */
 const NEWCOMER_GOSSIP_DELAY = 40;
 /**
- * Of two entries that have just learnt of one another, the one whose address sorts last leaves it to the other to connect for
- * this long, in milliseconds. Otherwise both do, and each pair keeps two connections of which one only asks for signs of life:
- * 9,900 of them among 100 entries in place of 4,950. It is above the time that news take to reach all entries of a start.
+ * Of two entries that have just learnt of one another, the one whose address sorts last waits this long for
+ * the other to connect, in milliseconds. Otherwise both connect, and each pair keeps two connections of which
+ * one carries only pings: 9,900 connections among 100 entries instead of 4,950. The delay exceeds the time in
+ * which addresses reach all entries that start together.
  */
 const DIAL_DEFERRAL = 400;
 
 /**
- * A connection that was reset is there again within this, in milliseconds, or the other entry cannot be reached: a look each
- * 150 and a message pair. Such an entry is believed to live for seconds more, but is not to be waited for.
+ * A connection that was reset is restored within this time, in milliseconds, or the other entry is
+ * unreachable: one tick of 150 ms and a pair of messages. Such an entry still counts as live for some
+ * seconds, but must not be waited for.
  */
 const RECONNECT_GRACE = 300;
 
 interface PeerRow {
   address: string;
   connection: Connection | undefined;
-  /** Since when there is none, in milliseconds of the steady clock; undefined while there is one. */
+  /**
+   * Since when there is no connection, in milliseconds of the monotonic clock; undefined while there is one.
+   */
   closedAt: number | undefined;
   isDialling: boolean;
   dialAt: number;
@@ -61,42 +66,50 @@
   reportSentAt: number;
   report: EntryReport | undefined;
   lastReportAt: number;
-  /** Told that its latest report has lapsed. */
+  /** {@link EntryPeersOptions.onExpired} has been called for its latest report. */
   hasExpired: boolean;
-  /** The connection on which it was last sent all news. */
+  /** The connection on which all news was last sent to it. */
   newsSentOn: Connection | undefined;
 }
 
-/** What the peers work with. */
 export interface EntryPeersOptions {
   context: ConnectionContext;
-  /** This entry's address for others. */
+  /** `host:port` at which other entries connect to this one. */
   address: string;
   zone: string;
-  /** Addresses of entries that may be there. */
+  /** Configured addresses at which entries may be running. */
   seeds: readonly string[];
   fleet: FleetView;
   decoder: RecordDecoder;
-  /** False while this entry does not hear the store. */
+  /** False while this entry has no connection to the store. */
   isStoreConnected: () => boolean;
-  /** Time between two tellings of all addresses, in milliseconds. */
+  /** Interval at which all known addresses are sent, in milliseconds. */
   addressGossipInterval?: number;
-  /** Time for which the other of two entries that learn of one another may connect first, in milliseconds. */
+  /**
+   * Time for which one of two entries that learn of one another waits for the other to connect, in
+   * milliseconds.
+   */
   dialDeferral?: number;
-  /** Time after which another entry is asked for what the first has not sent, in milliseconds. */
+  /**
+   * Time without an answer after which another entry is asked for the configuration or the back ends, in
+   * milliseconds.
+   */
   answerTimeout?: number;
   random: Random;
   report: () => EntryReport;
   onReport: (report: EntryReport) => void;
   news: PeerNews;
-  /** Takes what the entry `id` has read of the store. */
+  /** Called with what the entry `id` has read from the store. */
   onStoreNews: (news: StoreNews, id: string) => void;
-  /** The process of this latest report is not heard any more, or another one has started at its address. */
+  /**
+   * Called when the process that sent this latest report is no longer heard, or another has started at its
+   * address.
+   */
   onExpired: (report: EntryReport) => void;
   log: Log;
 }
 
-/** The other entries. */
+/** Connects to the other entries, exchanges reports with them and tracks which are live. */
 export class EntryPeers implements Startable {
   readonly #options: EntryPeersOptions;
   readonly #rows = new Map<string, PeerRow>();
@@ -106,7 +119,7 @@
   #stopped = new AbortController();
   #addressesSentAt = performance.now();
   #newcomerTimer: NodeJS.Timeout | undefined;
-  /** Entries that were heard and of which the others have not been told. */
+  /** Entries that were heard and not yet announced to the others. */
   #newcomers: PeerRow[] = [];
 
   constructor(options: EntryPeersOptions) {
@@ -133,7 +146,7 @@
     for (const { connection } of this.#rows.values()) connection?.close();
   }
 
-  /** Addresses at which entries may be. */
+  /** Adds addresses at which entries may be running. */
   addAddresses(addresses: readonly string[]): void {
     for (const address of addresses) {
       if (address !== this.#options.address && !this.#rows.has(address))
@@ -141,14 +154,14 @@
     }
   }
 
-  /** The latest reports of entries that live. */
+  /** The latest reports of live entries. */
   live(): EntryReport[] {
     const now = performance.now();
     const rows = [...this.#rows.values()].filter((row) => this.#isLive(row, now));
     return rows.flatMap(({ report }) => report ?? []);
   }
 
-  /** The latest reports of entries that live and to which there is a connection, or was a moment ago. */
+  /** The latest reports of live entries that are connected, or were a moment ago. */
   reached(): EntryReport[] {
     const now = performance.now();
     const isReached = ({ closedAt }: PeerRow) => closedAt === undefined || now - closedAt < RECONNECT_GRACE;
@@ -156,7 +169,10 @@
     return rows.flatMap(({ report }) => report ?? []);
   }
 
-  /** What this entry knows of how many entries there are. It forgets none: those that it does not hear may live. */
+  /**
+   * What this entry knows of the number of entries. None is forgotten: those that are not heard may still be
+   * running.
+   */
   known(): EntriesKnown {
     const { address, seeds } = this.#options;
     const knownToOthers = [...this.#rows.values()].map(({ report }) => report?.entriesKnown ?? 0);
@@ -167,7 +183,7 @@
     };
   }
 
-  /** Takes a connection that another entry opened. */
+  /** Accepts a connection opened by another entry. */
   accept(connection: Connection): void {
     const { address } = connection.remote.peer;
     this.addAddresses([address]);
@@ -175,7 +191,7 @@
     if (row !== undefined) this.#useConnection(row, connection);
   }
 
-  /** Tells at once what has changed: all entries, or those of the own zone. */
+  /** Sends a report at once, to all entries or to those of the own zone. */
   announce(audience: 'all' | 'zone'): void {
     const message = this.#encodedReport();
     for (const row of this.#rows.values()) {
@@ -183,7 +199,7 @@
     }
   }
 
-  /** Passes on what was read of the store, to those of the own zone. */
+  /** Forwards what was read from the store to the entries of the own zone. */
   forwardStoreNews(news: StoreNews): void {
     const near = [...this.#rows.values()].filter((row) => this.#isNear(row));
     if (near.length === 0) return;
@@ -205,7 +221,7 @@
       this.#closeIfSilent(row);
       this.#expireIfSilent(row, now);
       if (row.connection?.open !== true) this.#dial(row, now);
-      // Timers are late by some milliseconds.
+      // Allows for timer jitter of some milliseconds.
       else if (now - row.reportSentAt >= reportInterval(this.#isNear(row), this.#rows.size) * 0.9)
         due.push(row);
     }
@@ -217,7 +233,9 @@
     if (now - this.#addressesSentAt >= addressesInterval) this.#gossipAddresses();
   }
 
-  /** A connection may go silent for good, without an end or a reset, while new ones work. */
+  /**
+   * Closes a silent connection: one may go silent for good, without an end or a reset, while new ones work.
+   */
   #closeIfSilent(row: PeerRow): void {
     const { connection, address } = row;
     if (connection === undefined) return;
@@ -225,7 +243,10 @@
     connection.quietTime = pingDelay(isNear, this.#rows.size);
     connection.silenceLimit = silenceLimit(isNear, this.#rows.size);
     if (connection.quietFor <= connection.silenceLimit) return;
-    this.#options.log.info('entry silent', { address, silentMs: Math.round(connection.quietFor) });
+    this.#options.log.info('entry connection silent, closing it', {
+      address,
+      silentMs: Math.round(connection.quietFor),
+    });
     connection.close();
   }
 
@@ -235,7 +256,7 @@
     this.#options.onExpired(row.report);
   }
 
-  /** Tells some entries, in turn by chance, of all that live. */
+  /** Sends the addresses of all live entries to all others, or to some chosen at random. */
   #gossipAddresses(): void {
     this.#addressesSentAt = performance.now();
     const message = this.#encodedAddresses();
@@ -243,7 +264,7 @@
       connection?.sendEncoded(message);
   }
 
-  /** Tells soon that an entry was heard for the first time; those that come meanwhile are told together. */
+  /** Announces a newly heard entry after a short delay, together with those heard meanwhile. */
   #scheduleNewcomerGossip(newcomer: PeerRow): void {
     this.#newcomers.push(newcomer);
     this.#newcomerTimer ??= setTimeout(() => {
@@ -252,7 +273,7 @@
     }, NEWCOMER_GOSSIP_DELAY);
   }
 
-  /** Tells others of the newcomers, and the newcomers of those that they do not know. */
+  /** Announces newcomers to other entries, and sends the newcomers the addresses that they lack. */
   #gossipNewcomers(newcomers: readonly PeerRow[]): void {
     const { context, random } = this.#options;
     const known = this.#rows.size + 1;
@@ -278,7 +299,10 @@
     return encodeForMany(message, this.#options.context);
   }
 
-  /** Only the time in which this process ran counts as the silence of another. */
+  /**
+   * Whether the entry has reported recently. Only time in which this process was running counts as silence of
+   * another.
+   */
   #isLive(row: PeerRow, now: number): boolean {
     const silence = this.#standstills.runningTime(row.lastReportAt, now);
     return silence < reportLifetime(this.#isNear(row), this.#rows.size);
@@ -308,7 +332,7 @@
   }
 
   #useConnection(row: PeerRow, connection: Connection): void {
-    // Both may dial at the same time: the later connection is used for sending, both are heard.
+    // Both may connect at the same time: the later connection is used for sending, both for receiving.
     row.connection = connection;
     row.closedAt = undefined;
     row.dialBackoff.noteSuccess();
@@ -346,7 +370,8 @@
       this.#options.log.info('entry heard', { entry: report.id, address: report.address, zone: report.zone });
       this.#scheduleNewcomerGossip(row);
     }
-    // A process that is back before the former one has lapsed is no newcomer, and knows nothing.
+    // A process that restarts before the report of the previous one expires is not a newcomer, but has no
+    // news.
     if (row.newsSentOn !== connection) this.#sendAllNews(row, connection);
     fleet.clock.note(report.storeTime, now);
     for (const named of report.versions) fleet.takeNamedVersion(named);
@@ -354,7 +379,10 @@
     this.#options.onReport(report);
   }
 
-  /** Sends all news: an entry that has just started or was cut off would otherwise forward requests that others hold back. */
+  /**
+   * Sends all news: an entry that has just started or was cut off would otherwise forward requests that other
+   * entries hold back.
+   */
   #sendAllNews(row: PeerRow, connection: Connection): void {
     row.newsSentOn = connection;
     for (const message of this.#options.news.all()) connection.send(message);
@@ -383,14 +411,17 @@
     if (configuration || backEnds) connection.send({ type: 'fleetWanted', configuration, backEnds });
   }
 
-  /** Place of this entry, from 0, among those of its zone that are reached. */
+  /** Index of this entry in the order of the entries of its zone that are reached. */
   #rankInZone(): number {
     const { address, zone } = this.#options;
     const near = this.reached().filter((report) => report.zone === zone);
     return rendezvousOrder(zone, [address, ...near.map((report) => report.address)]).indexOf(address);
   }
 
-  /** Entries that learn of one another at the same time do not both connect: one lets the other go first. */
+  /**
+   * Adds unknown addresses and connects to them. Of two entries that learn of one another at the same time,
+   * one lets the other connect first.
+   */
   #addAndDial(addresses: readonly string[]): void {
     const unknown = addresses.filter((address) => !this.#rows.has(address));
     if (unknown.length === 0) return;
@@ -424,7 +455,7 @@
   #applyBackEnds({ revision, records }: BackEndListState): void {
     this.#requestGates.backEnds.noteAnswer();
     if (this.#options.isStoreConnected()) return;
-    // The codec carries no undefined.
+    // The codec turns undefined into null.
     const whole = records.map((record) => ({
       ...record,
       start: record.start ?? undefined,
@@ -434,7 +465,7 @@
   }
 }
 
-/** The codec carries no undefined in lists: a row that is gone has no value. */
+/** The codec turns undefined in lists into null: a deleted row has no value. */
 function withoutNulls(news: StoreNews): StoreNews {
   const rows = news.rows.map((row) => ({
     ...row,
--- a/src/peers/fleet-wish.ts
+++ b/src/peers/fleet-wish.ts
@@ -1,37 +1,44 @@
 /**
- * What an entry that lags behind asks others for: the whole configuration, the whole list of back ends. Each is asked of one
- * entry at a time, of the own zone first. All others that report tell of the newer one at the same moment; asked of all, a
- * configuration of 2,100 routes (0.5 MB) came once from each of them and was decoded as often, on links and in a turn that what
- * is due by a time shares: withdrawals, time-outs, signs of life. Where it is on its way already, from the zone's reader of
- * the store, it need not be asked for.
+ * Limits the requests of an entry that lags behind for the whole configuration or the whole list of back
+ * ends. Each is requested from one entry at a time, from the own zone first. All other entries report the
+ * newer one at the same moment; when it was requested from all, a configuration of 2,100 routes (0.5 MB)
+ * arrived once from each and was decoded as often, which delayed time-critical work on the links and the
+ * event loop: withdrawals, time-outs, pings. If it is already on its way from the entry of the zone that
+ * reads the store, it need not be requested at all.
  *
  * ```ts
- * if (wish.mayAsk(connection, { own, isNear, place, now })) connection.send(wanted);
- * // As the answer has come:
- * wish.noteAnswer();
+ * if (gate.tryRequest(connection, { ownRevision, isNear, place, now })) connection.send(wanted);
+ * // Once the answer has arrived:
+ * gate.noteAnswer();
  * ```
  */
 
 /**
- * Another entry is asked where one has not answered in this time, in milliseconds, then in twice, four and eight times that.
- * 0.5 MB take 0.1 s over an entry's link of 40 Mbit/s, and 1 s where ten others are sent them. Where each that waits
- * asks again sooner, copies of one configuration fill the links between regions and none is whole in time.
+ * Another entry is asked if one has not answered within this time, in milliseconds, then within twice, four
+ * and eight times that. 0.5 MB take 0.1 s over an entry's link of 40 Mbit/s, and 1 s if ten others are being
+ * sent the same. If each waiting entry asked again sooner, copies of one configuration would fill the links
+ * between regions and none would be complete in time.
  */
 export const ANSWER_TIMEOUT = 700;
 const MAX_DOUBLINGS = 3;
-/** Time for which what is newer may come by itself before an entry of the own zone is asked for it, in milliseconds:
- * above the way from the store over the zone's reader (0.1 s). */
+/**
+ * An entry of the own zone is asked after this delay, in milliseconds, in which the newer revision may arrive
+ * by itself: it exceeds the time from the store through the zone's reader (0.1 s).
+ */
 const OWN_ZONE_DELAY = 200;
-/** The same before one of another zone is, so that within 2 s of a change a zone that does not hear the store has it. */
+/**
+ * The same delay for entries of other zones: a zone without a connection to the store has a change within 2
+ * s.
+ */
 const OTHER_ZONE_DELAY = 600;
-/** The same where this entry has nothing yet and cannot serve. */
+/** The same delay while this entry has no revision at all and cannot serve. */
 const EMPTY_OTHER_ZONE_DELAY = 250;
 /**
- * Entries of a zone that lag behind together ask other zones this long after one another, in milliseconds: once the first one
- * has the answer, the next ones ask it, and one copy crosses the link between the zones.
+ * Entries of a zone that lag behind together ask other zones at this interval, in milliseconds: once the
+ * first one has the answer, the next ones ask it, and only one copy crosses the link between the zones.
  */
 const OTHER_ZONE_STAGGER = 700;
-/** From this place on all wait equally long. */
+/** From this place on all entries wait equally long. */
 const MAX_STAGGER_STEPS = 2;
 
 /** A connection to an entry that may be asked. */
@@ -39,34 +46,37 @@
   readonly open: boolean;
 }
 
-/** When an entry that has what is newer may be asked. */
+/** What determines whether an entry with a newer revision may be asked. */
 export interface RequestCircumstances {
-  /** The revision that this process has; 0 for none. */
+  /** The revision that this process has; 0 if none. */
   ownRevision: number;
-  /** The entry that may be asked is of the own zone. */
+  /** The entry to ask is in the own zone. */
   isNear: boolean;
-  /** Place of this process among the entries of its zone that take turns in asking other zones; 0 for no turns. */
+  /**
+   * Index of this process among the entries of its zone that take turns in asking other zones; 0 if there are
+   * no turns.
+   */
   place?: number;
-  /** In milliseconds of the steady clock. */
+  /** In milliseconds of the monotonic clock. */
   now: number;
 }
 
-/** One thing that is asked for. */
+/** Limits the requests for one resource. */
 export class FleetRequestGate {
   readonly #answerTimeout: number;
   #asked: AskableConnection | undefined;
   #askedAt = Number.NEGATIVE_INFINITY;
-  /** Entries asked since the latest answer. */
+  /** Entries asked since the last answer. */
   #unanswered = 0;
-  /** Since when something newer than the own revision is known. */
+  /** Since when a revision newer than the own one has been known. */
   #behind = { ownRevision: Number.NaN, since: 0 };
 
-  /** @param answerTimeout - another entry is asked after this without an answer, in milliseconds */
+  /** @param answerTimeout - time without an answer after which another entry is asked, in milliseconds */
   constructor(answerTimeout = ANSWER_TIMEOUT) {
     this.#answerTimeout = answerTimeout;
   }
 
-  /** Whether `connection` is to be asked; it counts as asked then. */
+  /** Whether to send a request on `connection`; if so, the request counts as sent. */
   tryRequest(
     connection: AskableConnection,
     { ownRevision, isNear, place = 0, now }: RequestCircumstances,
@@ -81,13 +91,16 @@
     return true;
   }
 
-  /** What was asked for has come. */
+  /** Records that the answer has arrived. */
   noteAnswer(): void {
     this.#asked = undefined;
     this.#unanswered = 0;
   }
 
-  /** One that has not answered goes after the others, or one that reports often would be asked for ever. */
+  /**
+   * An entry that has not answered is asked again only after the others; otherwise one that reports often
+   * would be asked again and again.
+   */
   #timeoutFor(connection: AskableConnection): number {
     const timeout = this.#answerTimeout * 2 ** Math.min(this.#unanswered - 1, MAX_DOUBLINGS);
     return connection === this.#asked ? 2 * timeout : timeout;
--- a/src/peers/peer-news.ts
+++ b/src/peers/peer-news.ts
@@ -1,6 +1,7 @@
 /**
- * News that entries send one another as it occurs, and in full on each new connection, because an entry that has just started
- * or was cut off has missed it: contents that crash back ends, and rate limits of back ends.
+ * News that entries send one another as it occurs, and in full on each new connection, because an entry that
+ * has just started or was cut off has missed it: request contents that crash back ends, and rate limits of
+ * back ends.
  */
 import type { LimitNews } from '../protocol/limit-news.js';
 import type { Message } from '../protocol/messages.js';
--- a/src/peers/slot-client.ts
+++ b/src/peers/slot-client.ts
@@ -1,4 +1,7 @@
-/** The entry's side of slots: asks agents by datagram, and hands their answers to the requests that wait for them. */
+/**
+ * The entry's side of the slot protocol: requests slots from agents by datagram, and passes the answers to
+ * the waiting requests.
+ */
 import type { EngineSlots, SlotAnswers, SlotClaim, SlotWish } from '../forwarding/engine-slots.js';
 import type { Random } from '../model/random.js';
 import type { Startable } from '../model/startable.js';
@@ -8,8 +11,9 @@
 import { SlotClaims } from '../systems/slot-claims.js';
 
 /**
- * Time between two statements of all that is open at an agent, in milliseconds: a slot whose release was lost is idle
- * for half of it on average, and an entry that uses ten engines sends 100 datagrams a second, each of some 100 bytes.
+ * Interval at which an agent is sent a statement of all open claims, in milliseconds: a slot whose release
+ * was lost stays idle for half of it on average, and an entry that uses ten engines sends 100 datagrams of
+ * some 100 bytes each per second.
  */
 const STATEMENT_INTERVAL = 100;
 
@@ -19,14 +23,14 @@
   isLimited: boolean;
 }
 
-/** Asks for slots. */
+/** Requests and releases slots. */
 export class SlotClient implements EngineSlots, Startable {
   readonly #endpoint: DatagramEndpoint;
   readonly #claims: SlotClaims;
   readonly #openClaims = new Map<number, OpenClaim>();
   #timer: NodeJS.Timeout | undefined;
 
-  /** @param address - `host:port` at which agents answer */
+  /** @param address - `host:port` to which agents send their answers */
   constructor(address: string, context: ConnectionContext, random: Random) {
     this.#claims = new SlotClaims(random);
     this.#endpoint = new DatagramEndpoint(address, context, (message, from) => this.#handle(message, from));
@@ -37,7 +41,7 @@
     this.#timer = setInterval(() => this.#sendStatements(), STATEMENT_INTERVAL);
   }
 
-  /** Gives back all that is open. */
+  /** Releases all open claims. */
   async stop(): Promise<void> {
     clearInterval(this.#timer);
     for (const id of this.#openClaims.keys()) this.#closeClaim(id);
@@ -67,7 +71,7 @@
       this.#endpoint.send(agent, { type: 'slotsStated', ...statement });
   }
 
-  /** Ends a request for a slot; returns who asked. */
+  /** Closes a claim; returns the callbacks of the request that made it. */
   #closeClaim(id: number): SlotAnswers | undefined {
     const open = this.#openClaims.get(id);
     this.#openClaims.delete(id);
@@ -85,7 +89,7 @@
     if (open !== undefined) open.isLimited = isLimited;
     if (this.#claims.noteGranted(id)) return open?.answers.onGranted();
     if (this.#claims.isOpen(id)) return;
-    // It was given up as the grant was on its way, and the release of the claim may have been lost.
+    // The claim was closed while the grant was in flight, and its release may have been lost.
     this.#endpoint.send(from, { type: 'slotReleased', id, wasUsed: false });
   }
 }
--- a/src/peers/slot-server.ts
+++ b/src/peers/slot-server.ts
@@ -1,4 +1,7 @@
-/** The agent's side of slots: answers entries by datagram, from the slot table of the engine beside it. */
+/**
+ * The agent's side of the slot protocol: answers entries by datagram, from the slot table of the engine next
+ * to it.
+ */
 import { Standstills } from '../model/standstills.js';
 import type { Startable } from '../model/startable.js';
 import type { Log } from '../observability/log.js';
@@ -20,10 +23,13 @@
   unready: 'slotUnready',
 } as const;
 
-/** Time between two looks at which entries are still heard, in milliseconds: a third of the silence that ends one. */
+/**
+ * Interval at which silent entries are looked for, in milliseconds: a third of the silence after which an
+ * entry's slots are released.
+ */
 const CHECK_INTERVAL = 100;
 
-/** Gives out the slots of one engine. */
+/** Grants the slots of one engine. */
 export class SlotServer implements Startable {
   readonly #table = new SlotTable();
   readonly #holders = new SlotHolders(this.#table);
@@ -34,7 +40,7 @@
   #loggedRateLimit: number | undefined;
   readonly #endpoint: DatagramEndpoint;
   readonly #log: Log;
-  /** Decisions by what became of the requests, since the start. */
+  /** Number of decisions since the start, by outcome. */
   readonly decisions: Record<SlotDecision['type'], number> = {
     granted: 0,
     queued: 0,
@@ -42,13 +48,13 @@
     unready: 0,
   };
 
-  /** @param address - `host:port` at which entries ask */
+  /** @param address - `host:port` to which entries send their requests */
   constructor(address: string, context: ConnectionContext, log: Log) {
     this.#log = log;
     this.#endpoint = new DatagramEndpoint(address, context, (message, from) => this.#handle(message, from));
   }
 
-  /** Where the slots are. */
+  /** How the slots are used. */
   get figures(): SlotFigures {
     return this.#table.figures;
   }
@@ -64,7 +70,7 @@
     this.#timer = setInterval(() => this.#checkHolders(), CHECK_INTERVAL);
   }
 
-  /** Sends those that wait elsewhere. */
+  /** Refuses all waiting requests, so that they are sent elsewhere. */
   async stop(): Promise<void> {
     clearInterval(this.#timer);
     clearTimeout(this.#grantTimer);
@@ -72,7 +78,7 @@
     await this.#endpoint.stop();
   }
 
-  /** Takes what the agent has read of its engine; undefined where that did not answer. */
+  /** Applies the engine's state; undefined if the engine did not answer. */
   observe(engine: ObservedEngine | undefined): void {
     this.#sendDecisions(
       engine === undefined ? this.#table.lose() : this.#table.observe(engine, performance.now()),
