--- a/src/peers/entry-link.ts
+++ b/src/peers/entry-link.ts
@@ -82,8 +82,8 @@
       const tries = this.#candidates().map(async (address, place) => {
         await sleep(place * DIAL_STAGGER, round);
         if (round.aborted) return;
-        const limit = withLimit(round, this.#dialBackoff.timeout);
-        const connected = await connect(address, this.#options.context, limit);
+        const dialSignal = withLimit(round, this.#dialBackoff.timeout);
+        const connected = await connect(address, this.#options.context, dialSignal);
         if (!connected.ok) return;
         if (round.aborted) return connected.value.close();
         others.abort();
--- a/src/peers/entry-peers.ts
+++ b/src/peers/entry-peers.ts
@@ -229,8 +229,8 @@
       const message = this.#encodedReport();
       for (const row of due) this.#sendReport(row, message);
     }
-    const { addressGossipInterval: addressesInterval = ADDRESS_GOSSIP_INTERVAL } = this.#options;
-    if (now - this.#addressesSentAt >= addressesInterval) this.#gossipAddresses();
+    const { addressGossipInterval = ADDRESS_GOSSIP_INTERVAL } = this.#options;
+    if (now - this.#addressesSentAt >= addressGossipInterval) this.#gossipAddresses();
   }
 
   /**
@@ -319,8 +319,8 @@
   #dial(row: PeerRow, now: number): void {
     if (row.isDialling || now < row.dialAt) return;
     row.isDialling = true;
-    const limit = withLimit(this.#stopped.signal, row.dialBackoff.timeout);
-    void connect(row.address, this.#options.context, limit).then((connected) => {
+    const dialSignal = withLimit(this.#stopped.signal, row.dialBackoff.timeout);
+    void connect(row.address, this.#options.context, dialSignal).then((connected) => {
       row.isDialling = false;
       if (!connected.ok) {
         row.dialAt = performance.now() + row.dialBackoff.noteFailure();
@@ -360,9 +360,9 @@
   #onReport(row: PeerRow, connection: Connection, report: EntryReport): void {
     const now = performance.now();
     const isNewcomer = !this.#isLive(row, now);
-    const { fleet, onExpired: onLapsed } = this.#options;
+    const { fleet, onExpired } = this.#options;
     const isNewProcess = row.report?.id !== report.id;
-    if (row.report !== undefined && isNewProcess && !row.hasExpired) onLapsed(row.report);
+    if (row.report !== undefined && isNewProcess && !row.hasExpired) onExpired(row.report);
     row.lastReportAt = now;
     row.report = report;
     row.hasExpired = false;
--- a/test/peers/configuration-copies.test.ts
+++ b/test/peers/configuration-copies.test.ts
@@ -17,7 +17,7 @@
 
 const LAGGING = 4;
 /** The next in turn asks as well where the first one has no answer in its time. */
-const MOST_COPIES = 2;
+const MAX_COPIES = 2;
 
 const started: Array<{ stop(): Promise<void> }> = [];
 
@@ -108,5 +108,5 @@
   takeRevision(far.fleet, 2);
   far.peers.announce('all');
   await until(() => all.every(({ fleet }) => fleet.configurationRevision === 2), 'the newer configuration');
-  expect(far.fleet.copies).toBeLessThanOrEqual(MOST_COPIES);
+  expect(far.fleet.copies).toBeLessThanOrEqual(MAX_COPIES);
 });
--- a/test/peers/engine-agents.test.ts
+++ b/test/peers/engine-agents.test.ts
@@ -17,12 +17,12 @@
 };
 
 /** Agents of which one has told `report`. */
-function agentsTold(report: EngineReport): { agents: EngineAgents } {
-  let tell: (message: Message) => void = () => {};
+function agentsWithReport(report: EngineReport): { agents: EngineAgents } {
+  let deliver: (message: Message) => void = () => {};
   const connection = {
     remote: { peer: { id: 'agent', address: 'agent' } },
     handleMessages: (handler: (message: Message) => void) => {
-      tell = handler;
+      deliver = handler;
     },
     send: () => true,
   } as unknown as Connection;
@@ -31,31 +31,31 @@
     () => {},
   );
   agents.accept(connection);
-  tell({ type: 'engineReport', report });
+  deliver({ type: 'engineReport', report });
   return { agents };
 }
 
 /** Resolves `milliseconds` later at the soonest. */
-async function passed(milliseconds: number): Promise<void> {
+async function waitAtLeast(milliseconds: number): Promise<void> {
   const endsAt = performance.now() + milliseconds;
   while (performance.now() < endsAt) await new Promise((resolve) => setTimeout(resolve, 5));
 }
 
 it('the time to a switch grows shorter until it is passed on', async () => {
-  const { agents } = agentsTold(REPORT);
-  await passed(100);
+  const { agents } = agentsWithReport(REPORT);
+  await waitAtLeast(100);
   expect(agents.reports()[0].switchesIn).toBeLessThanOrEqual(400);
   expect(agents.reports()[0].switchesIn).toBeGreaterThanOrEqual(0);
 });
 
 it('a switch that was due meanwhile is due at once', async () => {
-  const { agents } = agentsTold({ ...REPORT, switchesIn: 20 });
-  await passed(40);
+  const { agents } = agentsWithReport({ ...REPORT, switchesIn: 20 });
+  await waitAtLeast(40);
   expect(agents.reports()[0].switchesIn).toBe(0);
 });
 
 it('no switch stays none', async () => {
-  const { agents } = agentsTold({ ...REPORT, switchesIn: undefined });
-  await passed(5);
+  const { agents } = agentsWithReport({ ...REPORT, switchesIn: undefined });
+  await waitAtLeast(5);
   expect(agents.reports()[0].switchesIn).toBeUndefined();
 });
--- a/test/peers/entry-link.test.ts
+++ b/test/peers/entry-link.test.ts
@@ -9,7 +9,7 @@
 import { contextAt, until } from '../support.js';
 
 /** An agent and its entry must hear one another again this long after, in milliseconds. */
-const HEARD_WITHIN = 2_800;
+const RECOVERY_LIMIT = 2_800;
 
 const REPORT: EngineReport = {
   address: '127.0.0.1:1',
@@ -58,5 +58,5 @@
   const silentAt = performance.now();
   bound = 2;
   await until(() => told === 2 && reported === 2, 'both again');
-  expect(performance.now() - silentAt).toBeLessThan(HEARD_WITHIN);
+  expect(performance.now() - silentAt).toBeLessThan(RECOVERY_LIMIT);
 });
--- a/test/peers/entry-peers.test.ts
+++ b/test/peers/entry-peers.test.ts
@@ -20,7 +20,7 @@
 import { NO_NEWS, until } from '../support.js';
 
 /** Entries must hear one another again this long after their connections went silent, in milliseconds. */
-const HEARD_WITHIN = 2_800;
+const RECOVERY_LIMIT = 2_800;
 
 const started: Array<{ stop(): Promise<void> }> = [];
 
@@ -58,7 +58,7 @@
   /** Its newest configuration. */
   revision?: () => number;
   onReport?: (report: EntryReport) => void;
-  onLapsed?: (report: EntryReport) => void;
+  onExpired?: (report: EntryReport) => void;
   /** Another entry has connected. */
   onAccepted?: () => void;
   dialDeferral?: number;
@@ -75,7 +75,7 @@
     zone = 'zone-a',
     revision = () => 0,
     onReport = () => {},
-    onLapsed = () => {},
+    onExpired = () => {},
     onAccepted = () => {},
     dialDeferral,
     fleet = new FleetView(),
@@ -107,7 +107,7 @@
     onReport,
     news,
     onStoreNews: () => {},
-    onExpired: onLapsed,
+    onExpired,
     log: silentLog,
   });
   const listener = new ConnectionListener(
@@ -187,16 +187,16 @@
 
 it('an entry that is heard no more is told of once, and one that starts again at its address replaces it', async () => {
   const [one, two] = await Promise.all([freeAddress(), freeAddress()]);
-  const lapsed: string[] = [];
-  const first = await startEntry('one', one, [two], { onLapsed: ({ id }) => lapsed.push(id) });
+  const expired: string[] = [];
+  const first = await startEntry('one', one, [two], { onExpired: ({ id }) => expired.push(id) });
   const second = await startEntry('two#1', two, [one]);
   await until(() => first.live().length === 1, 'the first to hear the second');
   await second.stop();
   await started.splice(2, 1)[0].stop();
   await startEntry('two#2', two, [one]);
-  await until(() => lapsed.length > 0, 'the end of the former process');
+  await until(() => expired.length > 0, 'the end of the former process');
   await until(() => first.live().some(({ id }) => id === 'two#2'), 'its successor');
-  expect(lapsed).toEqual(['two#1']);
+  expect(expired).toEqual(['two#1']);
 });
 
 it('an entry that cannot be connected to any more is not reached, though it is believed to live', async () => {
@@ -243,6 +243,6 @@
     const silentAt = performance.now();
     revision = 2;
     await until(() => heard === 2, 'the newer report');
-    expect(performance.now() - silentAt).toBeLessThan(HEARD_WITHIN);
+    expect(performance.now() - silentAt).toBeLessThan(RECOVERY_LIMIT);
   });
 });
--- a/test/weights/drop-on-old-plan.test.ts
+++ b/test/weights/drop-on-old-plan.test.ts
@@ -16,9 +16,9 @@
 const LAYERS = 16;
 const PIECES = 4;
 /** The last wave goes this long after the naming, in milliseconds. */
-const TURN = 6_400;
+const LATEST_SWITCH = 6_400;
 /** An entry tells its plan every 0.7 s: one that is this much older says nothing of the others' room. */
-const SILENT_FOR = 2_500;
+const PLAN_AGE = 2_500;
 
 const pieceOf = (version: number, index: number) =>
   Buffer.from(`piece ${index} of version ${version}`.padEnd(32));
@@ -28,7 +28,7 @@
   return { model: 'm', version, pieceBytes: 32, digests };
 }
 
-const noOrigin: PieceOrigin = {
+const unavailableOrigin: PieceOrigin = {
   manifest: async () => failure({ type: 'sourceFailed', reason: 'away' }),
   piece: async () => failure({ type: 'sourceFailed', reason: 'away' }),
 };
@@ -80,13 +80,13 @@
     onEngineState: () => {},
     library: new WeightsLibrary(),
     objects: await objectsWith(2),
-    originAt: () => noOrigin,
+    originAt: () => unavailableOrigin,
     sendReport: () => {},
     random: seededRandom(5),
     log: silentLog,
   });
   const plan: WeightsPlan = {
-    versions: [{ model: 'm', version: 2, notBefore: performance.now() - (TURN - SILENT_FOR) }],
+    versions: [{ model: 'm', version: 2, notBefore: performance.now() - (LATEST_SWITCH - PLAN_AGE) }],
     storeTime: performance.now(),
     bound: 8_000,
     origin: 'origin',
@@ -98,11 +98,11 @@
     hasNearEntry: false,
   };
   await loader.start();
-  const toldAt = performance.now();
+  const planAppliedAt = performance.now();
   loader.applyPlan(plan);
   await until(() => engine.running.length === 1, 'the order');
-  const age = performance.now() - toldAt;
+  const age = performance.now() - planAppliedAt;
   await loader.stop();
-  expect(age).toBeGreaterThan(SILENT_FOR - 500);
+  expect(age).toBeGreaterThan(PLAN_AGE - 500);
   expect(engine.running).toEqual(['finish']);
 });
--- a/test/weights/engine-restart.test.ts
+++ b/test/weights/engine-restart.test.ts
@@ -26,7 +26,7 @@
   return { model: 'm', version, pieceBytes: 32, digests };
 }
 
-function wholeWeights(version: number): HeldWeights {
+function completeWeights(version: number): HeldWeights {
   const held = new HeldWeights(manifestOf(version));
   for (let index = 0; index < PIECES; index++) held.add(index, pieceOf(version, index));
   return held;
@@ -34,42 +34,42 @@
 
 /** An engine that loses everything when it starts again. */
 class RestartingEngine implements StagedEngine {
-  present = 100;
+  currentStart = 100;
   layers: EngineState['layers'];
   load = 0;
   sequence = 0;
   stagePuts = 0;
-  readonly stageArea = new Map<number, Buffer>();
+  readonly stagedPieces = new Map<number, Buffer>();
   /** Each order, with the start that took or refused it. */
-  readonly orders: Array<{ start: number; version: number; isWhole: boolean }> = [];
+  readonly orders: Array<{ start: number; version: number; isComplete: boolean }> = [];
 
   restart(): void {
-    this.present += 100;
+    this.currentStart += 100;
     this.layers = undefined;
     this.load = 0;
     this.sequence = 0;
-    this.stageArea.clear();
+    this.stagedPieces.clear();
   }
 
   async state() {
-    const { present: start, layers, load, sequence } = this;
+    const { currentStart: start, layers, load, sequence } = this;
     return success({ start, model: 'm', layers, isBusy: false, load, sequence });
   }
 
   async stage(_model: string, index: number, bytes: Buffer) {
     this.stagePuts++;
-    this.stageArea.set(index, bytes);
+    this.stagedPieces.set(index, bytes);
     return success(undefined);
   }
 
   async staged(_model: string, index: number) {
-    return success(this.stageArea.get(index));
+    return success(this.stagedPieces.get(index));
   }
 
   async start({ version, expectedSequence }: StartOrder) {
     const pieces = Array.from({ length: PIECES }, (_, index) => index);
-    const isWhole = pieces.every((index) => this.stageArea.get(index)?.equals(pieceOf(version, index)));
-    this.orders.push({ start: this.present, version, isWhole });
+    const isComplete = pieces.every((index) => this.stagedPieces.get(index)?.equals(pieceOf(version, index)));
+    this.orders.push({ start: this.currentStart, version, isComplete });
     if (expectedSequence !== this.sequence) return success({ type: 'refused', status: 409 } as const);
     this.sequence++;
     this.layers = { from: 0, end: LAYERS, version };
@@ -83,7 +83,7 @@
   it('is filled anew where the engine started again, also while it was being filled', async () => {
     const engine = new RestartingEngine();
     const stage = new EngineStage(engine, silentLog);
-    const held = wholeWeights(1);
+    const held = completeWeights(1);
     await stage.fill(held, signal());
     await stage.fill(held, signal());
     expect(engine.stagePuts).toBe(PIECES);
@@ -227,8 +227,8 @@
     expect(first).toMatchObject({ version: 0, load: 0, follows: 100 });
     await until(() => reports.at(-1)?.version === 1, 'the version at the new start');
     expect(engine.orders).toEqual([
-      { start: 100, version: 1, isWhole: true },
-      { start: 200, version: 1, isWhole: true },
+      { start: 100, version: 1, isComplete: true },
+      { start: 200, version: 1, isComplete: true },
     ]);
     expect(engine.stagePuts).toBe(2 * PIECES);
     // Its stage was filled as an empty one, not found bad piece by piece.
--- a/test/weights/entry-sources.test.ts
+++ b/test/weights/entry-sources.test.ts
@@ -71,7 +71,7 @@
 /** Guards against links between regions on which everything else waits behind pieces of weights. */
 describe('what is asked of one entry at a time', () => {
   /** Bytes that are on their way from each holder at the most. */
-  function bytesOnTheirWay(pieceBytes: number): Record<string, number> {
+  function bytesInFlight(pieceBytes: number): Record<string, number> {
     const sources = sourcesOf({ manifest: { ...manifest, pieceBytes } });
     const wanted = Array.from({ length: PIECES }, (_, index) => index);
     const bytesOf = ({ nextBatch, concurrency }: PieceSource) =>
@@ -81,13 +81,13 @@
 
   it('takes a link between regions of 30 Mbit/s for less than a tenth of a second', () => {
     const most = (30_000_000 / 8) * 0.1;
-    expect(bytesOnTheirWay(49_152)['entry far:1']).toBeLessThan(most);
-    expect(bytesOnTheirWay(32)['entry far:1']).toBe(PIECES * 32);
+    expect(bytesInFlight(49_152)['entry far:1']).toBeLessThan(most);
+    expect(bytesInFlight(32)['entry far:1']).toBe(PIECES * 32);
   });
 
   it('is one piece where a piece is larger, and more inside a zone', () => {
-    expect(bytesOnTheirWay(1_000_000)['entry far:1']).toBe(1_000_000);
-    expect(bytesOnTheirWay(49_152)['entry near:1']).toBe(2 * PIECES * 49_152);
+    expect(bytesInFlight(1_000_000)['entry far:1']).toBe(1_000_000);
+    expect(bytesInFlight(49_152)['entry near:1']).toBe(2 * PIECES * 49_152);
   });
 });
 
@@ -96,7 +96,7 @@
   const never = () => ({ ok: false, error: { type: 'sourceFailed', reason: 'none' } }) as const;
 
   /** The first piece that the origin would be asked for. */
-  function drawnFirst(drawing: number[], quietFor: number): number[] {
+  function firstDrawn(drawing: number[], sinceLastPiece: number): number[] {
     const other = { ...holder('far', 'zone-b'), have: new ChunkSet(PIECES), drawing };
     const sources = entrySources({
       self: { id: 'self', zone: 'zone-a' },
@@ -109,18 +109,18 @@
       stored: new Set(),
       origin,
       isServed: false,
-      sinceLastPiece: quietFor,
+      sinceLastPiece,
     });
     const wanted = Array.from({ length: PIECES }, (_, index) => index);
     return sources.find(({ isOrigin }) => isOrigin)!.nextBatch(wanted);
   }
 
   it('is left to it while anything comes', () => {
-    expect(drawnFirst([], 0)).toEqual([0]);
-    expect(drawnFirst([0, 1, 2], 0)).toEqual([3]);
+    expect(firstDrawn([], 0)).toEqual([0]);
+    expect(firstDrawn([0, 1, 2], 0)).toEqual([3]);
   });
 
   it('is drawn beside it where nothing comes any more', () => {
-    expect(drawnFirst([0, 1, 2], 1_000)).toEqual([0]);
+    expect(firstDrawn([0, 1, 2], 1_000)).toEqual([0]);
   });
 });
--- a/test/weights/object-puts.test.ts
+++ b/test/weights/object-puts.test.ts
@@ -34,13 +34,13 @@
 class SlowStore extends MemoryStore {
   most = 0;
   parts = 0;
-  #underWay = 0;
+  #inProgress = 0;
 
   override async put(...call: Parameters<MemoryStore['put']>) {
-    this.most = Math.max(this.most, ++this.#underWay);
+    this.most = Math.max(this.most, ++this.#inProgress);
     await pause(PUT_TIME);
     const outcome = await super.put(...call);
-    this.#underWay--;
+    this.#inProgress--;
     this.parts++;
     return outcome;
   }
--- a/test/weights/weights.test.ts
+++ b/test/weights/weights.test.ts
@@ -92,7 +92,7 @@
     const failing = source('failing', {
       fetch: async () => failure({ type: 'sourceFailed', reason: 'down' }),
     });
-    const dear = source('dear', {
+    const expensive = source('expensive', {
       patience: 200,
       nextBatch: (wanted) => wanted.slice(0, 1),
       fetch: async (batch) => {
@@ -101,7 +101,7 @@
       },
     });
     const startedAt = performance.now();
-    const held = await fetchAll([failing, dear]);
+    const held = await fetchAll([failing, expensive]);
     expect(held.complete).toBe(true);
     expect(asked).toBe(PIECES);
     // Waiting for its patience before each piece would take twelve times as long.
@@ -117,7 +117,7 @@
         return success(pieceOf(1, index));
       },
     };
-    const elsewhere = source('peer', {
+    const peer = source('peer', {
       nextBatch: (wanted) => wanted.filter((index) => index < 6).slice(0, 2),
     });
     const fromOrigin = originSource({
@@ -129,7 +129,7 @@
       mayDraw: (index) => index >= 6,
       offset: 9,
     });
-    const held = await fetchAll([elsewhere, fromOrigin]);
+    const held = await fetchAll([peer, fromOrigin]);
     expect(held.complete).toBe(true);
     expect(drawn[0]).toBe(9);
     expect(drawn.sort((a, b) => a - b)).toEqual([6, 7, 8, 9, 10, 11]);
@@ -190,35 +190,35 @@
 
 /** An engine with a stage, whose pieces can turn bad. */
 class FakeEngine implements StagedEngine {
-  readonly stageArea = new Map<number, Buffer>();
+  readonly stagedPieces = new Map<number, Buffer>();
   readonly orders: number[] = [];
   /** What became of running requests with each order. */
   readonly running: StartOrder['running'][] = [];
   /** Looks at the engine for which an order keeps it busy. */
-  busyLooks = 0;
+  busyPolls = 0;
   layers: EngineState['layers'];
-  badOnce = new Set<number>();
+  corruptedOnce = new Set<number>();
 
   async state() {
-    const isBusy = this.busyLooks > 0;
-    if (isBusy) this.busyLooks--;
+    const isBusy = this.busyPolls > 0;
+    if (isBusy) this.busyPolls--;
     const layers = isBusy ? { from: 0, end: 0, version: 0 } : this.layers;
     return success({ model: 'm', layers, isBusy, load: 0, sequence: this.orders.length });
   }
 
   async stage(_model: string, index: number, bytes: Buffer) {
-    this.stageArea.set(index, this.badOnce.delete(index) ? Buffer.from('rotten') : bytes);
+    this.stagedPieces.set(index, this.corruptedOnce.delete(index) ? Buffer.from('rotten') : bytes);
     return success(undefined);
   }
 
   async staged(_model: string, index: number) {
-    return success(this.stageArea.get(index));
+    return success(this.stagedPieces.get(index));
   }
 
   async start({ version, running }: StartOrder) {
     this.running.push(running);
     const isWhole = Array.from({ length: PIECES }, (_, index) => index).every((index) =>
-      this.stageArea.get(index)?.equals(pieceOf(version, index)),
+      this.stagedPieces.get(index)?.equals(pieceOf(version, index)),
     );
     if (!isWhole) throw new Error('ordered to take bad pieces');
     this.orders.push(version);
@@ -338,7 +338,7 @@
 
   it('mends pieces that turned bad in the stage before it orders', async () => {
     const engine = new FakeEngine();
-    engine.badOnce = new Set([3, 7]);
+    engine.corruptedOnce = new Set([3, 7]);
     await run(engine, planOf([[1, 1_000_000_000]]), () => engine.orders.length > 0);
     expect(engine.orders).toEqual([1]);
   });
@@ -356,7 +356,7 @@
     const engine = new FakeEngine();
     engine.layers = { from: 0, end: 16, version: 1 };
     engine.start = async (order) => {
-      engine.busyLooks = 8;
+      engine.busyPolls = 8;
       // The next version leaves the one that was ordered out of the plan.
       later!();
       return FakeEngine.prototype.start.call(engine, order);
@@ -386,9 +386,9 @@
     const first = reports.findIndex(({ isReached }) => isReached);
     expect(reports.slice(first).every(({ isReached }) => isReached)).toBe(true);
     // From the notice until it holds the version it takes nothing, whatever is wanted meanwhile.
-    const noticed = reports.findIndex(({ isSwitching }) => isSwitching);
+    const firstSwitching = reports.findIndex(({ isSwitching }) => isSwitching);
     const held = reports.findIndex(({ version }) => version === 2);
-    expect(reports.slice(noticed, held).every(({ isSwitching }) => isSwitching)).toBe(true);
+    expect(reports.slice(firstSwitching, held).every(({ isSwitching }) => isSwitching)).toBe(true);
   });
 
   it('goes over in time though nobody has the manifest of what it holds', async () => {
