--- a/test/peers/configuration-copies.test.ts
+++ b/test/peers/configuration-copies.test.ts
@@ -1,4 +1,7 @@
-/** Guards against filling the links between zones with one copy of the configuration for each entry that lags behind. */
+/**
+ * Guards against links between zones that are saturated by a copy of the configuration for each entry that
+ * lags behind.
+ */
 import { afterEach, expect, it } from 'vitest';
 import { freeAddress } from '../../bench/processes/child.js';
 import { FleetView } from '../../src/fleet/fleet-view.js';
@@ -16,7 +19,7 @@
 import { NO_NEWS, until } from '../support.js';
 
 const LAGGING = 4;
-/** The next in turn asks as well where the first one has no answer in its time. */
+/** The next entry in turn asks too if the first one has no answer in time. */
 const MAX_COPIES = 2;
 
 const started: Array<{ stop(): Promise<void> }> = [];
@@ -25,7 +28,7 @@
   for (const part of started.splice(0).reverse()) await part.stop();
 });
 
-/** Counts how often the document is sent to others. */
+/** Counts how often the document is sent to other entries. */
 class CountingFleet extends FleetView {
   copies = 0;
   isCounting = false;
@@ -37,7 +40,7 @@
   }
 }
 
-/** Once to see that there is one, once to send it. */
+/** One read to check that there is a document, one to send it. */
 const READS_PER_COPY = 2;
 
 function takeRevision(fleet: FleetView, revision: number): void {
@@ -97,7 +100,7 @@
   return { fleet, peers };
 }
 
-it('a zone whose entries all lag behind gets no copy of the configuration for each from another zone', async () => {
+it('entries of a zone that all lag behind do not each fetch the configuration from another zone', async () => {
   const addresses = await Promise.all(Array.from({ length: LAGGING + 1 }, () => freeAddress()));
   const [farAddress, ...nearAddresses] = addresses;
   const far = await startEntry('zone-b', farAddress, addresses);
--- a/test/peers/dialling.test.ts
+++ b/test/peers/dialling.test.ts
@@ -1,8 +1,8 @@
-/** How often and for how long an entry is tried. */
+/** Time-outs and pauses of the attempts to connect to an entry. */
 import { expect, it } from 'vitest';
 import { DialBackoff } from '../../src/peers/dialling.js';
 
-it('a machine that comes back is tried anew soon, and several times before one that answers nothing would be given up', () => {
+it('an entry that does not answer is tried several times within a second', () => {
   const backoff = new DialBackoff(4_000);
   let elapsed = 0;
   let tries = 0;
@@ -13,7 +13,7 @@
   expect(tries).toBeGreaterThanOrEqual(3);
 });
 
-it('every limit is one that a signal can be given', () => {
+it('every time-out is valid for an abort signal', () => {
   const backoff = new DialBackoff(4_000);
   for (let tries = 0; tries < 12; tries++) {
     expect(AbortSignal.timeout(backoff.timeout).aborted).toBe(false);
@@ -21,7 +21,7 @@
   }
 });
 
-it('tries become longer and rarer, up to their bounds, until one is answered', () => {
+it('attempts become longer and less frequent, up to their bounds, until one succeeds', () => {
   const backoff = new DialBackoff(400);
   const first = backoff.timeout;
   const pauses = Array.from({ length: 10 }, () => backoff.noteFailure());
--- a/test/peers/engine-agents.test.ts
+++ b/test/peers/engine-agents.test.ts
@@ -1,4 +1,4 @@
-/** What an entry passes on of the agents that are connected to it. */
+/** What an entry forwards of the reports of its agents. */
 import { expect, it } from 'vitest';
 import { EngineAgents } from '../../src/peers/engine-agents.js';
 import type { Connection } from '../../src/protocol/connection.js';
@@ -16,7 +16,7 @@
   held: [],
 };
 
-/** Agents of which one has told `report`. */
+/** Agents of which one has sent `report`. */
 function agentsWithReport(report: EngineReport): { agents: EngineAgents } {
   let deliver: (message: Message) => void = () => {};
   const connection = {
@@ -35,26 +35,26 @@
   return { agents };
 }
 
-/** Resolves `milliseconds` later at the soonest. */
+/** Resolves after at least `milliseconds`. */
 async function waitAtLeast(milliseconds: number): Promise<void> {
   const endsAt = performance.now() + milliseconds;
   while (performance.now() < endsAt) await new Promise((resolve) => setTimeout(resolve, 5));
 }
 
-it('the time to a switch grows shorter until it is passed on', async () => {
+it('the time until a switch is reduced by the age of the report', async () => {
   const { agents } = agentsWithReport(REPORT);
   await waitAtLeast(100);
   expect(agents.reports()[0].switchesIn).toBeLessThanOrEqual(400);
   expect(agents.reports()[0].switchesIn).toBeGreaterThanOrEqual(0);
 });
 
-it('a switch that was due meanwhile is due at once', async () => {
+it('a switch that has become due is reported as due now', async () => {
   const { agents } = agentsWithReport({ ...REPORT, switchesIn: 20 });
   await waitAtLeast(40);
   expect(agents.reports()[0].switchesIn).toBe(0);
 });
 
-it('no switch stays none', async () => {
+it('a report without a switch stays without one', async () => {
   const { agents } = agentsWithReport({ ...REPORT, switchesIn: undefined });
   await waitAtLeast(5);
   expect(agents.reports()[0].switchesIn).toBeUndefined();
--- a/test/peers/entry-link.test.ts
+++ b/test/peers/entry-link.test.ts
@@ -1,4 +1,4 @@
-/** An agent's link to an entry whose connections go silent without a reset. */
+/** An agent's link to an entry when connections go silent without a reset. */
 import { afterEach, expect, it } from 'vitest';
 import { seededRandom } from '../../src/model/random.js';
 import { EngineAgents } from '../../src/peers/engine-agents.js';
@@ -8,7 +8,7 @@
 import { SilentProxy } from '../silent-proxy.js';
 import { contextAt, until } from '../support.js';
 
-/** An agent and its entry must hear one another again this long after, in milliseconds. */
+/** Agent and entry must receive one another's messages again within this time, in milliseconds. */
 const RECOVERY_LIMIT = 2_800;
 
 const REPORT: EngineReport = {
@@ -28,7 +28,7 @@
   for (const part of started.splice(0).reverse()) await part.stop();
 });
 
-it('an agent and its entry hear one another soon after their connection went silent', async () => {
+it('an agent and its entry exchange messages again soon after their connection went silent', async () => {
   const entry = await contextAt('entry', 'place-a', 'entry');
   const agent = await contextAt('agent');
   let bound = 1;
--- a/test/peers/entry-peers.test.ts
+++ b/test/peers/entry-peers.test.ts
@@ -1,4 +1,4 @@
-/** Entries that find one another. */
+/** How entries find one another, exchange reports and detect lost peers. */
 import { setTimeout as pause } from 'node:timers/promises';
 import { afterEach, describe, expect, it } from 'vitest';
 import { freeAddress } from '../../bench/processes/child.js';
@@ -19,7 +19,10 @@
 import { SilentProxy } from '../silent-proxy.js';
 import { NO_NEWS, until } from '../support.js';
 
-/** Entries must hear one another again this long after their connections went silent, in milliseconds. */
+/**
+ * Entries must receive one another's reports again within this time after their connections went silent, in
+ * milliseconds.
+ */
 const RECOVERY_LIMIT = 2_800;
 
 const started: Array<{ stop(): Promise<void> }> = [];
@@ -28,7 +31,7 @@
   for (const part of started.splice(0).reverse()) await part.stop();
 });
 
-/** Entries that each one says to know, by reports made up here. */
+/** Number of known entries in the reports made up here. */
 const KNOWN_ELSEWHERE = 5;
 
 function reportOf(id: string, address: string): EntryReport {
@@ -52,10 +55,10 @@
 }
 
 interface EntryInit {
-  /** Where it listens; at the address that it tells, where nothing is said. */
+  /** Where it listens; by default at the address that it announces. */
   listensAt?: string;
   zone?: string;
-  /** Its newest configuration. */
+  /** The revision of its configuration. */
   revision?: () => number;
   onReport?: (report: EntryReport) => void;
   onExpired?: (report: EntryReport) => void;
@@ -100,7 +103,7 @@
     decoder: {} as RecordDecoder,
     isStoreConnected: () => true,
     random: seededRandom(1),
-    // None are told in their turn while this test runs.
+    // Addresses are not sent periodically while this test runs.
     addressGossipInterval: 3_600_000,
     dialDeferral,
     report: () => ({ ...reportOf(id, address), zone, configurationRevision: revision() }),
@@ -125,7 +128,7 @@
   return peers;
 }
 
-it('entries that know only a seed hear one another as soon as the seed has heard them', async () => {
+it('entries that know only a seed hear one another soon after the seed has heard them', async () => {
   const [seed, one, two] = await Promise.all([freeAddress(), freeAddress(), freeAddress()]);
   const first = await startEntry('one', one, [seed]);
   const second = await startEntry('two', two, [seed]);
@@ -141,12 +144,12 @@
   const onAccepted = () => void accepted++;
   const hub = await startEntry('seed', seed, [], { onAccepted });
   const others = await Promise.all(
-    // However slow this machine is, the others have connected by then.
+    // On a machine of any speed, the others have connected by then.
     addresses.map((address) => startEntry(address, address, [seed], { onAccepted, dialDeferral: 20_000 })),
   );
   const all = [hub, ...others];
   await until(() => all.every((entry) => entry.live().length === others.length), 'all to hear all');
-  // Whoever would connect besides does so with the next look.
+  // Any additional connection would be opened on the next tick.
   await pause(600);
   expect(accepted).toBe((all.length * (all.length - 1)) / 2);
 });
@@ -163,14 +166,14 @@
   await until(() => fleet.isConfigurationBehind, 'the news of a newer configuration');
 });
 
-it('an entry that starts is sent all news, and so is the next process at its address', async () => {
+it('an entry that starts receives all news, and so does the next process at its address', async () => {
   const [one, two] = await Promise.all([freeAddress(), freeAddress()]);
   const known: PoisonNews = { type: 'notTried', fingerprint: 'f' };
   const none = { takeNews: () => {}, allNews: () => [] };
   await startEntry('one', one, [two], {
     news: new PeerNews({ takeNews: () => {}, allNews: () => [known] }, none),
   });
-  /** Starts the other entry and waits until it has been sent the news. */
+  /** Starts the other entry and waits until it has received the news. */
   const hears = async (id: string) => {
     const taken: PoisonNews[] = [];
     const poison = { takeNews: (news: PoisonNews) => void taken.push(news), allNews: () => [] };
@@ -185,7 +188,7 @@
   await hears('two#2');
 });
 
-it('an entry that is heard no more is told of once, and one that starts again at its address replaces it', async () => {
+it('the expiry of an entry is reported once, and an entry that restarts at its address replaces it', async () => {
   const [one, two] = await Promise.all([freeAddress(), freeAddress()]);
   const expired: string[] = [];
   const first = await startEntry('one', one, [two], { onExpired: ({ id }) => expired.push(id) });
@@ -199,7 +202,7 @@
   expect(expired).toEqual(['two#1']);
 });
 
-it('an entry that cannot be connected to any more is not reached, though it is believed to live', async () => {
+it('an entry that can no longer be connected to is not reached, but still counts as live', async () => {
   const [one, two] = await Promise.all([freeAddress(), freeAddress()]);
   const first = await startEntry('one', one, [two]);
   const second = await startEntry('two', two, [one]);
@@ -210,7 +213,7 @@
   expect(first.live()).toHaveLength(1);
 });
 
-it('an entry takes in how many the others know, and forgets none that it does not hear any more', async () => {
+it('an entry adopts the number of entries that others know, and does not forget those it no longer hears', async () => {
   const [seed, one, silent] = await Promise.all([freeAddress(), freeAddress(), freeAddress()]);
   const first = await startEntry('one', one, [seed, silent, one]);
   expect(first.known()).toEqual({ known: 3, hasHeardMostSeeds: false });
@@ -224,7 +227,7 @@
 });
 
 describe.each(['zone-a', 'zone-b'])('entries in zone-a and %s', (zone) => {
-  it('hear one another soon after their connections went silent', async () => {
+  it('hear one another again soon after their connections went silent', async () => {
     const [listensAt, second] = await Promise.all([freeAddress(), freeAddress()]);
     const proxy = await new SilentProxy(listensAt).start();
     started.push(proxy);
--- a/test/peers/fleet-wish.test.ts
+++ b/test/peers/fleet-wish.test.ts
@@ -1,4 +1,7 @@
-/** An entry that lacks the configuration asks for it once, however many others have it. */
+/**
+ * Guards against repeated transfers of the configuration: an entry that lacks it requests it once, however
+ * many others have it.
+ */
 import { afterEach, describe, expect, it } from 'vitest';
 import { freeAddress } from '../../bench/processes/child.js';
 import { FleetView } from '../../src/fleet/fleet-view.js';
@@ -17,7 +20,7 @@
 
 const OTHERS = 6;
 const REVISION = 2;
-/** The time for an answer, in milliseconds: longer than a test lasts, however slow the machine is. */
+/** A time-out that exceeds the duration of a test on a machine of any speed, in milliseconds. */
 const LONG = 3_600_000;
 
 const started: Array<{ stop(): Promise<void> }> = [];
@@ -29,7 +32,7 @@
 interface Entry {
   fleet: FleetView;
   peers: EntryPeers;
-  /** Configurations that others sent it. */
+  /** Number of configurations that it has received. */
   sent: number;
 }
 
@@ -39,7 +42,7 @@
   fleet.takeConfiguration(read.value);
 }
 
-/** @param tells - the revision that it says to have; it has the document where it is given */
+/** @param init - `tells` is the revision that the entry reports; it has the document only if one is given */
 async function startEntry(
   address: string,
   seeds: string[],
@@ -106,7 +109,7 @@
   return entry;
 }
 
-it('the whole configuration comes from one of many others that have it', async () => {
+it('the whole configuration is sent by only one of many entries that have it', async () => {
   const addresses = await Promise.all(Array.from({ length: OTHERS }, () => freeAddress()));
   for (const address of addresses) await startEntry(address, [], { document: `${REVISION}` });
   const late = await startEntry(await freeAddress(), addresses, {});
@@ -115,7 +118,7 @@
   expect(late.sent).toBe(1);
 });
 
-it('another one is asked where the first does not answer', async () => {
+it('another entry is asked if the first does not answer', async () => {
   const [silent, other, own] = await Promise.all([freeAddress(), freeAddress(), freeAddress()]);
   await startEntry(silent, [], { tells: REVISION });
   const late = await startEntry(own, [silent, other], { answerTimeout: 100 });
@@ -124,7 +127,7 @@
   await until(() => late.fleet.configurationRevision === REVISION, 'the configuration');
 });
 
-it('a newer configuration is asked for as soon as the one before has come', async () => {
+it('a newer configuration is requested as soon as the one before has arrived', async () => {
   const [first, second, own] = await Promise.all([freeAddress(), freeAddress(), freeAddress()]);
   await startEntry(first, [], { document: `${REVISION}` });
   const late = await startEntry(own, [first, second], {});
@@ -133,12 +136,12 @@
   await until(() => late.fleet.configurationRevision === REVISION + 1, 'the newer configuration');
 });
 
-describe('what is newer than the own revision', () => {
+describe('a revision newer than the own one', () => {
   const near = { open: true };
   const far = { open: true };
   const other = { open: true };
 
-  it('is asked of the own zone first, once it has had the time to come by itself', () => {
+  it('is requested from the own zone first, after a delay in which it could arrive by itself', () => {
     const gate = new FleetRequestGate();
     expect(gate.tryRequest(far, { ownRevision: 4, isNear: false, now: 0 })).toBe(false);
     expect(gate.tryRequest(near, { ownRevision: 4, isNear: true, now: 150 })).toBe(false);
@@ -147,19 +150,19 @@
     expect(gate.tryRequest(far, { ownRevision: 4, isNear: false, now: 900 })).toBe(false);
   });
 
-  it('is asked of another zone where the own one does not have it', () => {
+  it('is requested from another zone if the own one does not have it', () => {
     const gate = new FleetRequestGate();
     expect(gate.tryRequest(far, { ownRevision: 4, isNear: false, now: 0 })).toBe(false);
     expect(gate.tryRequest(far, { ownRevision: 4, isNear: false, now: 600 })).toBe(true);
   });
 
-  it('begins anew with each revision that is taken', () => {
+  it('is delayed anew after each revision that was applied', () => {
     const gate = new FleetRequestGate();
     gate.tryRequest(far, { ownRevision: 4, isNear: false, now: 0 });
     expect(gate.tryRequest(far, { ownRevision: 5, isNear: false, now: 600 })).toBe(false);
   });
 
-  it('is asked for more and more seldom while nobody answers', () => {
+  it('is requested less and less frequently while no entry answers', () => {
     const gate = new FleetRequestGate(100);
     const asks: number[] = [];
     for (let now = 0; now <= 4_000; now += 50) {
@@ -171,7 +174,7 @@
     expect(gate.tryRequest(near, { ownRevision: 4, isNear: true, now: 4_050 })).toBe(true);
   });
 
-  it('is asked for at once where this process has nothing', () => {
+  it('is requested at once if this process has no revision', () => {
     expect(new FleetRequestGate().tryRequest(near, { ownRevision: 0, isNear: true, now: 0 })).toBe(true);
   });
 });
--- a/test/peers/slot-messages.test.ts
+++ b/test/peers/slot-messages.test.ts
@@ -1,4 +1,4 @@
-/** Messages about slots between an entry and an agent, as datagrams that may be lost. */
+/** Slot messages between an entry and an agent: datagrams that may be lost. */
 import { afterEach, beforeEach, expect, it } from 'vitest';
 import { freeAddress } from '../../bench/processes/child.js';
 import { seededRandom } from '../../src/model/random.js';
@@ -14,7 +14,7 @@
 let address: string;
 let heard: Message[];
 let entryAddress: string;
-/** Stands for the other side: hears everything, and says what a test says. */
+/** Plays the other side: records everything and sends what a test needs. */
 let other: DatagramEndpoint;
 let client: SlotClient;
 
@@ -47,7 +47,7 @@
   await other.stop();
 });
 
-it('an entry says again and again what it has open, and what has ended', async () => {
+it('an entry repeatedly states which claims are open and which have ended', async () => {
   const claims = [1, 2].map(() =>
     client.ask(
       address,
@@ -66,7 +66,7 @@
   }, 'nothing to be open');
 });
 
-it('an entry that stops says last that nothing is open any more', async () => {
+it('an entry that stops finally states that nothing is open', async () => {
   for (let place = 0; place < 3; place++)
     client.ask(
       address,
@@ -85,7 +85,7 @@
   expect(heardOf('slotsStated').at(-1)).toMatchObject({ next: 3 });
 });
 
-it('a slot that is granted twice is taken once', async () => {
+it('a slot that is granted twice is used once', async () => {
   const told: string[] = [];
   client.ask(
     address,
@@ -102,7 +102,7 @@
   expect(heardOf('slotReleased')).toEqual([]);
 });
 
-it('the slot of an entry that is gone without a word goes to whoever waits', async () => {
+it('the slot of an entry that disappears is granted to the next waiting entry', async () => {
   const agentAddress = await freeAddress();
   const agent = new SlotServer(agentAddress, (await contextAt('agent')).context, silentLog);
   await agent.start();
@@ -116,7 +116,7 @@
     answers((what) => told.push(what)),
   );
   await until(() => told.includes('queued'), 'the second to wait');
-  // The first says nothing any more.
+  // The first entry sends nothing more.
   await until(() => told.includes('granted'), 'the second to have the slot');
   await agent.stop();
 });
--- a/test/peers/standstill.test.ts
+++ b/test/peers/standstill.test.ts
@@ -1,4 +1,4 @@
-/** Entries and agents that got no processor for a while do not take the others for dead. */
+/** Guards against processes that get no CPU time for a while and then take their peers for dead. */
 import { afterEach, expect, it } from 'vitest';
 import { freeAddress } from '../../bench/processes/child.js';
 import { FleetView } from '../../src/fleet/fleet-view.js';
@@ -10,7 +10,7 @@
 import type { EntryReport } from '../../src/protocol/reports.js';
 import { contextAt, NO_NEWS, standStill, until } from '../support.js';
 
-/** Longer than an entry is taken to live after its latest report, in milliseconds. */
+/** Longer than an entry counts as live after its latest report, in milliseconds. */
 const STANDSTILL = 2_000;
 
 const started: Array<{ stop(): Promise<void> }> = [];
@@ -62,7 +62,7 @@
   return { peers, address };
 }
 
-it('an entry that stood still still knows the entries that it knew before', async () => {
+it('an entry that was suspended still counts its peers as live', async () => {
   const first = await startEntry([]);
   const second = await startEntry([first.address]);
   await until(() => first.peers.live().length === 1 && second.peers.live().length === 1, 'both to be heard');
--- a/test/weights/drop-on-old-plan.test.ts
+++ b/test/weights/drop-on-old-plan.test.ts
@@ -1,4 +1,7 @@
-/** An engine is told to drop what runs only on a plan that holds when the order is given. */
+/**
+ * Guards against an engine being ordered to drop its running requests because of a plan that is no longer
+ * current: the spare capacity that it was based on may be gone.
+ */
 import { expect, it } from 'vitest';
 import { MemoryStore } from '../../emulator/store/memory-store.js';
 import { digestOf } from '../../src/model/manifest.js';
@@ -15,9 +18,12 @@
 
 const LAYERS = 16;
 const PIECES = 4;
-/** The last wave goes this long after the naming, in milliseconds. */
+/** Every engine switches at the latest this long after the naming, in milliseconds. */
 const LATEST_SWITCH = 6_400;
-/** An entry tells its plan every 0.7 s: one that is this much older says nothing of the others' room. */
+/**
+ * Age of the plan when the order is due, in milliseconds. Entries send plans every 0.7 s: one this old says
+ * nothing about the spare capacity of other engines.
+ */
 const PLAN_AGE = 2_500;
 
 const pieceOf = (version: number, index: number) =>
@@ -33,7 +39,7 @@
   piece: async () => failure({ type: 'sourceFailed', reason: 'away' }),
 };
 
-/** An object store with all of a version. */
+/** An object store that holds a complete version. */
 async function objectsWith(version: number): Promise<MemoryStore> {
   const objects = new MemoryStore();
   const manifest = manifestOf(version);
@@ -70,7 +76,7 @@
   }
 }
 
-it('an order to drop what runs: streams are not dropped on the word of an entry that has said nothing for seconds', async () => {
+it('running requests are not dropped on the basis of a plan that is several seconds old', async () => {
   const engine = new FakeEngine();
   const loader = new EngineLoader({
     engine,
--- a/test/weights/engine-restart.test.ts
+++ b/test/weights/engine-restart.test.ts
@@ -1,4 +1,6 @@
-/** An engine that starts again beside its agent, under the same id: it holds nothing, and has taken no orders. */
+/**
+ * An engine that restarts next to its agent under the same id: it holds nothing and has accepted no orders.
+ */
 import { afterEach, describe, expect, it } from 'vitest';
 import { MemoryStore } from '../../emulator/store/memory-store.js';
 import { digestOf } from '../../src/model/manifest.js';
@@ -32,7 +34,7 @@
   return held;
 }
 
-/** An engine that loses everything when it starts again. */
+/** An engine that loses everything when it restarts. */
 class RestartingEngine implements StagedEngine {
   currentStart = 100;
   layers: EngineState['layers'];
@@ -40,7 +42,7 @@
   sequence = 0;
   stagePuts = 0;
   readonly stagedPieces = new Map<number, Buffer>();
-  /** Each order, with the start that took or refused it. */
+  /** Each order, with the start that accepted or refused it. */
   readonly orders: Array<{ start: number; version: number; isComplete: boolean }> = [];
 
   restart(): void {
@@ -80,7 +82,7 @@
 const signal = () => AbortSignal.timeout(10_000);
 
 describe('the stage', () => {
-  it('is filled anew where the engine started again, also while it was being filled', async () => {
+  it('is filled again after the engine has restarted, also while it was being filled', async () => {
     const engine = new RestartingEngine();
     const stage = new EngineStage(engine, silentLog);
     const held = completeWeights(1);
@@ -100,7 +102,7 @@
 });
 
 describe('an order', () => {
-  it('is not given to an engine that has started again since its stage was read, though the count of orders fits', async () => {
+  it('is not sent to an engine that has restarted since its stage was read, even if the count of orders matches', async () => {
     const engine = new RestartingEngine();
     const engineSwitch = new EngineSwitch({ engine, onState: () => {}, onChange: () => {}, log: silentLog });
     const { value: state } = await engine.state();
@@ -110,7 +112,7 @@
     expect(engineSwitch.isRunning).toBe(false);
   });
 
-  it('is waited for no longer where the engine that took it has started again', async () => {
+  it('is no longer awaited once the engine that accepted it has restarted', async () => {
     const engine = new RestartingEngine();
     const engineSwitch = new EngineSwitch({ engine, onState: () => {}, onChange: () => {}, log: silentLog });
     const { value: state } = await engine.state();
@@ -126,7 +128,7 @@
     const order = { target: { model: 'm', version: 1 }, state, served: 0, running: 'finish' } as const;
     const running = engineSwitch.run(order, new AbortController().signal);
     await until(() => isBusy, 'the order');
-    // The next start is busy too, with what another told it to do.
+    // The next start is busy too, with an order from another process.
     engine.restart();
     await running;
     expect(engineSwitch.isRunning).toBe(false);
@@ -134,15 +136,15 @@
 });
 
 describe('the start of the engine that answers', () => {
-  it('is that of the call that began last; of calls that overlap the later start', () => {
+  it('is that of the call that began last, or the later start if calls overlap', () => {
     const starts = new EngineStarts();
     expect(starts.noteAnswer(100, 0, 10)).toBe('same');
-    // Asked before the answer above had come.
+    // Requested before the answer above arrived.
     expect(starts.noteAnswer(50, 5, 20)).toBe('older');
     expect(starts.noteAnswer(200, 15, 30)).toBe('newer');
     expect(starts.noteAnswer(100, 25, 40)).toBe('older');
     expect(starts.current).toBe(200);
-    // The clock stepped back: it was asked after the answer of the former start.
+    // The clock stepped back: requested after the answer of the previous start.
     expect(starts.noteAnswer(150, 50, 60)).toBe('newer');
     expect(starts.noteAnswer(200, 55, 70)).toBe('older');
     expect(starts.noteAnswer(undefined, 80, 90)).toBe('same');
@@ -162,7 +164,7 @@
   return objects;
 }
 
-describe('the loader beside an engine that starts again', () => {
+describe('the loader next to an engine that restarts', () => {
   const origin: PieceOrigin = {
     manifest: async ({ version }) => success(manifestOf(version)),
     piece: async ({ version }, index) => success(pieceOf(version, index)),
@@ -213,7 +215,7 @@
     loader.applyPlan(plan(1));
   }
 
-  it('tells of the new start at once, fills its stage again and orders it anew', async () => {
+  it('reports the new start at once, fills the stage again and repeats the order', async () => {
     const engine = new RestartingEngine();
     const reports: EngineReport[] = [];
     const observed: ObservedEngine[] = [];
@@ -231,12 +233,12 @@
       { start: 200, version: 1, isComplete: true },
     ]);
     expect(engine.stagePuts).toBe(2 * PIECES);
-    // Its stage was filled as an empty one, not found bad piece by piece.
+    // The stage was filled as an empty one, rather than found corrupt piece by piece.
     expect(logged).not.toContain('staged piece was bad');
     expect(observed.some(({ start, isServing }) => start === 200 && isServing)).toBe(true);
   });
 
-  it('takes an engine that does not answer for none, and not for another start', async () => {
+  it('treats an engine that does not answer as unreachable, not as restarted', async () => {
     const engine = new RestartingEngine();
     const reports: EngineReport[] = [];
     await load(engine, reports);
--- a/test/weights/entry-sources.test.ts
+++ b/test/weights/entry-sources.test.ts
@@ -1,4 +1,4 @@
-/** Where an entry fetches pieces from, by its place in the order of those responsible. */
+/** From which sources an entry fetches pieces, by its position in the order of entries. */
 import { describe, expect, it } from 'vitest';
 import { MemoryStore } from '../../emulator/store/memory-store.js';
 import { ChunkSet } from '../../src/model/chunk-set.js';
@@ -43,24 +43,24 @@
   });
 }
 
-/** Patience with each holder, by the zone that it is in. */
+/** The patience of each source, by its name. */
 function patienceAt(place: EntryRank, isServed = false): Record<string, number> {
   const sources = sourcesOf({ place, isServed });
   return Object.fromEntries(sources.map(({ name, patience }) => [name, patience]));
 }
 
 describe('an entry that fetches a version', () => {
-  it('asks entries of other zones at once if it is the first of its own', () => {
+  it('uses entries of other zones at once if it is the first of its own', () => {
     expect(patienceAt({ inZone: 0, overall: 4, parent: undefined })['entry far:1']).toBe(0);
   });
 
-  it('asks those of its zone first where engines serve the version already: it has just started again', () => {
+  it('uses entries of its zone first if engines already serve the version, as after its own restart', () => {
     const patience = patienceAt({ inZone: 0, overall: 0, parent: undefined }, true);
     expect(patience['entry near:1']).toBe(0);
     expect(patience['entry far:1']).toBeGreaterThan(0);
   });
 
-  it('asks those of its zone first otherwise, the one before it at once', () => {
+  it('uses entries of its zone first otherwise, its parent at once', () => {
     const patience = patienceAt({ inZone: 1, overall: 6, parent: 'near' });
     expect(patience['entry near:1']).toBe(0);
     expect(patience['entry far:1']).toBeGreaterThan(1_000);
@@ -68,9 +68,9 @@
   });
 });
 
-/** Guards against links between regions on which everything else waits behind pieces of weights. */
-describe('what is asked of one entry at a time', () => {
-  /** Bytes that are on their way from each holder at the most. */
+/** Guards against batches of pieces that delay all other traffic on the links between regions. */
+describe('the batches requested from one entry', () => {
+  /** The most bytes in flight from each holder. */
   function bytesInFlight(pieceBytes: number): Record<string, number> {
     const sources = sourcesOf({ manifest: { ...manifest, pieceBytes } });
     const wanted = Array.from({ length: PIECES }, (_, index) => index);
@@ -79,23 +79,23 @@
     return Object.fromEntries(sources.map((source) => [source.name, bytesOf(source)]));
   }
 
-  it('takes a link between regions of 30 Mbit/s for less than a tenth of a second', () => {
+  it('occupy a link of 30 Mbit/s between regions for less than a tenth of a second', () => {
     const most = (30_000_000 / 8) * 0.1;
     expect(bytesInFlight(49_152)['entry far:1']).toBeLessThan(most);
     expect(bytesInFlight(32)['entry far:1']).toBe(PIECES * 32);
   });
 
-  it('is one piece where a piece is larger, and more inside a zone', () => {
+  it('hold one piece if pieces are larger, and more inside a zone', () => {
     expect(bytesInFlight(1_000_000)['entry far:1']).toBe(1_000_000);
     expect(bytesInFlight(49_152)['entry near:1']).toBe(2 * PIECES * 49_152);
   });
 });
 
-describe('a piece that another entry draws', () => {
+describe('a piece that another entry is fetching from the origin', () => {
   const origin = { manifest: async () => never(), piece: async () => never() };
   const never = () => ({ ok: false, error: { type: 'sourceFailed', reason: 'none' } }) as const;
 
-  /** The first piece that the origin would be asked for. */
+  /** The first piece that would be fetched from the origin. */
   function firstDrawn(drawing: number[], sinceLastPiece: number): number[] {
     const other = { ...holder('far', 'zone-b'), have: new ChunkSet(PIECES), drawing };
     const sources = entrySources({
@@ -115,12 +115,12 @@
     return sources.find(({ isOrigin }) => isOrigin)!.nextBatch(wanted);
   }
 
-  it('is left to it while anything comes', () => {
+  it('is left to that entry while pieces arrive', () => {
     expect(firstDrawn([], 0)).toEqual([0]);
     expect(firstDrawn([0, 1, 2], 0)).toEqual([3]);
   });
 
-  it('is drawn beside it where nothing comes any more', () => {
+  it('is fetched as well once no pieces arrive any more', () => {
     expect(firstDrawn([0, 1, 2], 1_000)).toEqual([0]);
   });
 });
--- a/test/weights/foreign-manifest.test.ts
+++ b/test/weights/foreign-manifest.test.ts
@@ -1,4 +1,4 @@
-/** Manifests that other processes wrote or tell: one that is none is passed over. */
+/** Manifests from other processes: malformed ones are ignored. */
 import { createServer, type Server } from 'node:http';
 import type { AddressInfo } from 'node:net';
 import { afterEach, beforeEach, describe, expect, it } from 'vitest';
@@ -49,7 +49,7 @@
   });
 
   for (const text of BAD) {
-    it(`is none: ${text}`, async () => {
+    it(`is rejected: ${text}`, async () => {
       body = text;
       const store = new MemoryStore();
       await store.put(storedManifestKey(VERSION), Buffer.from(text), signal());
--- a/test/weights/joint-drop.test.ts
+++ b/test/weights/joint-drop.test.ts
@@ -1,4 +1,4 @@
-/** Engines that switch together drop no more than the others have room for. */
+/** Guards against promising the same spare capacity to several engines that switch at the same time. */
 import { expect, it } from 'vitest';
 import { FleetView } from '../../src/fleet/fleet-view.js';
 import { BackEndTable } from '../../src/forwarding/back-end-table.js';
@@ -12,7 +12,10 @@
 const LOAD = 8;
 const ZONES = ['zone-a', 'zone-b', 'zone-c', 'zone-d'];
 
-/** Engines of the zones in the order of {@link ZONES}, each the first of its zone: all but the last have given notice. */
+/**
+ * A planner for four engines, one per zone in the order of {@link ZONES}, of which all but the last have
+ * given notice.
+ */
 function plannerOfFour(): { planner: WeightsPlanner; rows: EngineAgentRow[] } {
   const fleet = new FleetView();
   const backEnds = new BackEndTable();
@@ -57,10 +60,10 @@
   return { planner, rows };
 }
 
-it('an order to drop what runs: the same room is not promised to several engines that switch at a time', () => {
+it('the same spare capacity is not promised to several engines that switch at the same time', () => {
   const { planner, rows } = plannerOfFour();
   const plans = rows.map((row) => planner.planFor(row));
-  // The first engine of each zone goes in the first wave.
+  // The first engine of each zone switches in the first wave.
   expect(plans.map(({ position }) => position)).toEqual([0, 0, 0, 0]);
   const dropped = plans.slice(0, -1).filter((plan) => plan.canMoveRequests).length * LOAD;
   expect(dropped).toBeLessThanOrEqual(SLOTS);
--- a/test/weights/manifest-search.test.ts
+++ b/test/weights/manifest-search.test.ts
@@ -1,4 +1,7 @@
-/** Who is asked for a manifest: an origin that accepts few connections is not asked by all at once. */
+/**
+ * Which sources are queried for a manifest, and when: the origin accepts few connections, so not all
+ * processes may query it at once.
+ */
 import { createServer, type RequestListener, type Server } from 'node:http';
 import type { AddressInfo } from 'node:net';
 import { afterEach, describe, expect, it } from 'vitest';
@@ -34,7 +37,7 @@
 
 const servers: Server[] = [];
 
-/** Serves at a free port; returns its address. */
+/** Starts a server on a free port; returns its address. */
 async function serve(listener: RequestListener): Promise<string> {
   const server = createServer(listener);
   servers.push(server);
@@ -51,7 +54,7 @@
 });
 
 describe('the search for a manifest', () => {
-  it('asks the origin only once it is the turn of this process', async () => {
+  it('queries the origin only when it is the turn of this process', async () => {
     let isTurn = false;
     const found = search({ origin: () => (isTurn ? origin : undefined) });
     await new Promise((resolve) => setTimeout(resolve, 300));
@@ -61,7 +64,7 @@
     expect(asked).toBe(1);
   });
 
-  it('asks the object store only once it is the turn of this process', async () => {
+  it('queries the object store only when it is the turn of this process', async () => {
     const store = new MemoryStore();
     let isTurn = false;
     const found = search({
@@ -74,8 +77,8 @@
     await found;
   });
 
-  it('asks the next holder while others are silent', async () => {
-    // They accept connections and say nothing, as machines do that are frozen.
+  it('queries the next holder while others do not answer', async () => {
+    // They accept connections and never answer, as frozen machines do.
     let waiting = 0;
     const silent = await Promise.all(
       Array.from({ length: 3 }, () =>
@@ -91,11 +94,11 @@
       response.end(JSON.stringify(MANIFEST));
     });
     expect(await search({ processes: () => [...silent, holder] })).toEqual(MANIFEST);
-    // One after the other, each would have used up the time for a call before the next was asked.
+    // Queried one after another, each would have used up the time-out before the next was queried.
     expect(waitingThen).toBeGreaterThan(0);
   });
 
-  it('asks the next holder at once where one has nothing', async () => {
+  it('queries the next holder at once if one has no manifest', async () => {
     const empty = await serve((_request, response) => response.writeHead(404).end());
     const holder = await serve((_request, response) => response.end(JSON.stringify(MANIFEST)));
     expect(await search({ processes: () => [empty, holder] })).toEqual(MANIFEST);
--- a/test/weights/object-puts.test.ts
+++ b/test/weights/object-puts.test.ts
@@ -1,4 +1,7 @@
-/** Guards against links between regions on which everything else waits behind parts of a version that go to the object store. */
+/**
+ * Guards against writes of several parts to the object store at once, which delay all other traffic on the
+ * links between regions.
+ */
 import { setTimeout as pause } from 'node:timers/promises';
 import { expect, it } from 'vitest';
 import { MemoryStore } from '../../emulator/store/memory-store.js';
@@ -15,7 +18,7 @@
 import { until } from '../support.js';
 
 const PIECES = 16;
-/** Time that the store takes for an object, in milliseconds: longer than from one piece to the next. */
+/** Time that the store needs for an object, in milliseconds: longer than the interval between two pieces. */
 const PUT_TIME = 40;
 
 const pieceOf = (index: number) => Buffer.from(`piece ${index}`.padEnd(16));
@@ -30,7 +33,7 @@
   piece: async (_version, index) => success(pieceOf(index)),
 };
 
-/** A slow object store that counts the objects that are put at the same time. */
+/** A slow object store that counts concurrent writes. */
 class SlowStore extends MemoryStore {
   most = 0;
   parts = 0;
@@ -46,7 +49,7 @@
   }
 }
 
-it('parts of a version go to the object store one at a time', async () => {
+it('parts of a version are written to the object store one at a time', async () => {
   const objects = new SlowStore();
   const fleet = new FleetView();
   const duty = new VersionCollector({
--- a/test/weights/piece-server.test.ts
+++ b/test/weights/piece-server.test.ts
@@ -1,4 +1,4 @@
-/** Pieces served to the system's other processes. */
+/** Limits on the pieces that a process serves to others. */
 import { get, type IncomingMessage } from 'node:http';
 import { afterEach, beforeEach, expect, it } from 'vitest';
 import { freeAddress } from '../../bench/processes/child.js';
@@ -9,7 +9,10 @@
 import { BUSY_STATUS, pieceRoutes, piecesPath } from '../../src/weights/piece-server.js';
 import { until } from '../support.js';
 
-/** A batch is more than the sockets of this machine hold for a reader that has stopped. */
+/**
+ * A batch exceeds the socket buffers of this machine, so that it stays in flight while the reader has
+ * stopped.
+ */
 const PIECE_BYTES = 2_000_000;
 const PIECES = 12;
 const ALL = [...Array(PIECES).keys()];
@@ -31,14 +34,14 @@
 
 afterEach(() => server.stop());
 
-/** Asks for a batch, of which nothing is read until the test does. */
+/** Requests a batch without reading the body. */
 function ask(pieces: readonly number[]): Promise<IncomingMessage> {
   return new Promise((resolve, reject) => {
     get(`http://${address}${piecesPath('m', 1, pieces)}`, resolve).on('error', reject);
   });
 }
 
-it('a large batch is refused at once while as much is on its way as the link carries soon', async () => {
+it('a large batch is refused at once while the uploads in flight use the link', async () => {
   const first = await ask(ALL);
   expect(first.statusCode).toBe(200);
   expect((await ask(ALL)).statusCode).toBe(BUSY_STATUS);
@@ -48,7 +51,7 @@
   first.destroy();
 });
 
-it('a batch counts no more once it was read, or given up', async () => {
+it('a batch no longer counts once it has been read or aborted', async () => {
   for (const end of [
     (answer: IncomingMessage) => answer.resume(),
     (answer: IncomingMessage) => answer.destroy(),
--- a/test/weights/request-moves.test.ts
+++ b/test/weights/request-moves.test.ts
@@ -1,4 +1,4 @@
-/** When the requests of an engine go on at others. */
+/** When the running requests of an engine may continue on other engines. */
 import { describe, expect, it } from 'vitest';
 import type { Route } from '../../src/fleet/configuration.js';
 import { canMoveRequests, type ServingEngine } from '../../src/weights/request-moves.js';
@@ -10,40 +10,40 @@
   return { version, load, slots: 16, isSwitching: false, switchesIn: NEVER, unmovable: 0, ...changes };
 }
 
-describe('requests of an engine that takes another version', () => {
-  it('go on where others that serve its version have room for twice as many', () => {
+describe('requests of an engine that switches to another version', () => {
+  it('continue elsewhere if engines with the same version have capacity for twice as many', () => {
     expect(canMoveRequests([resumable], on(1, 6), [on(1, 4), on(2, 0)])).toBe(true);
     expect(canMoveRequests([resumable], on(1, 12), [on(1, 4), on(1, 4), on(2, 16)])).toBe(true);
   });
 
-  it('go on at many that are nearly full', () => {
+  it('continue on many engines that are nearly full', () => {
     const others = Array.from({ length: 9 }, () => on(1, 15));
     expect(canMoveRequests([resumable], on(1, 14), others)).toBe(true);
     expect(canMoveRequests([resumable], on(1, 14), others.slice(0, 3))).toBe(false);
   });
 
   it.each([
-    ['nobody else serves it', [on(2, 0), on(2, 0)]],
-    ['those that serve it are full', [on(1, 20), on(1, 16), on(2, 0)]],
-    ['the others switch too', [on(1, 0, { isSwitching: true }), on(1, 0, { isSwitching: true })]],
-    ['the others switch before the requests have ended', [on(1, 0, { switchesIn: 300 })]],
-    ['there are no others', []],
-  ])('stay where %s', (_reason, others) => {
+    ['no other engine serves the version', [on(2, 0), on(2, 0)]],
+    ['the engines that serve it are full', [on(1, 20), on(1, 16), on(2, 0)]],
+    ['the other engines switch too', [on(1, 0, { isSwitching: true }), on(1, 0, { isSwitching: true })]],
+    ['the other engines switch before the requests end', [on(1, 0, { switchesIn: 300 })]],
+    ['there are no other engines', []],
+  ])('stay if %s', (_reason, others) => {
     expect(canMoveRequests([resumable], on(1, 6), others)).toBe(false);
   });
 
-  it('stay where it is not known whether each of them may run again', () => {
+  it('stay unless each of them is known to be repeatable', () => {
     expect(canMoveRequests([resumable], on(1, 6, { unmovable: 1 }), [on(1, 0)])).toBe(false);
     expect(canMoveRequests([resumable], { ...on(1, 6), unmovable: undefined }, [on(1, 0)])).toBe(false);
   });
 
-  it('stay where the room is needed by engines that switch at the same time', () => {
+  it('stay if engines that switch at the same time need the capacity', () => {
     const others = [on(1, 6, { isSwitching: true }), on(1, 2)];
     expect(canMoveRequests([resumable], on(1, 6), others)).toBe(false);
     expect(canMoveRequests([resumable], on(1, 6), others.slice(1))).toBe(true);
   });
 
-  it('stay where one of them may not run again', () => {
+  it('stay if one of them must not be repeated', () => {
     const never = { repeatability: 'never', maxAttempts: 2 } as Route;
     const onlyOnce = { repeatability: 'resumable', maxAttempts: 1 } as Route;
     expect(canMoveRequests([resumable, never], on(1, 1), [on(1, 0)])).toBe(false);
--- a/test/weights/weights.test.ts
+++ b/test/weights/weights.test.ts
@@ -1,4 +1,4 @@
-/** Pieces of weights: held, fetched, laid into an engine's stage and taken in turn. */
+/** Pieces of weights: how they are held, fetched, written to an engine's stage and loaded on schedule. */
 import { describe, expect, it } from 'vitest';
 import { MemoryStore } from '../../emulator/store/memory-store.js';
 import { ChunkSet } from '../../src/model/chunk-set.js';
@@ -56,22 +56,22 @@
   return held;
 }
 
-describe('draws from the origin', () => {
-  it('pass to the next three entries soon when no piece comes, to the others later', () => {
+describe('fetches from the origin', () => {
+  it('pass to the next three entries soon if no piece arrives, and to the others later', () => {
     expect([0, 1, 2, 3].map(drawPatience)).toEqual([0, 300, 600, 900]);
     expect(drawPatience(4) - drawPatience(3)).toBeGreaterThan(1_000);
   });
 });
 
 describe('held weights', () => {
-  it('keep a piece only with the digest of its manifest', () => {
+  it('keep a piece only if it has the digest in the manifest', () => {
     const held = new HeldWeights(manifestOf(1));
     expect(held.add(0, pieceOf(1, 0))).toBe(true);
     expect(held.add(1, pieceOf(2, 1))).toBe(false);
     expect(held.missing()).toHaveLength(PIECES - 1);
   });
 
-  it('forget the oldest of many versions', () => {
+  it('evict the oldest of many versions', () => {
     const library = new WeightsLibrary();
     for (const version of [1, 2, 3, 4]) library.open(manifestOf(version));
     expect(library.all().map(({ manifest }) => manifest.version)).toEqual([2, 3, 4]);
@@ -79,7 +79,7 @@
 });
 
 describe('a fetcher', () => {
-  it('takes corrupt pieces from elsewhere', async () => {
+  it('fetches corrupt pieces from another source', async () => {
     const corrupt = source('corrupt', {
       fetch: async (batch) => success(batch.map((index) => [index, pieceOf(9, index)])),
     });
@@ -87,7 +87,7 @@
     expect(held.complete).toBe(true);
   });
 
-  it('turns to a dear source when the others give nothing, and stays with it', async () => {
+  it('falls back to an expensive source if the others deliver nothing, and stays with it', async () => {
     let asked = 0;
     const failing = source('failing', {
       fetch: async () => failure({ type: 'sourceFailed', reason: 'down' }),
@@ -104,11 +104,11 @@
     const held = await fetchAll([failing, expensive]);
     expect(held.complete).toBe(true);
     expect(asked).toBe(PIECES);
-    // Waiting for its patience before each piece would take twelve times as long.
+    // Waiting for its patience to elapse before each piece would take twelve times as long.
     expect(performance.now() - startedAt).toBeLessThan(200 * PIECES);
   });
 
-  it('draws from the origin only what nobody else has', async () => {
+  it('fetches from the origin only what no other source has', async () => {
     const drawn: number[] = [];
     const origin: PieceOrigin = {
       manifest: async () => success(manifestOf(1)),
@@ -135,7 +135,7 @@
     expect(drawn.sort((a, b) => a - b)).toEqual([6, 7, 8, 9, 10, 11]);
   });
 
-  it('reads whole objects of the object store', async () => {
+  it('reads whole objects from the object store', async () => {
     const objects = new MemoryStore();
     const manifest = manifestOf(1);
     const parts = partsOf(manifest);
@@ -163,14 +163,14 @@
   });
 });
 
-describe('the turn of an engine', () => {
+describe('the switch schedule of an engine', () => {
   const situation = { version: 1, expiresAt: 9_000, namedAt: 1_000, completeAt: 4_000, bound: 8_000 };
 
-  it('comes at once where it serves nothing', () => {
+  it('switches at once if the engine serves nothing', () => {
     expect(switchTime({ ...situation, version: 0, position: 2 })).toBe(Number.NEGATIVE_INFINITY);
   });
 
-  it('comes in waves, and before its version expires', () => {
+  it('switches in waves, and before the version expires', () => {
     const times = [0, 1, 2].map((position) => switchTime({ ...situation, position }));
     expect(times[0]).toBe(4_000);
     expect(times[1]).toBeGreaterThan(times[0]);
@@ -179,7 +179,7 @@
     expect(waveOf(SWITCH_WAVES)).toBe(0);
   });
 
-  it('leaves out a version that another follows closely, if that will be here in time', () => {
+  it('skips a version closely followed by another, if that will be complete in time', () => {
     const closely = { namedAt: 1_000, newestNamedAt: 3_000, expiresAt: 9_000, bound: 8_000, position: 0 };
     expect(shouldSkip({ ...closely, newestCompleteAt: 7_000 })).toBe(true);
     expect(shouldSkip({ ...closely, newestCompleteAt: Number.POSITIVE_INFINITY })).toBe(false);
@@ -188,13 +188,13 @@
   });
 });
 
-/** An engine with a stage, whose pieces can turn bad. */
+/** An engine whose staged pieces can become corrupt. */
 class FakeEngine implements StagedEngine {
   readonly stagedPieces = new Map<number, Buffer>();
   readonly orders: number[] = [];
-  /** What became of running requests with each order. */
+  /** How each order treats running requests. */
   readonly running: StartOrder['running'][] = [];
-  /** Looks at the engine for which an order keeps it busy. */
+  /** Number of polls for which an order keeps the engine busy. */
   busyPolls = 0;
   layers: EngineState['layers'];
   corruptedOnce = new Set<number>();
@@ -220,7 +220,7 @@
     const isWhole = Array.from({ length: PIECES }, (_, index) => index).every((index) =>
       this.stagedPieces.get(index)?.equals(pieceOf(version, index)),
     );
-    if (!isWhole) throw new Error('ordered to take bad pieces');
+    if (!isWhole) throw new Error('ordered to load corrupt pieces');
     this.orders.push(version);
     this.layers = { from: 0, end: 16, version };
     return success({ type: 'taken' } as const);
@@ -242,7 +242,7 @@
   };
 }
 
-describe('the loader beside an engine', () => {
+describe('the loader next to an engine', () => {
   const origin: PieceOrigin = {
     manifest: async ({ version }) => success(manifestOf(version)),
     piece: async ({ version }, index) => success(pieceOf(version, index)),
@@ -290,7 +290,7 @@
     return reports;
   }
 
-  it('loads an empty engine without any entry, and tells what it holds', async () => {
+  it('loads an empty engine without any entry, and reports the pieces it holds', async () => {
     const engine = new FakeEngine();
     const reports = await run(engine, planOf([[2, 1_000_000_000]]), (told) => told.at(-1)?.version === 2);
     expect(engine.orders).toEqual([2]);
@@ -298,7 +298,7 @@
     expect(ChunkSet.fromBytes(held[0].count, held[0].have).complete).toBe(true);
   });
 
-  it('does not expect the engine at once while pieces are missing, though a version is wanted, not, and again', async () => {
+  it('does not report an imminent switch while pieces are missing, even if plans drop and restore a version', async () => {
     const reports: EngineReport[] = [];
     const loader = new EngineLoader({
       engine: new FakeEngine(),
@@ -324,7 +324,7 @@
     for (const { switchesIn } of reports) expect(switchesIn ?? Number.POSITIVE_INFINITY).toBeGreaterThan(500);
   });
 
-  it('goes on with its fetch where an entry that has just started knows of no version', async () => {
+  it('continues its fetch when an entry that has just started sends a plan without versions', async () => {
     const engine = new FakeEngine();
     const reports = await run(
       engine,
@@ -336,14 +336,14 @@
     expect(reports.at(-1)?.version).toBe(2);
   });
 
-  it('mends pieces that turned bad in the stage before it orders', async () => {
+  it('replaces pieces that became corrupt in the stage before it sends the order', async () => {
     const engine = new FakeEngine();
     engine.corruptedOnce = new Set([3, 7]);
     await run(engine, planOf([[1, 1_000_000_000]]), () => engine.orders.length > 0);
     expect(engine.orders).toEqual([1]);
   });
 
-  it('never orders the engine to drop what runs, whatever a plan says of it', async () => {
+  it('never orders the engine to drop running requests, whatever the plan says', async () => {
     for (const canMoveRequests of [false, true]) {
       const engine = new FakeEngine();
       engine.layers = { from: 0, end: 16, version: 1 };
@@ -352,12 +352,12 @@
     }
   });
 
-  it('waits for a switch whose version is not wanted any more, and tells no engine as lost or empty', async () => {
+  it('waits for a switch to a version no longer wanted, and never reports the engine as lost or empty', async () => {
     const engine = new FakeEngine();
     engine.layers = { from: 0, end: 16, version: 1 };
     engine.start = async (order) => {
       engine.busyPolls = 8;
-      // The next version leaves the one that was ordered out of the plan.
+      // The next plan no longer contains the version that was ordered.
       later!();
       return FakeEngine.prototype.start.call(engine, order);
     };
@@ -381,17 +381,19 @@
     await until(() => reports.at(-1)?.version === 2, 'the version that was ordered');
     await loader.stop();
     const told = reports.filter(({ isReached }) => isReached);
-    // Whoever hears that an engine holds nothing, and is not switching, sends nothing there until its next report.
+    // An entry that hears that an engine holds nothing and is not switching sends it no requests until its
+    // next report.
     expect(told.filter(({ version, isSwitching }) => version === 0 && !isSwitching)).toEqual([]);
     const first = reports.findIndex(({ isReached }) => isReached);
     expect(reports.slice(first).every(({ isReached }) => isReached)).toBe(true);
-    // From the notice until it holds the version it takes nothing, whatever is wanted meanwhile.
+    // From the notice until it holds the version, the engine accepts nothing, whatever plans arrive
+    // meanwhile.
     const firstSwitching = reports.findIndex(({ isSwitching }) => isSwitching);
     const held = reports.findIndex(({ version }) => version === 2);
     expect(reports.slice(firstSwitching, held).every(({ isSwitching }) => isSwitching)).toBe(true);
   });
 
-  it('goes over in time though nobody has the manifest of what it holds', async () => {
+  it('switches in time even if the manifest of the current version cannot be found', async () => {
     const engine = new FakeEngine();
     engine.layers = { from: 0, end: 16, version: 1 };
     const objects = await objectsWith(2);
@@ -416,14 +418,14 @@
       log: silentLog,
     });
     await loader.start();
-    // Its pieces are there before its turn comes, 6.4 s after the naming at the latest.
+    // Its pieces are complete before its switch is due, 6.4 s after the naming at the latest.
     loader.applyPlan({ ...planOf([[2, 2_500]]), position: 3 });
     await until(() => reports.at(-1)?.version === 2, 'the next version');
     await loader.stop();
     expect(engine.orders).toEqual([2]);
   });
 
-  it('says before it orders that the engine is about to switch', async () => {
+  it('reports an imminent switch before it sends the order', async () => {
     const engine = new FakeEngine();
     engine.layers = { from: 0, end: 16, version: 1 };
     const reports = await run(engine, planOf([[2, 7_500]]), (told) => told.at(-1)?.version === 2);
