--- a/src/peers/entry-peers.ts
+++ b/src/peers/entry-peers.ts
@@ -456,12 +456,12 @@
     this.#requestGates.backEnds.noteAnswer();
     if (this.#options.isStoreConnected()) return;
     // The codec turns undefined into null.
-    const whole = records.map((record) => ({
+    const decoded = records.map((record) => ({
       ...record,
       start: record.start ?? undefined,
       layers: record.layers ?? undefined,
     }));
-    this.#options.fleet.takeBackEnds({ revision, records: whole });
+    this.#options.fleet.takeBackEnds({ revision, records: decoded });
   }
 }
 
--- a/src/peers/fleet-wish.ts
+++ b/src/peers/fleet-wish.ts
@@ -47,7 +47,7 @@
 }
 
 /** What determines whether an entry with a newer revision may be asked. */
-export interface RequestCircumstances {
+export interface RequestConditions {
   /** The revision that this process has; 0 if none. */
   ownRevision: number;
   /** The entry to ask is in the own zone. */
@@ -79,7 +79,7 @@
   /** Whether to send a request on `connection`; if so, the request counts as sent. */
   tryRequest(
     connection: AskableConnection,
-    { ownRevision, isNear, place = 0, now }: RequestCircumstances,
+    { ownRevision, isNear, place = 0, now }: RequestConditions,
   ): boolean {
     if (this.#behind.ownRevision !== ownRevision) this.#behind = { ownRevision, since: now };
     if (now - this.#behind.since < delayFor(isNear, ownRevision === 0, place)) return false;
--- a/src/weights/piece-fetcher.ts
+++ b/src/weights/piece-fetcher.ts
@@ -187,17 +187,18 @@
   ): Promise<void> {
     row.openBatches++;
     this.#openBatches++;
-    const askedAt = performance.now();
-    for (const index of batch) this.#requestedAt.set(index, askedAt);
+    const batchStartedAt = performance.now();
+    for (const index of batch) this.#requestedAt.set(index, batchStartedAt);
     if (source.isOrigin) this.#beginDrawing(batch);
     const batchSignal = withLimit(signal, source.batchTimeout);
     const answer = await source.fetch(batch, batchSignal);
     for (const index of batch) this.#drawing.delete(index);
     row.openBatches--;
     this.#openBatches--;
-    this.#lastBatchDuration = performance.now() - askedAt;
+    this.#lastBatchDuration = performance.now() - batchStartedAt;
     this.#pause(this.#lastBatchDuration, signal);
-    for (const index of batch) if (this.#requestedAt.get(index) === askedAt) this.#requestedAt.delete(index);
+    for (const index of batch)
+      if (this.#requestedAt.get(index) === batchStartedAt) this.#requestedAt.delete(index);
     const kept = answer.ok
       ? answer.value.filter(([index, bytes]) => this.#store(source, index, bytes)).length
       : 0;
--- a/test/peers/entry-link.test.ts
+++ b/test/peers/entry-link.test.ts
@@ -41,22 +41,22 @@
   await listener.start();
   await agents.start();
   const proxy = await new SilentProxy(entry.info.address).start();
-  let told = 0;
+  let receivedBound = 0;
   const link: EntryLink = new EntryLink({
     context: agent.context,
     seeds: [proxy.address],
     random: seededRandom(1),
     onPlan: (plan) => {
-      told = plan.bound;
+      receivedBound = plan.bound;
     },
     onConnected: () => void link.connection?.send({ type: 'engineReport', report: REPORT }),
   });
   await link.start();
   started.push(listener, agents, proxy, link);
-  await until(() => told === 1 && reported === 1, 'both');
+  await until(() => receivedBound === 1 && reported === 1, 'both');
   proxy.silence();
   const silentAt = performance.now();
   bound = 2;
-  await until(() => told === 2 && reported === 2, 'both again');
+  await until(() => receivedBound === 2 && reported === 2, 'both again');
   expect(performance.now() - silentAt).toBeLessThan(RECOVERY_LIMIT);
 });
--- a/test/peers/fleet-wish.test.ts
+++ b/test/peers/fleet-wish.test.ts
@@ -42,11 +42,11 @@
   fleet.takeConfiguration(read.value);
 }
 
-/** @param init - `tells` is the revision that the entry reports; it has the document only if one is given */
+/** @param init - `reportedRevision` is in the entry's reports; it has the document only if one is given */
 async function startEntry(
   address: string,
   seeds: string[],
-  init: { tells?: number; document?: string; answerTimeout?: number },
+  init: { reportedRevision?: number; document?: string; answerTimeout?: number },
 ): Promise<Entry> {
   const peer = { id: address, address, place: 'zone-a', region: 'region-a', zone: 'zone-a' };
   const context: ConnectionContext = {
@@ -81,7 +81,7 @@
       region: 'region-a',
       linkRate: 0,
       isReady: true,
-      configurationRevision: init.tells ?? fleet.configurationRevision,
+      configurationRevision: init.reportedRevision ?? fleet.configurationRevision,
       backEndsRevision: 0,
       storeTime: Number.NEGATIVE_INFINITY,
       versions: [],
@@ -120,7 +120,7 @@
 
 it('another entry is asked if the first does not answer', async () => {
   const [silent, other, own] = await Promise.all([freeAddress(), freeAddress(), freeAddress()]);
-  await startEntry(silent, [], { tells: REVISION });
+  await startEntry(silent, [], { reportedRevision: REVISION });
   const late = await startEntry(own, [silent, other], { answerTimeout: 100 });
   await until(() => late.peers.live().length === 1, 'the silent one heard');
   await startEntry(other, [], { document: `${REVISION}` });
--- a/test/peers/slot-messages.test.ts
+++ b/test/peers/slot-messages.test.ts
@@ -86,19 +86,19 @@
 });
 
 it('a slot that is granted twice is used once', async () => {
-  const told: string[] = [];
+  const received: string[] = [];
   client.ask(
     address,
     WISH,
-    answers((what) => told.push(what)),
+    answers((what) => received.push(what)),
   );
   await until(() => heardOf('slotAsked').length === 1, 'the question');
   const [{ id }] = heardOf('slotAsked');
   for (let time = 0; time < 2; time++)
     other.send(entryAddress, { type: 'slotGranted', id, isLimited: false });
   other.send(entryAddress, { type: 'slotQueued', id });
-  await until(() => told.includes('queued'), 'the answers');
-  expect(told).toEqual(['granted', 'queued']);
+  await until(() => received.includes('queued'), 'the answers');
+  expect(received).toEqual(['granted', 'queued']);
   expect(heardOf('slotReleased')).toEqual([]);
 });
 
@@ -109,15 +109,15 @@
   agent.observe({ isServing: true, load: 0 });
   other.send(agentAddress, { type: 'slotAsked', id: 1, ...WISH });
   await until(() => heardOf('slotGranted').length === 1, 'the slot of the first');
-  const told: string[] = [];
+  const received: string[] = [];
   client.ask(
     agentAddress,
     WISH,
-    answers((what) => told.push(what)),
+    answers((what) => received.push(what)),
   );
-  await until(() => told.includes('queued'), 'the second to wait');
+  await until(() => received.includes('queued'), 'the second to wait');
   // The first entry sends nothing more.
-  await until(() => told.includes('granted'), 'the second to have the slot');
+  await until(() => received.includes('granted'), 'the second to have the slot');
   await agent.stop();
 });
 
@@ -153,17 +153,17 @@
   await agent.start();
   agent.observe({ isServing: true, load: 0 });
   expect(agent.rateLimit).toBeUndefined();
-  const told: string[] = [];
+  const received: string[] = [];
   const wish = { ...WISH, slots: 4, rateLimit: 5 };
-  const note = (what: string) => told.push(what);
+  const note = (what: string) => received.push(what);
   const claim = client.ask(agentAddress, wish, answers(note));
-  await until(() => told.includes('granted'), 'the grant');
-  expect(told[0]).toBe('queued');
+  await until(() => received.includes('granted'), 'the grant');
+  expect(received[0]).toBe('queued');
   expect(agent.rateLimit).toBe(5);
   claim.noteAnswer(undefined);
   await until(() => agent.rateLimit === undefined, 'the limit to be lifted');
   client.ask(agentAddress, wish, answers(note));
-  await until(() => told.filter((what) => what === 'granted').length === 2, 'the next grant');
+  await until(() => received.filter((what) => what === 'granted').length === 2, 'the next grant');
   expect(agent.rateLimit).toBeUndefined();
   await agent.stop();
 });
--- a/test/weights/weights.test.ts
+++ b/test/weights/weights.test.ts
@@ -217,10 +217,10 @@
 
   async start({ version, running }: StartOrder) {
     this.running.push(running);
-    const isWhole = Array.from({ length: PIECES }, (_, index) => index).every((index) =>
+    const isComplete = Array.from({ length: PIECES }, (_, index) => index).every((index) =>
       this.stagedPieces.get(index)?.equals(pieceOf(version, index)),
     );
-    if (!isWhole) throw new Error('ordered to load corrupt pieces');
+    if (!isComplete) throw new Error('ordered to load corrupt pieces');
     this.orders.push(version);
     this.layers = { from: 0, end: 16, version };
     return success({ type: 'taken' } as const);
@@ -292,7 +292,7 @@
 
   it('loads an empty engine without any entry, and reports the pieces it holds', async () => {
     const engine = new FakeEngine();
-    const reports = await run(engine, planOf([[2, 1_000_000_000]]), (told) => told.at(-1)?.version === 2);
+    const reports = await run(engine, planOf([[2, 1_000_000_000]]), (sent) => sent.at(-1)?.version === 2);
     expect(engine.orders).toEqual([2]);
     const { held } = reports.at(-1)!;
     expect(ChunkSet.fromBytes(held[0].count, held[0].have).complete).toBe(true);
@@ -318,8 +318,8 @@
       loader.applyPlan(planOf([[version, 1_000_000_000]]));
       await until(() => reports.at(-1)?.held.some((held) => held.version === version) === true, 'a manifest');
     }
-    const told = reports.length;
-    await until(() => reports.length > told + 1, 'more reports');
+    const reportCount = reports.length;
+    await until(() => reports.length > reportCount + 1, 'more reports');
     await loader.stop();
     for (const { switchesIn } of reports) expect(switchesIn ?? Number.POSITIVE_INFINITY).toBeGreaterThan(500);
   });
@@ -329,7 +329,7 @@
     const reports = await run(
       engine,
       planOf([[2, 1_000_000_000]]),
-      (told) => told.at(-1)?.version === 2,
+      (sent) => sent.at(-1)?.version === 2,
       planOf([]),
     );
     expect(engine.orders).toEqual([2]);
@@ -347,7 +347,7 @@
     for (const canMoveRequests of [false, true]) {
       const engine = new FakeEngine();
       engine.layers = { from: 0, end: 16, version: 1 };
-      await run(engine, { ...planOf([[2, 7_500]]), canMoveRequests }, (told) => told.at(-1)?.version === 2);
+      await run(engine, { ...planOf([[2, 7_500]]), canMoveRequests }, (sent) => sent.at(-1)?.version === 2);
       expect(engine.running).toEqual(['finish']);
     }
   });
@@ -380,10 +380,10 @@
     loader.applyPlan(planOf([[2, 7_500]]));
     await until(() => reports.at(-1)?.version === 2, 'the version that was ordered');
     await loader.stop();
-    const told = reports.filter(({ isReached }) => isReached);
+    const reached = reports.filter(({ isReached }) => isReached);
     // An entry that hears that an engine holds nothing and is not switching sends it no requests until its
     // next report.
-    expect(told.filter(({ version, isSwitching }) => version === 0 && !isSwitching)).toEqual([]);
+    expect(reached.filter(({ version, isSwitching }) => version === 0 && !isSwitching)).toEqual([]);
     const first = reports.findIndex(({ isReached }) => isReached);
     expect(reports.slice(first).every(({ isReached }) => isReached)).toBe(true);
     // From the notice until it holds the version, the engine accepts nothing, whatever plans arrive
@@ -428,7 +428,7 @@
   it('reports an imminent switch before it sends the order', async () => {
     const engine = new FakeEngine();
     engine.layers = { from: 0, end: 16, version: 1 };
-    const reports = await run(engine, planOf([[2, 7_500]]), (told) => told.at(-1)?.version === 2);
+    const reports = await run(engine, planOf([[2, 7_500]]), (sent) => sent.at(-1)?.version === 2);
     const switching = reports.findIndex(({ isSwitching }) => isSwitching);
     expect(switching).toBeGreaterThanOrEqual(0);
     expect(reports[switching].version).toBe(1);
