--- a/src/peers/entry-link.ts
+++ b/src/peers/entry-link.ts
@@ -1,4 +1,7 @@
-/** An agent's connection to one entry: of its own zone where there is one; another when it breaks. */
+/**
+ * An agent's connection to one entry, in its own zone if possible. If the connection breaks, the agent
+ * connects to another.
+ */
 
 import { sleep } from '../fleet/table-follower.js';
 import type { Random } from '../model/random.js';
@@ -7,17 +10,16 @@
 import { withLimit } from '../model/time-limit.js';
 import { type Connection, type ConnectionContext, connect } from '../protocol/connection.js';
 import type { WeightsPlan } from '../protocol/reports.js';
-import { Dialling } from './dialling.js';
+import { DialBackoff } from './dialling.js';
 
 /** Longest pause between two rounds over all known entries, in milliseconds. */
-const LONGEST_ROUND_PAUSE = 400;
-/** Without a plan for this long the entry is left, in milliseconds. */
-const PLAN_LIMIT = 2_200;
+const MAX_ROUND_PAUSE = 400;
+/** The connection is closed after this long without a plan, in milliseconds. */
+const PLAN_TIMEOUT = 2_200;
 const CHECK_INTERVAL = 250;
-/** Time between the first words to one entry and to the next, in milliseconds. */
-const STAGGER = 120;
+/** Delay between the attempts to connect to one entry and to the next, in milliseconds. */
+const DIAL_STAGGER = 120;
 
-/** What the link works with. */
 export interface EntryLinkOptions {
   context: ConnectionContext;
   seeds: readonly string[];
@@ -26,14 +28,14 @@
   onConnected: () => void;
 }
 
-/** The link. */
+/** Keeps one connection open. */
 export class EntryLink implements Startable {
   readonly #options: EntryLinkOptions;
   #stopped = new AbortController();
   #connection: Connection | undefined;
   #entries: readonly string[] = [];
-  #heardAt = 0;
-  readonly #dialling = new Dialling(LONGEST_ROUND_PAUSE);
+  #lastPlanAt = 0;
+  readonly #dialBackoff = new DialBackoff(MAX_ROUND_PAUSE);
   /** Whether the latest plan names an entry of this agent's zone. */
   #hasNearEntry = false;
 
@@ -41,7 +43,7 @@
     this.#options = options;
   }
 
-  /** The entry that is connected. */
+  /** The current connection, if any. */
   get connection(): Connection | undefined {
     return this.#connection;
   }
@@ -60,28 +62,28 @@
     while (!signal.aborted) {
       const connection = await this.#dial(signal);
       if (connection !== undefined) {
-        this.#dialling.noteSuccess();
-        await this.#use(connection, signal);
+        this.#dialBackoff.noteSuccess();
+        await this.#monitor(connection, signal);
         continue;
       }
-      const pause = this.#dialling.noteFailure();
+      const pause = this.#dialBackoff.noteFailure();
       await sleep(pause * (0.5 + this.#options.random.fraction() / 2), signal);
     }
   }
 
   /**
-   * Asks the candidates, a moment after one another, until one answers: one that is cut off would answer nothing for
-   * long.
+   * Connects to the candidates, each shortly after the one before, until one answers: an entry that is cut
+   * off would not answer for a long time.
    */
   async #dial(signal: AbortSignal): Promise<Connection | undefined> {
     const others = new AbortController();
     const round = AbortSignal.any([signal, others.signal]);
     const first = new Promise<Connection | undefined>((resolve) => {
       const tries = this.#candidates().map(async (address, place) => {
-        await sleep(place * STAGGER, round);
+        await sleep(place * DIAL_STAGGER, round);
         if (round.aborted) return;
-        const limit = withLimit(round, this.#dialling.limit);
-        const connected = await connect(address, this.#options.context, limit);
+        const dialSignal = withLimit(round, this.#dialBackoff.timeout);
+        const connected = await connect(address, this.#options.context, dialSignal);
         if (!connected.ok) return;
         if (round.aborted) return connected.value.close();
         others.abort();
@@ -92,27 +94,27 @@
     return first;
   }
 
-  /** Entries that were told of, nearest first, then those of the settings. */
+  /** The entries named in the latest plan, nearest first, then those of the settings. */
   #candidates(): string[] {
     return [...new Set([...this.#entries, ...this.#options.seeds])];
   }
 
-  /** Uses a connection until it breaks, goes silent, or a nearer entry is known. */
-  async #use(connection: Connection, signal: AbortSignal): Promise<void> {
+  /** Uses a connection until it breaks, goes silent, or an entry in the agent's own zone becomes known. */
+  async #monitor(connection: Connection, signal: AbortSignal): Promise<void> {
     const ownZone = this.#options.context.hello().peer.zone;
     this.#connection = connection;
-    this.#heardAt = performance.now();
+    this.#lastPlanAt = performance.now();
     connection.handleMessages((message) => {
       if (message.type !== 'weightsPlan') return;
-      this.#heardAt = performance.now();
+      this.#lastPlanAt = performance.now();
       this.#entries = message.plan.entries;
       this.#hasNearEntry = message.plan.hasNearEntry;
       this.#options.onPlan(message.plan);
     });
     this.#options.onConnected();
     const standstills = new Standstills(CHECK_INTERVAL, performance.now());
-    const silence = () => standstills.runningTime(this.#heardAt, performance.now());
-    while (!signal.aborted && connection.open && silence() < PLAN_LIMIT) {
+    const silence = () => standstills.runningTime(this.#lastPlanAt, performance.now());
+    while (!signal.aborted && connection.open && silence() < PLAN_TIMEOUT) {
       await sleep(CHECK_INTERVAL, signal);
       standstills.tick(performance.now());
       if (this.#hasNearEntry && connection.remote.peer.zone !== ownZone) break;
--- a/src/peers/peer-news.ts
+++ b/src/peers/peer-news.ts
@@ -1,6 +1,7 @@
 /**
- * News that entries send one another as it occurs, and in full on each new connection, because an entry that has just started
- * or was cut off has missed it: contents that crash back ends, and rate limits of back ends.
+ * News that entries send one another as it occurs, and in full on each new connection, because an entry that
+ * has just started or was cut off has missed it: request contents that crash back ends, and rate limits of
+ * back ends.
  */
 import type { LimitNews } from '../protocol/limit-news.js';
 import type { Message } from '../protocol/messages.js';
@@ -33,7 +34,7 @@
   }
 
   /** Applies a message from another entry; false if it is of another type. */
-  take(message: Message): boolean {
+  apply(message: Message): boolean {
     const now = performance.now();
     // The codec decodes undefined as null.
     const withoutNullStart = <T extends { start?: number | undefined }>(one: T): T => ({
--- a/src/roles/direct-entry.ts
+++ b/src/roles/direct-entry.ts
@@ -24,8 +24,8 @@
 import { createEntryRetryWindow } from '../systems/entry-retry-window.js';
 import type { RetryWindow } from '../systems/retry-window.js';
 import { StoreReaders } from '../systems/store-readers.js';
-import { CollectionDuty } from '../weights/collection-duty.js';
 import { pieceRoutes } from '../weights/piece-server.js';
+import { VersionCollector } from '../weights/version-collector.js';
 import type { DirectEntryComponents } from './direct-entry-components.js';
 import { servedVersions, WeightsPlanner } from './weights-planner.js';
 
@@ -43,7 +43,7 @@
   readonly #components: DirectEntryComponents;
   readonly #peers: EntryPeers;
   readonly #agents: EngineAgents;
-  readonly #collection: CollectionDuty;
+  readonly #collection: VersionCollector;
   readonly #planner: WeightsPlanner;
   readonly #storeReaders: Record<FollowedTable, StoreReaders>;
   readonly #slots: SlotClient;
@@ -79,7 +79,7 @@
       hasEnded: (row) => backEnds.hasEnded(row),
       records: quarantineRecords,
     });
-    this.#poison.onNews = (news) => this.#peers.passNews({ type: 'poisonNews', news: [news] });
+    this.#poison.onNews = (news) => this.#peers.broadcastNews({ type: 'poisonNews', news: [news] });
     this.#limits = new BackEndLimits(log, metrics);
     this.#permits = new DirectPermits({
       tables: components.tables,
@@ -93,7 +93,7 @@
     this.#limits.listen({
       onNamed: (backEnd, rate) => void this.#permits.noteNamed(backEnd, rate),
       onLifted: (backEnd) => void this.#permits.noteLifted(backEnd),
-      onNews: (news) => this.#peers.passNews({ type: 'limitNews', news: [news] }),
+      onNews: (news) => this.#peers.broadcastNews({ type: 'limitNews', news: [news] }),
     });
     this.#peers = new EntryPeers({
       context,
@@ -102,7 +102,7 @@
       seeds: settings.seeds,
       fleet,
       decoder: components.decoder,
-      hearsStore: () => sync.connected,
+      isStoreConnected: () => sync.connected,
       random,
       report: () => this.#report(),
       onReport: (report) => this.#onPeerReport(report),
@@ -111,7 +111,7 @@
         this.#storeReaders[news.table].noteNews(id, performance.now());
         sync.take(news);
       },
-      onLapsed: ({ id }) => {
+      onExpired: ({ id }) => {
         for (const readers of Object.values(this.#storeReaders)) readers.forget(id);
         backEnds.applyLoads(id, []);
       },
@@ -127,7 +127,7 @@
       quarantineRecords.noteOlderCopy();
       this.#permits.noteOlderCopy();
     };
-    sync.onNews = (news) => this.#peers.passStoreNews(news);
+    sync.onNews = (news) => this.#peers.forwardStoreNews(news);
     backEnds.maxKeptConnections = (service) => this.#connectionsKept(service);
     this.#agents = new EngineAgents(
       (row) => this.#planner.planFor(row),
@@ -136,7 +136,7 @@
         if (before === undefined || hasChangedService(before, report)) this.#announce('all');
       },
     );
-    this.#collection = new CollectionDuty({
+    this.#collection = new VersionCollector({
       self: { id: components.identity, zone: settings.zone, linkRate: settings.linkRate ?? 0 },
       fleet,
       library,
@@ -155,7 +155,7 @@
       fleet,
       backEnds,
       versionBound: settings.versionBound,
-      wanted: () => this.#collection.wanted(),
+      wanted: () => this.#collection.wantedVersions(),
       entries: () => [this.#report(), ...this.#peers.live()],
     });
     this.#slots = new SlotClient(settings.slots, context, random);
@@ -323,7 +323,7 @@
     const audience = this.#announcement ?? 'zone';
     this.#announcement = undefined;
     this.#peers.announce(audience);
-    this.#agents.tell();
+    this.#agents.sendPlans();
   }
 
   #onPeerReport(report: EntryReport): void {
--- a/src/weights/store-plan.ts
+++ b/src/weights/store-plan-reader.ts
@@ -1,6 +1,6 @@
 /**
- * What an agent is to load, read from the store: for the moments in which no entry tells, as when all machines start
- * again together.
+ * Reads the plan of an agent from the store when no entry provides one, as when all machines restart
+ * together.
  */
 import type { WatchedTables } from '../clients/watched-tables.js';
 import type { FleetConfiguration } from '../fleet/configuration.js';
@@ -13,29 +13,31 @@
 import type { NamedVersion, WeightsPlan } from '../protocol/reports.js';
 import type { EngineLoader } from './engine-loader.js';
 
-/** An entry has this long to tell before the store is asked, and again between two tries, in milliseconds. */
-const ENTRY_PATIENCE = 30;
+/**
+ * Time that entries have to send a plan before the store is read, and pause between two reads, in
+ * milliseconds.
+ */
+const ENTRY_GRACE_TIME = 30;
 const RETRY_PAUSE = 1_500;
-const CALL_LIMIT = 1_000;
+const CALL_TIMEOUT = 1_000;
 
-/** What the plan is read with. */
-export interface StorePlanOptions {
+export interface StorePlanReaderOptions {
   tables: WatchedTables;
   decoder: RecordDecoder;
-  /** Time in which a named version must serve everywhere, in milliseconds. */
+  /** Time after its naming within which a version must be serving everywhere, in milliseconds. */
   versionBound: number;
   loader: EngineLoader;
   log: Log;
 }
 
-/** Asks the store until there is a plan from anywhere. */
-export class StorePlan implements Startable {
-  readonly #options: StorePlanOptions;
-  /** The records that cannot be used. */
+/** Reads the store until the loader has a plan from any side. */
+export class StorePlanReader implements Startable {
+  readonly #options: StorePlanReaderOptions;
+  /** The records that could not be decoded. */
   readonly faults: RecordFaults;
   #stopped = new AbortController();
 
-  constructor(options: StorePlanOptions) {
+  constructor(options: StorePlanReaderOptions) {
     this.#options = options;
     this.faults = new RecordFaults(options.log);
   }
@@ -50,22 +52,25 @@
   }
 
   async #run(signal: AbortSignal): Promise<void> {
-    await sleep(ENTRY_PATIENCE, signal);
+    await sleep(ENTRY_GRACE_TIME, signal);
     while (!signal.aborted && !this.#options.loader.hasPlan) {
       const plan = await this.#read(signal);
       if (plan !== undefined && !this.#options.loader.hasPlan) {
         this.#options.log.info('plan read from the store', { versions: plan.versions });
-        this.#options.loader.takePlan(plan);
+        this.#options.loader.applyPlan(plan);
         return;
       }
       await sleep(RETRY_PAUSE, signal);
     }
   }
 
-  /** The newest named versions; undefined where the store does not answer, or none is named. */
+  /**
+   * A plan with the named versions; undefined if the store does not answer, holds no configuration or names
+   * no version.
+   */
   async #read(signal: AbortSignal): Promise<WeightsPlan | undefined> {
     const { tables, decoder, versionBound } = this.#options;
-    const limit = withLimit(signal, CALL_LIMIT);
+    const limit = withLimit(signal, CALL_TIMEOUT);
     const read = await tables.read(decoder.operatorTable, '', limit);
     if (!read.ok) return undefined;
     let configuration: FleetConfiguration | undefined;
--- a/src/weights/collection-duty.ts
+++ b/src/weights/version-collector.ts
@@ -1,8 +1,9 @@
 /**
- * Brings the versions that matter into an entry's memory, from which the agents of its zone fetch them. One entry of a
- * zone, by rendezvous hash, fetches from outside the zone; one of all draws from the origin and puts the version into
- * the object store, for machines that lose everything. Others step in when nothing comes: no step needs one certain
- * machine, and two that do the same cost bytes, never correctness.
+ * Collects the wanted versions in an entry's memory, from which the agents of its zone fetch them. In each
+ * zone one entry, chosen by rendezvous hashing, fetches from outside the zone; one of all entries draws from
+ * the origin (fetches pieces there) and writes the version to the object store, for machines that lose
+ * everything. Other entries take over when no pieces arrive: no step depends on a particular machine, and
+ * duplicated work costs bytes, never correctness.
  */
 import type { ListedObjectStore } from '../clients/object-store.js';
 import type { FleetView } from '../fleet/fleet-view.js';
@@ -18,15 +19,15 @@
 import { drawOrder, drawPatience, QUICK_STAND_INS } from '../systems/origin-draw.js';
 import {
   type EntryHolding,
+  type EntryRank,
   entrySources,
-  OBJECT_LIMIT,
-  type PlaceInOrder,
+  OBJECT_TIMEOUT,
   STAND_IN_PATIENCE,
 } from './entry-sources.js';
 import {
   type HeldWeights,
-  keyOf,
   type PieceManifest,
+  versionKey,
   type WeightsLibrary,
   type WeightsVersion,
 } from './held-weights.js';
@@ -35,33 +36,41 @@
 import type { PieceOrigin, PieceOriginFactory, PieceSource } from './piece-source.js';
 import { partsOf, type StoredPart, storedManifestKey, storedPrefix } from './piece-sources.js';
 
-/** Time between two looks at what is wanted, in milliseconds. */
-const REVIEW_INTERVAL = 200;
-/** Time for one small call, in milliseconds. */
-const CALL_LIMIT = 1_000;
-/** The object store is asked again what it has after this, in milliseconds. */
+/** Interval at which collections are matched with the wanted versions, in milliseconds. */
+const RECONCILE_INTERVAL = 200;
+/** Time-out for a small call, in milliseconds. */
+const CALL_TIMEOUT = 1_000;
+/**
+ * Interval of retries after a failed listing, and of checks that a complete version is stored, in
+ * milliseconds.
+ */
 const LISTING_INTERVAL = 2_000;
-/** After the store has come back from an older copy, entries that have not heard of it tell of what it had for this long, in
- * milliseconds: they hear of it within two seconds. */
-const OLD_LISTINGS = 3_000;
-/** A piece that is on its way for longer is asked of another source as well, in milliseconds: a batch takes 0.1 to 0.7 s. */
-const OVERDUE = 800;
-/** What the duty works with. */
-export interface CollectionDutyOptions {
+/**
+ * After the store has been restored from an older copy, what peers say of its contents is ignored for this
+ * long, in milliseconds: entries that have not heard of the restoration still report lost objects, and hear
+ * of it within two seconds.
+ */
+const STALE_LISTING_TIME = 3_000;
+/**
+ * A piece in flight for longer than this is requested from another source as well, in milliseconds: a batch
+ * takes 0.1 to 0.7 s.
+ */
+const PIECE_OVERDUE_TIME = 800;
+export interface VersionCollectorOptions {
   self: { id: string; zone: string; linkRate: number };
   fleet: FleetView;
   library: WeightsLibrary;
   objects: ListedObjectStore;
   originAt: PieceOriginFactory;
-  /** Other entries that live. */
+  /** Live entries other than this one. */
   peers: () => EntryReport[];
-  /** Agents that are connected here. */
+  /** Agents connected to this entry. */
   agents: () => EngineAgentRow[];
-  /** The version that most engines hold, where the operator has named none. */
+  /** For each model without a named version, the version that most engines hold. */
   servedVersions: () => WeightsVersion[];
-  /** Time in which a named version must serve everywhere, in milliseconds. */
+  /** Time after its naming within which a version must be serving everywhere, in milliseconds. */
   versionBound: number;
-  /** @param isDrawing - others that could draw too should know of it at once */
+  /** @param isDrawing - entries that might draw too should be told at once */
   onHeldChanged: (isDrawing: boolean) => void;
   random: Random;
   log: Log;
@@ -69,38 +78,38 @@
 
 interface Collection {
   version: WeightsVersion;
-  /** When it began, in milliseconds of the steady clock. */
-  begunAt: number;
+  /** When the collection started, in milliseconds of the monotonic clock. */
+  startedAt: number;
   stopped: AbortController;
   held: HeldWeights | undefined;
   fetcher: PieceFetcher | undefined;
-  /** Parts that are known to lie in the object store. */
+  /** Indexes of the parts known to be in the object store. */
   stored: Set<number>;
-  /** True once the object store has said what it has. */
+  /** True once the object store has been listed, or has failed to list. */
   isListed: boolean;
   listedAt: number;
-  /** A part is being put there. */
+  /** A part is being written to the object store. */
   isPutting: boolean;
-  /** The manifest lies in the object store, put there from here. */
+  /** This entry has written the manifest to the object store. */
   isManifestStored: boolean;
 }
 
-/** The duty. */
-export class CollectionDuty implements Startable {
-  readonly #options: CollectionDutyOptions;
+/** Runs one collection per wanted version. */
+export class VersionCollector implements Startable {
+  readonly #options: VersionCollectorOptions;
   readonly #collections = new Map<string, Collection>();
   #timer: NodeJS.Timeout | undefined;
-  /** Until when peers may tell of objects that are lost, in milliseconds of the steady clock. */
-  #oldListingsUntil = Number.NEGATIVE_INFINITY;
+  /** Until when peers may report objects that no longer exist, in milliseconds of the monotonic clock. */
+  #staleListingsUntil = Number.NEGATIVE_INFINITY;
 
-  constructor(options: CollectionDutyOptions) {
+  constructor(options: VersionCollectorOptions) {
     this.#options = options;
     options.library.onPiece = (held) => this.#onPiece(held);
-    options.fleet.listen({ onNamedVersion: () => this.review(), onConfiguration: () => this.review() });
+    options.fleet.listen({ onNamedVersion: () => this.reconcile(), onConfiguration: () => this.reconcile() });
   }
 
   async start(): Promise<void> {
-    this.#timer = setInterval(() => this.review(), REVIEW_INTERVAL);
+    this.#timer = setInterval(() => this.reconcile(), RECONCILE_INTERVAL);
   }
 
   async stop(): Promise<void> {
@@ -108,8 +117,11 @@
     for (const { stopped } of this.#collections.values()) stopped.abort();
   }
 
-  /** The versions that matter now: the newest named of each model, those whose bound has not passed, what serves. */
-  wanted(): WeightsVersion[] {
+  /**
+   * The versions to collect: the newest named version of each model, named versions whose bound has not
+   * passed, and the served version of models without a named one.
+   */
+  wantedVersions(): WeightsVersion[] {
     const { fleet, versionBound, servedVersions } = this.#options;
     const now = performance.now();
     const named = fleet.versions.all().filter((one) => {
@@ -120,17 +132,20 @@
     return [...named, ...served].map(({ model, version }) => ({ model, version }));
   }
 
-  /** The store has come back from an older copy of itself: objects that were put lately may not be there any more. */
+  /**
+   * Forgets what is known of the object store after it was restored from an older copy: recent objects may be
+   * missing.
+   */
   noteOlderCopy(): void {
-    this.#oldListingsUntil = performance.now() + OLD_LISTINGS;
+    this.#staleListingsUntil = performance.now() + STALE_LISTING_TIME;
     for (const collection of this.#collections.values()) {
       collection.stored.clear();
       collection.isManifestStored = false;
-      if (collection.isListed) void this.#list(collection, collection.stopped.signal);
+      if (collection.isListed) void this.#listStoredParts(collection, collection.stopped.signal);
     }
   }
 
-  /** What is held here, for others. */
+  /** The pieces held by this entry, as reported to its peers. */
   held(): HeldPieces[] {
     return [...this.#collections.values()].flatMap(({ version, held, fetcher, stored }) => {
       if (held === undefined) return [];
@@ -140,21 +155,21 @@
     });
   }
 
-  /** Starts and ends collections. */
-  review(): void {
-    const wanted = new Map(this.wanted().map((version) => [keyOf(version), version]));
+  /** Starts and stops collections to match the wanted versions. */
+  reconcile(): void {
+    const wanted = new Map(this.wantedVersions().map((version) => [versionKey(version), version]));
     for (const [key, collection] of this.#collections) {
       if (wanted.has(key)) continue;
       collection.stopped.abort();
       this.#collections.delete(key);
     }
-    for (const [key, version] of wanted) if (!this.#collections.has(key)) this.#begin(key, version);
+    for (const [key, version] of wanted) if (!this.#collections.has(key)) this.#startCollection(key, version);
   }
 
-  #begin(key: string, version: WeightsVersion): void {
+  #startCollection(key: string, version: WeightsVersion): void {
     const collection: Collection = {
       version,
-      begunAt: performance.now(),
+      startedAt: performance.now(),
       stopped: new AbortController(),
       held: undefined,
       fetcher: undefined,
@@ -173,32 +188,32 @@
     const { signal } = collection.stopped;
     const { library, random, log, onHeldChanged } = this.#options;
     while (!this.#isHolder(collection)) {
-      await sleep(REVIEW_INTERVAL, signal);
+      await sleep(RECONCILE_INTERVAL, signal);
       if (signal.aborted) return;
     }
-    void this.#list(collection, signal);
-    const manifest = await this.#manifest(collection, signal);
+    void this.#listStoredParts(collection, signal);
+    const manifest = await this.#findManifest(collection, signal);
     if (manifest === undefined) return;
     const held = library.open(manifest);
     collection.held = held;
-    // All others wait for the manifest of whoever draws.
+    // All other entries wait for the manifest of the entry that draws.
     onHeldChanged(this.#place(collection).overall <= QUICK_STAND_INS);
     collection.fetcher = new PieceFetcher({
       held,
       library,
-      sources: () => this.#sources(collection, held),
-      mayAsk: () => true,
+      sources: () => this.#sourcesFor(collection, held),
+      mayFetch: () => true,
       onDrawing: () => onHeldChanged(true),
-      overdue: OVERDUE,
+      overdueAfter: PIECE_OVERDUE_TIME,
       random,
       log,
     });
     await collection.fetcher.run(signal);
     if (signal.aborted) return;
-    await this.#keepStored(collection, held, signal);
+    await this.#maintainStoredCopy(collection, held, signal);
   }
 
-  /** Whether this entry is among those of its zone that hold a copy. */
+  /** Whether this entry is one of those of its zone that hold a copy. */
   #isHolder(collection: Collection): boolean {
     return holdsCopy(this.#place(collection).inZone, this.#enginesOfZone());
   }
@@ -209,10 +224,10 @@
     return records.filter(({ service }) => fleet.routes?.service(service)?.engine !== undefined).length;
   }
 
-  #manifest(collection: Collection, signal: AbortSignal): Promise<PieceManifest | undefined> {
+  #findManifest(collection: Collection, signal: AbortSignal): Promise<PieceManifest | undefined> {
     const { library, objects } = this.#options;
-    const { version, begunAt } = collection;
-    const age = () => performance.now() - begunAt;
+    const { version, startedAt } = collection;
+    const age = () => performance.now() - startedAt;
     const mayAskOrigin = () => age() >= drawPatience(this.#place(collection).overall);
     const mayAskObjects = () => age() >= this.#place(collection).inZone * STAND_IN_PATIENCE;
     return findManifest(
@@ -227,31 +242,31 @@
     );
   }
 
-  #sources(collection: Collection, held: HeldWeights): PieceSource[] {
+  #sourcesFor(collection: Collection, held: HeldWeights): PieceSource[] {
     const { objects, self, peers, agents, servedVersions } = this.#options;
-    const { version, isListed, fetcher, begunAt } = collection;
-    const isServed = servedVersions().some((served) => keyOf(served) === keyOf(version));
+    const { version, isListed, fetcher, startedAt } = collection;
+    const isServed = servedVersions().some((served) => versionKey(served) === versionKey(version));
     return entrySources({
       self,
       place: this.#place(collection),
       manifest: held.manifest,
       holders: this.#holders(version),
       agents: agents(),
-      isAlone: !peers().some(({ zone }) => zone === self.zone),
+      isOnlyEntryOfZone: !peers().some(({ zone }) => zone === self.zone),
       objects,
       stored: this.#storedParts(collection),
       origin: isListed ? this.#origin() : undefined,
       isServed,
-      quietFor: performance.now() - (fetcher?.progressAt ?? begunAt),
+      sinceLastPiece: performance.now() - (fetcher?.lastPieceAt ?? startedAt),
     });
   }
 
-  /** This entry's place in the order of those responsible. */
-  #place({ version }: Collection): PlaceInOrder {
+  /** This entry's position in the orders in which entries fetch the version. */
+  #place({ version }: Collection): EntryRank {
     const { self, peers } = this.#options;
     const entries = [self, ...peers()];
-    const key = keyOf(version);
-    // The first of all is the first of its zone.
+    const key = versionKey(version);
+    // The first entry overall is also the first of its zone.
     const overall = drawOrder(key, entries);
     const inZone = drawOrder(
       key,
@@ -268,37 +283,40 @@
 
   #holders(version: WeightsVersion): EntryHolding[] {
     return this.#peersHolding(version).map((peer) => {
-      const { have, count, drawing } = peer.held.find((held) => keyOf(held) === keyOf(version))!;
+      const { have, count, drawing } = peer.held.find((held) => versionKey(held) === versionKey(version))!;
       return { peer, have: ChunkSet.fromBytes(count, have), drawing };
     });
   }
 
-  /** Peers that hold something of `version`, those of this zone first. */
+  /** Peers that hold pieces of `version`, those of this zone first. */
   #peersHolding(version: WeightsVersion): EntryReport[] {
     const holding = this.#options
       .peers()
-      .filter(({ held }) => held.some((one) => keyOf(one) === keyOf(version)));
-    const isFar = ({ zone }: EntryReport) => Number(zone !== this.#options.self.zone);
-    return holding.sort((a, b) => isFar(a) - isFar(b));
+      .filter(({ held }) => held.some((one) => versionKey(one) === versionKey(version)));
+    const isOtherZone = ({ zone }: EntryReport) => Number(zone !== this.#options.self.zone);
+    return holding.sort((a, b) => isOtherZone(a) - isOtherZone(b));
   }
 
-  /** Parts in the object store, as this entry and its peers know. */
+  /** Indexes of the parts that this entry and its peers know to be in the object store. */
   #storedParts({ version, stored }: Collection): Set<number> {
-    const peers = performance.now() < this.#oldListingsUntil ? [] : this.#options.peers();
+    const peers = performance.now() < this.#staleListingsUntil ? [] : this.#options.peers();
     for (const { held } of peers) {
-      const there = held.find((one) => keyOf(one) === keyOf(version));
-      for (const index of there?.stored ?? []) stored.add(index);
+      const advertised = held.find((one) => versionKey(one) === versionKey(version));
+      for (const index of advertised?.stored ?? []) stored.add(index);
     }
     return stored;
   }
 
-  /** Learns what lies in the object store; the origin is not drawn from before that is known, or cannot be. */
-  async #list(collection: Collection, signal: AbortSignal): Promise<void> {
+  /**
+   * Lists the version's parts in the object store, retrying on failure. The origin is not used before the
+   * first attempt has ended.
+   */
+  async #listStoredParts(collection: Collection, signal: AbortSignal): Promise<void> {
     const { objects, log } = this.#options;
     while (!signal.aborted) {
       collection.listedAt = performance.now();
       const prefix = storedPrefix(collection.version);
-      const names = await objects.list(prefix, withLimit(signal, CALL_LIMIT));
+      const names = await objects.list(prefix, withLimit(signal, CALL_TIMEOUT));
       collection.isListed = true;
       if (names.ok) {
         for (const name of names.value) {
@@ -307,13 +325,13 @@
         }
         return;
       }
-      log.warn('object store lost', { ...collection.version, reason: names.error.type });
+      log.warn('object store listing failed', { ...collection.version, reason: names.error.type });
       await sleep(LISTING_INTERVAL, signal);
     }
   }
 
   #onPiece(held: HeldWeights): void {
-    const collection = this.#collections.get(keyOf(held.manifest));
+    const collection = this.#collections.get(versionKey(held.manifest));
     if (collection === undefined) return;
     const place = this.#place(collection).overall;
     this.#options.onHeldChanged(place <= QUICK_STAND_INS);
@@ -321,8 +339,8 @@
   }
 
   /**
-   * Puts parts that are whole here and not in the object store yet, one at a time: what else goes to the store waits behind
-   * them on the link between regions.
+   * Writes the parts that are complete here and missing in the object store, one at a time: other traffic to
+   * the store queues behind them on the link between regions.
    */
   async #putParts(collection: Collection, held: HeldWeights, signal: AbortSignal): Promise<void> {
     if (!collection.isListed || collection.isPutting) return;
@@ -334,26 +352,29 @@
     }
   }
 
-  /** Puts one part; false where none is due, or the object store has not taken it. */
+  /** Writes one part; returns false if none is due or the object store did not accept it. */
   async #putNextPart(collection: Collection, held: HeldWeights, signal: AbortSignal): Promise<boolean> {
-    const part = this.#nextToPut(collection, held);
+    const part = this.#nextUnstoredPart(collection, held);
     if (part === undefined || signal.aborted) return false;
     const bytes = Buffer.concat(part.pieces.map((piece) => held.piece(piece)!));
-    const put = await this.#options.objects.put(part.key, bytes, withLimit(signal, OBJECT_LIMIT));
+    const put = await this.#options.objects.put(part.key, bytes, withLimit(signal, OBJECT_TIMEOUT));
     if (put.ok) collection.stored.add(part.index);
     this.#options.onHeldChanged(true);
     return put.ok;
   }
 
-  #nextToPut(collection: Collection, held: HeldWeights): StoredPart | undefined {
+  #nextUnstoredPart(collection: Collection, held: HeldWeights): StoredPart | undefined {
     const stored = this.#storedParts(collection);
     return partsOf(held.manifest).find(
       ({ index, pieces }) => !stored.has(index) && pieces.every((piece) => held.have.has(piece)),
     );
   }
 
-  /** Sees to it that a whole version lies in the object store, whoever was to put it there. */
-  async #keepStored(collection: Collection, held: HeldWeights, signal: AbortSignal): Promise<void> {
+  /**
+   * Keeps a complete copy of the version in the object store while this entry is first in the order,
+   * whichever entry was to write it before.
+   */
+  async #maintainStoredCopy(collection: Collection, held: HeldWeights, signal: AbortSignal): Promise<void> {
     const parts = partsOf(held.manifest);
     while (!signal.aborted) {
       await sleep(LISTING_INTERVAL * (0.5 + this.#options.random.fraction()), signal);
@@ -362,7 +383,7 @@
       if (collection.isManifestStored || this.#storedParts(collection).size < parts.length) continue;
       const key = storedManifestKey(collection.version);
       const bytes = Buffer.from(JSON.stringify(held.manifest));
-      const put = await this.#options.objects.put(key, bytes, withLimit(signal, CALL_LIMIT));
+      const put = await this.#options.objects.put(key, bytes, withLimit(signal, CALL_TIMEOUT));
       collection.isManifestStored = put.ok;
     }
   }
--- a/test/peers/entry-link.test.ts
+++ b/test/peers/entry-link.test.ts
@@ -1,4 +1,4 @@
-/** An agent's link to an entry whose connections go silent without a reset. */
+/** An agent's link to an entry when connections go silent without a reset. */
 import { afterEach, expect, it } from 'vitest';
 import { seededRandom } from '../../src/model/random.js';
 import { EngineAgents } from '../../src/peers/engine-agents.js';
@@ -8,8 +8,8 @@
 import { SilentProxy } from '../silent-proxy.js';
 import { contextAt, until } from '../support.js';
 
-/** An agent and its entry must hear one another again this long after, in milliseconds. */
-const HEARD_WITHIN = 2_800;
+/** Agent and entry must receive one another's messages again within this time, in milliseconds. */
+const RECOVERY_LIMIT = 2_800;
 
 const REPORT: EngineReport = {
   address: '127.0.0.1:1',
@@ -28,7 +28,7 @@
   for (const part of started.splice(0).reverse()) await part.stop();
 });
 
-it('an agent and its entry hear one another soon after their connection went silent', async () => {
+it('an agent and its entry exchange messages again soon after their connection went silent', async () => {
   const entry = await contextAt('entry', 'place-a', 'entry');
   const agent = await contextAt('agent');
   let bound = 1;
@@ -41,22 +41,22 @@
   await listener.start();
   await agents.start();
   const proxy = await new SilentProxy(entry.info.address).start();
-  let told = 0;
+  let receivedBound = 0;
   const link: EntryLink = new EntryLink({
     context: agent.context,
     seeds: [proxy.address],
     random: seededRandom(1),
     onPlan: (plan) => {
-      told = plan.bound;
+      receivedBound = plan.bound;
     },
     onConnected: () => void link.connection?.send({ type: 'engineReport', report: REPORT }),
   });
   await link.start();
   started.push(listener, agents, proxy, link);
-  await until(() => told === 1 && reported === 1, 'both');
+  await until(() => receivedBound === 1 && reported === 1, 'both');
   proxy.silence();
   const silentAt = performance.now();
   bound = 2;
-  await until(() => told === 2 && reported === 2, 'both again');
-  expect(performance.now() - silentAt).toBeLessThan(HEARD_WITHIN);
+  await until(() => receivedBound === 2 && reported === 2, 'both again');
+  expect(performance.now() - silentAt).toBeLessThan(RECOVERY_LIMIT);
 });
--- a/test/peers/slot-messages.test.ts
+++ b/test/peers/slot-messages.test.ts
@@ -1,4 +1,4 @@
-/** Messages about slots between an entry and an agent, as datagrams that may be lost. */
+/** Slot messages between an entry and an agent: datagrams that may be lost. */
 import { afterEach, beforeEach, expect, it } from 'vitest';
 import { freeAddress } from '../../bench/processes/child.js';
 import { seededRandom } from '../../src/model/random.js';
@@ -14,7 +14,7 @@
 let address: string;
 let heard: Message[];
 let entryAddress: string;
-/** Stands for the other side: hears everything, and says what a test says. */
+/** Plays the other side: records everything and sends what a test needs. */
 let other: DatagramEndpoint;
 let client: SlotClient;
 
@@ -47,7 +47,7 @@
   await other.stop();
 });
 
-it('an entry says again and again what it has open, and what has ended', async () => {
+it('an entry repeatedly states which claims are open and which have ended', async () => {
   const claims = [1, 2].map(() =>
     client.ask(
       address,
@@ -66,7 +66,7 @@
   }, 'nothing to be open');
 });
 
-it('an entry that stops says last that nothing is open any more', async () => {
+it('an entry that stops finally states that nothing is open', async () => {
   for (let place = 0; place < 3; place++)
     client.ask(
       address,
@@ -85,39 +85,39 @@
   expect(heardOf('slotsStated').at(-1)).toMatchObject({ next: 3 });
 });
 
-it('a slot that is granted twice is taken once', async () => {
-  const told: string[] = [];
+it('a slot that is granted twice is used once', async () => {
+  const received: string[] = [];
   client.ask(
     address,
     WISH,
-    answers((what) => told.push(what)),
+    answers((what) => received.push(what)),
   );
   await until(() => heardOf('slotAsked').length === 1, 'the question');
   const [{ id }] = heardOf('slotAsked');
   for (let time = 0; time < 2; time++)
     other.send(entryAddress, { type: 'slotGranted', id, isLimited: false });
   other.send(entryAddress, { type: 'slotQueued', id });
-  await until(() => told.includes('queued'), 'the answers');
-  expect(told).toEqual(['granted', 'queued']);
+  await until(() => received.includes('queued'), 'the answers');
+  expect(received).toEqual(['granted', 'queued']);
   expect(heardOf('slotReleased')).toEqual([]);
 });
 
-it('the slot of an entry that is gone without a word goes to whoever waits', async () => {
+it('the slot of an entry that disappears is granted to the next waiting entry', async () => {
   const agentAddress = await freeAddress();
   const agent = new SlotServer(agentAddress, (await contextAt('agent')).context, silentLog);
   await agent.start();
   agent.observe({ isServing: true, load: 0 });
   other.send(agentAddress, { type: 'slotAsked', id: 1, ...WISH });
   await until(() => heardOf('slotGranted').length === 1, 'the slot of the first');
-  const told: string[] = [];
+  const received: string[] = [];
   client.ask(
     agentAddress,
     WISH,
-    answers((what) => told.push(what)),
+    answers((what) => received.push(what)),
   );
-  await until(() => told.includes('queued'), 'the second to wait');
-  // The first says nothing any more.
-  await until(() => told.includes('granted'), 'the second to have the slot');
+  await until(() => received.includes('queued'), 'the second to wait');
+  // The first entry sends nothing more.
+  await until(() => received.includes('granted'), 'the second to have the slot');
   await agent.stop();
 });
 
@@ -153,17 +153,17 @@
   await agent.start();
   agent.observe({ isServing: true, load: 0 });
   expect(agent.rateLimit).toBeUndefined();
-  const told: string[] = [];
+  const received: string[] = [];
   const wish = { ...WISH, slots: 4, rateLimit: 5 };
-  const note = (what: string) => told.push(what);
+  const note = (what: string) => received.push(what);
   const claim = client.ask(agentAddress, wish, answers(note));
-  await until(() => told.includes('granted'), 'the grant');
-  expect(told[0]).toBe('queued');
+  await until(() => received.includes('granted'), 'the grant');
+  expect(received[0]).toBe('queued');
   expect(agent.rateLimit).toBe(5);
   claim.noteAnswer(undefined);
   await until(() => agent.rateLimit === undefined, 'the limit to be lifted');
   client.ask(agentAddress, wish, answers(note));
-  await until(() => told.filter((what) => what === 'granted').length === 2, 'the next grant');
+  await until(() => received.filter((what) => what === 'granted').length === 2, 'the next grant');
   expect(agent.rateLimit).toBeUndefined();
   await agent.stop();
 });
--- a/test/weights/drop-on-old-plan.test.ts
+++ b/test/weights/drop-on-old-plan.test.ts
@@ -1,4 +1,7 @@
-/** An engine is told to drop what runs only on a plan that holds when the order is given. */
+/**
+ * Guards against an engine being ordered to drop its running requests because of a plan that is no longer
+ * current: the spare capacity that it was based on may be gone.
+ */
 import { expect, it } from 'vitest';
 import { MemoryStore } from '../../emulator/store/memory-store.js';
 import { digestOf } from '../../src/model/manifest.js';
@@ -15,10 +18,13 @@
 
 const LAYERS = 16;
 const PIECES = 4;
-/** The last wave goes this long after the naming, in milliseconds. */
-const TURN = 6_400;
-/** An entry tells its plan every 0.7 s: one that is this much older says nothing of the others' room. */
-const SILENT_FOR = 2_500;
+/** Every engine switches at the latest this long after the naming, in milliseconds. */
+const LATEST_SWITCH = 6_400;
+/**
+ * Age of the plan when the order is due, in milliseconds. Entries send plans every 0.7 s: one this old says
+ * nothing about the spare capacity of other engines.
+ */
+const PLAN_AGE = 2_500;
 
 const pieceOf = (version: number, index: number) =>
   Buffer.from(`piece ${index} of version ${version}`.padEnd(32));
@@ -28,12 +34,12 @@
   return { model: 'm', version, pieceBytes: 32, digests };
 }
 
-const noOrigin: PieceOrigin = {
+const unavailableOrigin: PieceOrigin = {
   manifest: async () => failure({ type: 'sourceFailed', reason: 'away' }),
   piece: async () => failure({ type: 'sourceFailed', reason: 'away' }),
 };
 
-/** An object store with all of a version. */
+/** An object store that holds a complete version. */
 async function objectsWith(version: number): Promise<MemoryStore> {
   const objects = new MemoryStore();
   const manifest = manifestOf(version);
@@ -70,23 +76,23 @@
   }
 }
 
-it('an order to drop what runs: streams are not dropped on the word of an entry that has said nothing for seconds', async () => {
+it('running requests are not dropped on the basis of a plan that is several seconds old', async () => {
   const engine = new FakeEngine();
   const loader = new EngineLoader({
     engine,
     engineAddress: 'engine',
     address: 'agent',
     slotAddress: 'slots',
-    onEngine: () => {},
+    onEngineState: () => {},
     library: new WeightsLibrary(),
     objects: await objectsWith(2),
-    originAt: () => noOrigin,
-    tell: () => {},
+    originAt: () => unavailableOrigin,
+    sendReport: () => {},
     random: seededRandom(5),
     log: silentLog,
   });
   const plan: WeightsPlan = {
-    versions: [{ model: 'm', version: 2, notBefore: performance.now() - (TURN - SILENT_FOR) }],
+    versions: [{ model: 'm', version: 2, notBefore: performance.now() - (LATEST_SWITCH - PLAN_AGE) }],
     storeTime: performance.now(),
     bound: 8_000,
     origin: 'origin',
@@ -98,11 +104,11 @@
     hasNearEntry: false,
   };
   await loader.start();
-  const toldAt = performance.now();
-  loader.takePlan(plan);
+  const planAppliedAt = performance.now();
+  loader.applyPlan(plan);
   await until(() => engine.running.length === 1, 'the order');
-  const age = performance.now() - toldAt;
+  const age = performance.now() - planAppliedAt;
   await loader.stop();
-  expect(age).toBeGreaterThan(SILENT_FOR - 500);
+  expect(age).toBeGreaterThan(PLAN_AGE - 500);
   expect(engine.running).toEqual(['finish']);
 });
--- a/test/weights/weights.test.ts
+++ b/test/weights/weights.test.ts
@@ -1,4 +1,4 @@
-/** Pieces of weights: held, fetched, laid into an engine's stage and taken in turn. */
+/** Pieces of weights: how they are held, fetched, written to an engine's stage and loaded on schedule. */
 import { describe, expect, it } from 'vitest';
 import { MemoryStore } from '../../emulator/store/memory-store.js';
 import { ChunkSet } from '../../src/model/chunk-set.js';
@@ -30,8 +30,8 @@
   return {
     name,
     patience: 0,
-    parallel: 1,
-    batchTime: 1_000,
+    concurrency: 1,
+    batchTimeout: 1_000,
     isOrigin: false,
     isDivisible: true,
     nextBatch: (wanted) => wanted.slice(0, 2),
@@ -47,8 +47,8 @@
     held,
     library,
     sources: () => sources,
-    mayAsk: () => true,
-    overdue: 1_500,
+    mayFetch: () => true,
+    overdueAfter: 1_500,
     random: seededRandom(3),
     log: silentLog,
   };
@@ -56,22 +56,22 @@
   return held;
 }
 
-describe('draws from the origin', () => {
-  it('pass to the next three entries soon when no piece comes, to the others later', () => {
+describe('fetches from the origin', () => {
+  it('pass to the next three entries soon if no piece arrives, and to the others later', () => {
     expect([0, 1, 2, 3].map(drawPatience)).toEqual([0, 300, 600, 900]);
     expect(drawPatience(4) - drawPatience(3)).toBeGreaterThan(1_000);
   });
 });
 
 describe('held weights', () => {
-  it('keep a piece only with the digest of its manifest', () => {
+  it('keep a piece only if it has the digest in the manifest', () => {
     const held = new HeldWeights(manifestOf(1));
     expect(held.add(0, pieceOf(1, 0))).toBe(true);
     expect(held.add(1, pieceOf(2, 1))).toBe(false);
     expect(held.missing()).toHaveLength(PIECES - 1);
   });
 
-  it('forget the oldest of many versions', () => {
+  it('evict the oldest of many versions', () => {
     const library = new WeightsLibrary();
     for (const version of [1, 2, 3, 4]) library.open(manifestOf(version));
     expect(library.all().map(({ manifest }) => manifest.version)).toEqual([2, 3, 4]);
@@ -79,7 +79,7 @@
 });
 
 describe('a fetcher', () => {
-  it('takes corrupt pieces from elsewhere', async () => {
+  it('fetches corrupt pieces from another source', async () => {
     const corrupt = source('corrupt', {
       fetch: async (batch) => success(batch.map((index) => [index, pieceOf(9, index)])),
     });
@@ -87,12 +87,12 @@
     expect(held.complete).toBe(true);
   });
 
-  it('turns to a dear source when the others give nothing, and stays with it', async () => {
+  it('falls back to an expensive source if the others deliver nothing, and stays with it', async () => {
     let asked = 0;
     const failing = source('failing', {
       fetch: async () => failure({ type: 'sourceFailed', reason: 'down' }),
     });
-    const dear = source('dear', {
+    const expensive = source('expensive', {
       patience: 200,
       nextBatch: (wanted) => wanted.slice(0, 1),
       fetch: async (batch) => {
@@ -101,14 +101,14 @@
       },
     });
     const startedAt = performance.now();
-    const held = await fetchAll([failing, dear]);
+    const held = await fetchAll([failing, expensive]);
     expect(held.complete).toBe(true);
     expect(asked).toBe(PIECES);
-    // Waiting for its patience before each piece would take twelve times as long.
+    // Waiting for its patience to elapse before each piece would take twelve times as long.
     expect(performance.now() - startedAt).toBeLessThan(200 * PIECES);
   });
 
-  it('draws from the origin only what nobody else has', async () => {
+  it('fetches from the origin only what no other source has', async () => {
     const drawn: number[] = [];
     const origin: PieceOrigin = {
       manifest: async () => success(manifestOf(1)),
@@ -117,25 +117,25 @@
         return success(pieceOf(1, index));
       },
     };
-    const elsewhere = source('peer', {
+    const peer = source('peer', {
       nextBatch: (wanted) => wanted.filter((index) => index < 6).slice(0, 2),
     });
     const fromOrigin = originSource({
       origin,
       version: manifestOf(1),
       patience: 0,
-      parallel: 3,
-      batchTime: 1_000,
+      concurrency: 3,
+      batchTimeout: 1_000,
       mayDraw: (index) => index >= 6,
       offset: 9,
     });
-    const held = await fetchAll([elsewhere, fromOrigin]);
+    const held = await fetchAll([peer, fromOrigin]);
     expect(held.complete).toBe(true);
     expect(drawn[0]).toBe(9);
     expect(drawn.sort((a, b) => a - b)).toEqual([6, 7, 8, 9, 10, 11]);
   });
 
-  it('reads whole objects of the object store', async () => {
+  it('reads whole objects from the object store', async () => {
     const objects = new MemoryStore();
     const manifest = manifestOf(1);
     const parts = partsOf(manifest);
@@ -148,21 +148,29 @@
     }
     const stored = new Set(parts.map(({ index }) => index));
     const held = await fetchAll([
-      objectSource({ objects, manifest, stored, patience: 0, parallel: 2, batchTime: 1_000, offset: 2 }),
+      objectSource({
+        objects,
+        manifest,
+        stored,
+        patience: 0,
+        concurrency: 2,
+        batchTimeout: 1_000,
+        offset: 2,
+      }),
     ]);
     expect(held.complete).toBe(true);
     expect(objects.calls.get).toBe(parts.length);
   });
 });
 
-describe('the turn of an engine', () => {
+describe('the switch schedule of an engine', () => {
   const situation = { version: 1, expiresAt: 9_000, namedAt: 1_000, completeAt: 4_000, bound: 8_000 };
 
-  it('comes at once where it serves nothing', () => {
+  it('switches at once if the engine serves nothing', () => {
     expect(switchTime({ ...situation, version: 0, position: 2 })).toBe(Number.NEGATIVE_INFINITY);
   });
 
-  it('comes in waves, and before its version expires', () => {
+  it('switches in waves, and before the version expires', () => {
     const times = [0, 1, 2].map((position) => switchTime({ ...situation, position }));
     expect(times[0]).toBe(4_000);
     expect(times[1]).toBeGreaterThan(times[0]);
@@ -171,7 +179,7 @@
     expect(waveOf(SWITCH_WAVES)).toBe(0);
   });
 
-  it('leaves out a version that another follows closely, if that will be here in time', () => {
+  it('skips a version closely followed by another, if that will be complete in time', () => {
     const closely = { namedAt: 1_000, newestNamedAt: 3_000, expiresAt: 9_000, bound: 8_000, position: 0 };
     expect(shouldSkip({ ...closely, newestCompleteAt: 7_000 })).toBe(true);
     expect(shouldSkip({ ...closely, newestCompleteAt: Number.POSITIVE_INFINITY })).toBe(false);
@@ -180,39 +188,39 @@
   });
 });
 
-/** An engine with a stage, whose pieces can turn bad. */
+/** An engine whose staged pieces can become corrupt. */
 class FakeEngine implements StagedEngine {
-  readonly stageArea = new Map<number, Buffer>();
+  readonly stagedPieces = new Map<number, Buffer>();
   readonly orders: number[] = [];
-  /** What became of running requests with each order. */
+  /** How each order treats running requests. */
   readonly running: StartOrder['running'][] = [];
-  /** Looks at the engine for which an order keeps it busy. */
-  busyLooks = 0;
+  /** Number of polls for which an order keeps the engine busy. */
+  busyPolls = 0;
   layers: EngineState['layers'];
-  badOnce = new Set<number>();
+  corruptedOnce = new Set<number>();
 
   async state() {
-    const isBusy = this.busyLooks > 0;
-    if (isBusy) this.busyLooks--;
+    const isBusy = this.busyPolls > 0;
+    if (isBusy) this.busyPolls--;
     const layers = isBusy ? { from: 0, end: 0, version: 0 } : this.layers;
     return success({ model: 'm', layers, isBusy, load: 0, sequence: this.orders.length });
   }
 
   async stage(_model: string, index: number, bytes: Buffer) {
-    this.stageArea.set(index, this.badOnce.delete(index) ? Buffer.from('rotten') : bytes);
+    this.stagedPieces.set(index, this.corruptedOnce.delete(index) ? Buffer.from('rotten') : bytes);
     return success(undefined);
   }
 
   async staged(_model: string, index: number) {
-    return success(this.stageArea.get(index));
+    return success(this.stagedPieces.get(index));
   }
 
   async start({ version, running }: StartOrder) {
     this.running.push(running);
-    const isWhole = Array.from({ length: PIECES }, (_, index) => index).every((index) =>
-      this.stageArea.get(index)?.equals(pieceOf(version, index)),
+    const isComplete = Array.from({ length: PIECES }, (_, index) => index).every((index) =>
+      this.stagedPieces.get(index)?.equals(pieceOf(version, index)),
     );
-    if (!isWhole) throw new Error('ordered to take bad pieces');
+    if (!isComplete) throw new Error('ordered to load corrupt pieces');
     this.orders.push(version);
     this.layers = { from: 0, end: 16, version };
     return success({ type: 'taken' } as const);
@@ -234,7 +242,7 @@
   };
 }
 
-describe('the loader beside an engine', () => {
+describe('the loader next to an engine', () => {
   const origin: PieceOrigin = {
     manifest: async ({ version }) => success(manifestOf(version)),
     piece: async ({ version }, index) => success(pieceOf(version, index)),
@@ -266,90 +274,90 @@
       engineAddress: 'engine',
       address: 'agent',
       slotAddress: 'slots',
-      onEngine: () => {},
+      onEngineState: () => {},
       library: new WeightsLibrary(),
       objects: await objectsWith(1, 2),
       originAt: () => origin,
-      tell: (report) => reports.push(report),
+      sendReport: (report) => reports.push(report),
       random: seededRandom(5),
       log: silentLog,
     });
     await loader.start();
-    loader.takePlan(plan);
-    if (later !== undefined) loader.takePlan(later);
+    loader.applyPlan(plan);
+    if (later !== undefined) loader.applyPlan(later);
     await until(() => done(reports), 'the engine');
     await loader.stop();
     return reports;
   }
 
-  it('loads an empty engine without any entry, and tells what it holds', async () => {
+  it('loads an empty engine without any entry, and reports the pieces it holds', async () => {
     const engine = new FakeEngine();
-    const reports = await run(engine, planOf([[2, 1_000_000_000]]), (told) => told.at(-1)?.version === 2);
+    const reports = await run(engine, planOf([[2, 1_000_000_000]]), (sent) => sent.at(-1)?.version === 2);
     expect(engine.orders).toEqual([2]);
     const { held } = reports.at(-1)!;
     expect(ChunkSet.fromBytes(held[0].count, held[0].have).complete).toBe(true);
   });
 
-  it('does not expect the engine at once while pieces are missing, though a version is wanted, not, and again', async () => {
+  it('does not report an imminent switch while pieces are missing, even if plans drop and restore a version', async () => {
     const reports: EngineReport[] = [];
     const loader = new EngineLoader({
       engine: new FakeEngine(),
       engineAddress: 'engine',
       address: 'agent',
       slotAddress: 'slots',
-      onEngine: () => {},
+      onEngineState: () => {},
       library: new WeightsLibrary(),
       objects: new MemoryStore(),
       originAt: () => ({ ...origin, piece: async () => failure({ type: 'sourceFailed', reason: 'away' }) }),
-      tell: (report) => reports.push(report),
+      sendReport: (report) => reports.push(report),
       random: seededRandom(5),
       log: silentLog,
     });
     await loader.start();
     for (const version of [3, 2, 3]) {
-      loader.takePlan(planOf([[version, 1_000_000_000]]));
+      loader.applyPlan(planOf([[version, 1_000_000_000]]));
       await until(() => reports.at(-1)?.held.some((held) => held.version === version) === true, 'a manifest');
     }
-    const told = reports.length;
-    await until(() => reports.length > told + 1, 'more reports');
+    const reportCount = reports.length;
+    await until(() => reports.length > reportCount + 1, 'more reports');
     await loader.stop();
     for (const { switchesIn } of reports) expect(switchesIn ?? Number.POSITIVE_INFINITY).toBeGreaterThan(500);
   });
 
-  it('goes on with its fetch where an entry that has just started knows of no version', async () => {
+  it('continues its fetch when an entry that has just started sends a plan without versions', async () => {
     const engine = new FakeEngine();
     const reports = await run(
       engine,
       planOf([[2, 1_000_000_000]]),
-      (told) => told.at(-1)?.version === 2,
+      (sent) => sent.at(-1)?.version === 2,
       planOf([]),
     );
     expect(engine.orders).toEqual([2]);
     expect(reports.at(-1)?.version).toBe(2);
   });
 
-  it('mends pieces that turned bad in the stage before it orders', async () => {
+  it('replaces pieces that became corrupt in the stage before it sends the order', async () => {
     const engine = new FakeEngine();
-    engine.badOnce = new Set([3, 7]);
+    engine.corruptedOnce = new Set([3, 7]);
     await run(engine, planOf([[1, 1_000_000_000]]), () => engine.orders.length > 0);
     expect(engine.orders).toEqual([1]);
   });
 
-  it('never orders the engine to drop what runs, whatever a plan says of it', async () => {
+  it('never orders the engine to drop running requests, whatever the plan says', async () => {
     for (const canMoveRequests of [false, true]) {
       const engine = new FakeEngine();
       engine.layers = { from: 0, end: 16, version: 1 };
-      await run(engine, { ...planOf([[2, 7_500]]), canMoveRequests }, (told) => told.at(-1)?.version === 2);
+      await run(engine, { ...planOf([[2, 7_500]]), canMoveRequests }, (sent) => sent.at(-1)?.version === 2);
       expect(engine.running).toEqual(['finish']);
     }
   });
 
-  it('waits for a switch whose version is not wanted any more, and tells no engine as lost or empty', async () => {
+  it('waits for a switch to a version no longer wanted, and never reports the engine as lost or empty', async () => {
     const engine = new FakeEngine();
     engine.layers = { from: 0, end: 16, version: 1 };
     engine.start = async (order) => {
-      engine.busyLooks = 8;
-      // The next version leaves the one that was ordered out of the plan.
+      engine.busyPolls = 8;
+      // The next plan no longer contains the version that was ordered.
       later!();
       return FakeEngine.prototype.start.call(engine, order);
     };
@@ -359,31 +367,33 @@
       engineAddress: 'engine',
       address: 'agent',
       slotAddress: 'slots',
-      onEngine: () => {},
+      onEngineState: () => {},
       library: new WeightsLibrary(),
       objects: await objectsWith(2),
       originAt: () => ({ ...origin, piece: async () => failure({ type: 'sourceFailed', reason: 'away' }) }),
-      tell: (report) => reports.push(report),
+      sendReport: (report) => reports.push(report),
       random: seededRandom(5),
       log: silentLog,
     });
-    const later = () => loader.takePlan(planOf([[3, 0]]));
+    const later = () => loader.applyPlan(planOf([[3, 0]]));
     await loader.start();
-    loader.takePlan(planOf([[2, 7_500]]));
+    loader.applyPlan(planOf([[2, 7_500]]));
     await until(() => reports.at(-1)?.version === 2, 'the version that was ordered');
     await loader.stop();
-    const told = reports.filter(({ isReached }) => isReached);
-    // Whoever hears that an engine holds nothing, and is not switching, sends nothing there until its next report.
-    expect(told.filter(({ version, isSwitching }) => version === 0 && !isSwitching)).toEqual([]);
+    const reached = reports.filter(({ isReached }) => isReached);
+    // An entry that hears that an engine holds nothing and is not switching sends it no requests until its
+    // next report.
+    expect(reached.filter(({ version, isSwitching }) => version === 0 && !isSwitching)).toEqual([]);
     const first = reports.findIndex(({ isReached }) => isReached);
     expect(reports.slice(first).every(({ isReached }) => isReached)).toBe(true);
-    // From the notice until it holds the version it takes nothing, whatever is wanted meanwhile.
-    const noticed = reports.findIndex(({ isSwitching }) => isSwitching);
+    // From the notice until it holds the version, the engine accepts nothing, whatever plans arrive
+    // meanwhile.
+    const firstSwitching = reports.findIndex(({ isSwitching }) => isSwitching);
     const held = reports.findIndex(({ version }) => version === 2);
-    expect(reports.slice(noticed, held).every(({ isSwitching }) => isSwitching)).toBe(true);
+    expect(reports.slice(firstSwitching, held).every(({ isSwitching }) => isSwitching)).toBe(true);
   });
 
-  it('goes over in time though nobody has the manifest of what it holds', async () => {
+  it('switches in time even if the manifest of the current version cannot be found', async () => {
     const engine = new FakeEngine();
     engine.layers = { from: 0, end: 16, version: 1 };
     const objects = await objectsWith(2);
@@ -395,7 +405,7 @@
       engineAddress: 'engine',
       address: 'agent',
       slotAddress: 'slots',
-      onEngine: () => {},
+      onEngineState: () => {},
       library: new WeightsLibrary(),
       objects,
       originAt: () => ({
@@ -403,22 +413,22 @@
         manifest: async ({ version }) =>
           version === 2 ? success(manifestOf(2)) : failure({ type: 'sourceFailed', reason: 'gone' }),
       }),
-      tell: (report) => reports.push(report),
+      sendReport: (report) => reports.push(report),
       random: seededRandom(5),
       log: silentLog,
     });
     await loader.start();
-    // Its pieces are there before its turn comes, 6.4 s after the naming at the latest.
-    loader.takePlan({ ...planOf([[2, 2_500]]), position: 3 });
+    // Its pieces are complete before its switch is due, 6.4 s after the naming at the latest.
+    loader.applyPlan({ ...planOf([[2, 2_500]]), position: 3 });
     await until(() => reports.at(-1)?.version === 2, 'the next version');
     await loader.stop();
     expect(engine.orders).toEqual([2]);
   });
 
-  it('says before it orders that the engine is about to switch', async () => {
+  it('reports an imminent switch before it sends the order', async () => {
     const engine = new FakeEngine();
     engine.layers = { from: 0, end: 16, version: 1 };
-    const reports = await run(engine, planOf([[2, 7_500]]), (told) => told.at(-1)?.version === 2);
+    const reports = await run(engine, planOf([[2, 7_500]]), (sent) => sent.at(-1)?.version === 2);
     const switching = reports.findIndex(({ isSwitching }) => isSwitching);
     expect(switching).toBeGreaterThanOrEqual(0);
     expect(reports[switching].version).toBe(1);
--- a/tools/guard-table.mjs
+++ b/tools/guard-table.mjs
@@ -58,7 +58,7 @@
   {
     fault: 'all entries of a zone ask another zone for the configuration at the same time',
     file: 'src/peers/fleet-wish.ts',
-    find: 'OTHER_ZONE_STEP * Math.min(place, LAST_STEP)',
+    find: 'OTHER_ZONE_STAGGER * Math.min(place, MAX_STAGGER_STEPS)',
     replace: '0',
     test: 'test/peers/configuration-copies.test.ts',
   },
@@ -72,13 +72,13 @@
   {
     fault: 'links between regions are filled with batches of weights',
     file: 'src/weights/entry-sources.ts',
-    find: 'batchSize: isNear ? ENTRY_BATCH : farBatch(manifest),',
-    replace: 'batchSize: ENTRY_BATCH,',
+    find: 'batchSize: isNear ? ENTRY_BATCH_SIZE : otherZoneBatchSize(manifest),',
+    replace: 'batchSize: ENTRY_BATCH_SIZE,',
     test: 'test/weights/entry-sources.test.ts',
   },
   {
     fault: 'all parts of a version go to the object store at the same time',
-    file: 'src/weights/collection-duty.ts',
+    file: 'src/weights/version-collector.ts',
     find: 'if (!collection.isListed || collection.isPutting) return;',
     replace: 'if (!collection.isListed) return;',
     test: 'test/weights/object-puts.test.ts',
@@ -164,8 +164,8 @@
   {
     fault: 'an entry that is started again at once does not learn of contents in quarantine',
     file: 'src/peers/entry-peers.ts',
-    find: 'if (row.toldNewsOn !== connection) this.#tellNews(row, connection);',
-    replace: 'if (isNewcomer) this.#tellNews(row, connection);',
+    find: 'if (row.newsSentOn !== connection) this.#sendAllNews(row, connection);',
+    replace: 'if (isNewcomer) this.#sendAllNews(row, connection);',
     test: 'test/peers/entry-peers.test.ts',
   },
   {
@@ -328,14 +328,14 @@
   {
     fault: 'entries do not tell one another of contents that crash back ends',
     file: 'src/roles/direct-entry.ts',
-    find: "this.#poison.onNews = (news) => this.#peers.passNews({ type: 'poisonNews', news: [news] });",
+    find: "this.#poison.onNews = (news) => this.#peers.broadcastNews({ type: 'poisonNews', news: [news] });",
     replace: '',
     test: 'test/roles/poison-request.test.ts',
   },
   {
     fault: 'an entry that starts does not learn of contents in quarantine',
     file: 'src/peers/entry-peers.ts',
-    find: 'if (row.toldNewsOn !== connection) this.#tellNews(row, connection);',
+    find: 'if (row.newsSentOn !== connection) this.#sendAllNews(row, connection);',
     replace: '',
     test: 'test/peers/entry-peers.test.ts',
   },
@@ -397,14 +397,14 @@
   {
     fault: 'pieces that a former start of the engine held count as staged',
     file: 'src/weights/engine-loader.ts',
-    find: "if (news === 'newer') this.#forgetEngine();",
+    find: "if (news === 'newer') this.#handleRestart();",
     replace: '',
     test: 'test/weights/engine-restart.test.ts',
   },
   {
     fault: 'pieces that were laid while the engine started again count as staged',
     file: 'src/weights/engine-stage.ts',
-    find: 'if (forgotten === this.#forgotten) this.#version = version;',
+    find: 'if (generation === this.#generation) this.#version = version;',
     replace: 'this.#version = version;',
     test: 'test/weights/engine-restart.test.ts',
   },
@@ -425,7 +425,7 @@
   {
     fault: 'a late answer of a former start of the engine is believed',
     file: 'src/weights/engine-starts.ts',
-    find: "(start === this.#former || start < this.#present!)) return 'older';",
+    find: "(start === this.#previous || start < this.#current!)) return 'older';",
     replace: "false) return 'older';",
     test: 'test/weights/engine-restart.test.ts',
   },
@@ -858,14 +858,14 @@
   {
     fault: 'a switch ends with the fetch that led to it',
     file: 'src/weights/engine-loader.ts',
-    find: 'await this.#advance(this.#engine, this.#stopped.signal);',
-    replace: 'await this.#advance(this.#engine, signal);',
+    find: 'await this.#advance(this.#engineState, this.#stopped.signal);',
+    replace: 'await this.#advance(this.#engineState, signal);',
     test: 'test/weights/weights.test.ts',
   },
   {
     fault: 'requests move to an engine that drops them again',
     file: 'src/weights/request-moves.ts',
-    find: 'other.switchesIn >= LEAST_STAY',
+    find: 'other.switchesIn >= MIN_TIME_BEFORE_SWITCH',
     replace: 'true',
     test: 'test/weights/request-moves.test.ts',
   },
@@ -907,14 +907,14 @@
   {
     fault: 'entries that start together do not hear one another',
     file: 'src/peers/entry-peers.ts',
-    find: 'this.#tellNewAddresses(row);',
+    find: 'this.#scheduleNewcomerGossip(row);',
     replace: '',
     test: 'test/peers/entry-peers.test.ts',
   },
   {
     fault: 'what entries tell one another grows with the square of their number',
     file: 'src/peers/report-rate.ts',
-    find: 'Math.max(1, peerCount / FREQUENT_PEERS)',
+    find: 'Math.max(1, peerCount / FULL_RATE_PEERS)',
     replace: '1',
     test: 'test/peers/report-rate.test.ts',
   },
@@ -1012,7 +1012,7 @@
   {
     fault: 'an entry that stops keeps its slots',
     file: 'src/peers/slot-client.ts',
-    find: 'for (const id of this.#openClaims.keys()) this.#end(id);',
+    find: 'for (const id of this.#openClaims.keys()) this.#closeClaim(id);',
     replace: '',
     test: 'test/peers/slot-messages.test.ts',
   },
@@ -1089,15 +1089,15 @@
   {
     fault: 'entries that learn of one another both connect',
     file: 'src/peers/entry-peers.ts',
-    find: 'row.dialAt = now + otherDialsFirst;',
+    find: 'row.dialAt = now + dialDeferral;',
     replace: 'row.dialAt = now;',
     test: 'test/peers/entry-peers.test.ts',
   },
   {
     fault: 'signs of life are asked for between reports',
     file: 'src/peers/report-rate.ts',
-    find: 'return Math.max(SIGN_TIME, SIGN_INTERVALS * reportInterval(isNear, peerCount));',
-    replace: 'return SIGN_TIME;',
+    find: 'return Math.max(MIN_PING_DELAY, PING_INTERVALS * reportInterval(isNear, peerCount));',
+    replace: 'return MIN_PING_DELAY;',
     test: 'test/peers/report-rate.test.ts',
   },
   {
@@ -1117,7 +1117,7 @@
   {
     fault: 'an entry that cannot be connected to is waited for',
     file: 'src/peers/entry-peers.ts',
-    find: 'closedAt === undefined || now - closedAt < RECONNECT_TIME',
+    find: 'closedAt === undefined || now - closedAt < RECONNECT_GRACE',
     replace: 'true',
     test: 'test/peers/entry-peers.test.ts',
   },
@@ -1166,21 +1166,21 @@
   {
     fault: 'the whole configuration comes from each entry that has it',
     file: 'src/peers/fleet-wish.ts',
-    find: 'if (isWaiting) return false;',
+    find: 'if (isPending) return false;',
     replace: '',
     test: 'test/peers/fleet-wish.test.ts',
   },
   {
     fault: 'entries of other zones are asked for what comes from the own one',
     file: 'src/peers/fleet-wish.ts',
-    find: 'if (now - this.#behind.since < patienceFor(isNear, own === 0, place)) return false;',
+    find: 'if (now - this.#behind.since < delayFor(isNear, ownRevision === 0, place)) return false;',
     replace: '',
     test: 'test/peers/fleet-wish.test.ts',
   },
   {
     fault: 'copies of one configuration are asked for again while they are on their way',
     file: 'src/peers/fleet-wish.ts',
-    find: '* 2 ** Math.min(this.#unanswered - 1, MOST_DOUBLINGS)',
+    find: '* 2 ** Math.min(this.#unanswered - 1, MAX_DOUBLINGS)',
     replace: '',
     test: 'test/peers/fleet-wish.test.ts',
   },
@@ -1194,7 +1194,7 @@
   {
     fault: 'holders of a manifest that are silent are waited for one after the other',
     file: 'src/weights/manifest-search.ts',
-    find: 'await Promise.race([answer, first, sleep(STAGGER, signal)]);',
+    find: 'await Promise.race([answer, first, sleep(HOLDER_STAGGER, signal)]);',
     replace: 'await answer;',
     test: 'test/weights/manifest-search.test.ts',
   },
@@ -1208,9 +1208,9 @@
   {
     fault: 'looks at an engine wait for the manifest of what it holds',
     file: 'src/weights/engine-loader.ts',
-    find: 'this.#beginStageReading(state.value);',
+    find: 'this.#startStageRead(state.value);',
     replace:
-      'if (this.#wholeVersion > 0) await this.#manifest({ ...state.value, version: this.#wholeVersion }, signal);',
+      'if (this.#loadedVersion > 0) await this.#findManifest({ ...state.value, version: this.#loadedVersion }, signal);',
     test: 'test/weights/weights.test.ts',
   },
   {
