--- a/src/fleet/configuration.ts
+++ b/src/fleet/configuration.ts
@@ -1,84 +1,84 @@
 /**
- * The operator's configuration for back ends that are called at their own address: routes, services, tenants and the
- * limits of callers' requests. Durations are in milliseconds, sizes in bytes.
+ * The operator's configuration of routes, services, tenants and request limits, for deployments in which back ends are called
+ * at their own address. Durations are in milliseconds, sizes in bytes.
  */
 
-/** Whether a request may be run again after it may have run. */
+/** Whether a request may be sent again after a back end may already have run it. */
 export type Repeatability =
-  /** Any number of times. */
+  /** Idempotent: it may be run any number of times. */
   | 'always'
-  /** Once at most. */
+  /** It must be run at most once. */
   | 'never'
-  /** A stream of events that another back end can continue after a given event. */
+  /** An event stream that another back end can continue after a given event. */
   | 'resumable';
 
-/** One service that a route leads to, and its share of the requests. */
+/** A service that a route forwards to, and its share of the route's requests. */
 export interface RouteTarget {
   service: string;
   weight: number;
 }
 
-/** Where requests of a host and a path prefix go, and how they are treated. */
+/** Where requests for a host and a path prefix are forwarded, and how they are treated. */
 export interface Route {
   name: string;
   host: string;
-  /** Begins and ends with a slash. */
+  /** Starts and ends with a slash. */
   pathPrefix: string;
   targets: RouteTarget[];
   isStream: boolean;
   repeatability: Repeatability;
-  /** Longest time for which the operator wants a request held. */
+  /** Longest time for which the operator wants a request to be held. */
   timeout: number;
-  /** Time within which an answer has its full worth. */
+  /** Latency objective: an answer within this time has its full value. */
   objective: number;
-  /** Longest pause between two events of a stream that is still in time; 0 where none is declared. */
+  /** Longest pause between two events of a stream that still meets the objective; 0 if none is declared. */
   longestPause: number;
-  /** After this without an event, the first one too, a caller of a stream leaves, in milliseconds. */
+  /** A caller of a stream disconnects after this time without an event, which includes the wait for the first event. */
   patience: number;
-  /** 0 is the most urgent. */
+  /** 0 is the highest priority. */
   priority: number;
-  /** The most back ends that one request may be sent to. */
+  /** Maximum number of back ends to which one request may be sent. */
   maxAttempts: number;
-  /** Requests need no key. */
+  /** Requests need no API key. */
   isPublic: boolean;
 }
 
-/** A model of an engine service. */
+/** A model that an engine service serves. */
 export interface ServedModel {
   name: string;
 }
 
-/** What the operator declares of the engines of a service. */
+/** What the operator declares about the engines of a service. */
 export interface EngineShape {
-  /** Requests that one engine runs at the same time. */
+  /** Number of requests that one engine runs concurrently. */
   slots: number;
   models: ServedModel[];
   /** Number of layers of a model. */
   layers: number;
-  /** Pieces in which the weights of a version are sent, and the bytes of each. */
+  /** Number of pieces in which the weights of a version are transferred, and the size of one piece in bytes. */
   pieceCount: number;
   pieceBytes: number;
-  /** Prompt tokens that an engine reads in a second. */
+  /** Prompt tokens that an engine processes per second (prefill). */
   readTokensPerSecond: number;
-  /** Time in which a full engine writes one token of each of its requests. */
+  /** Time in which a fully loaded engine generates one token for each of its requests. */
   tokenTime: number;
 }
 
 /** A service of back ends. */
 export interface BackEndService {
   name: string;
-  /** Connections that one back end accepts from all callers together. */
+  /** Maximum number of connections that one back end accepts from all callers together. */
   maxConnections: number;
   engine: EngineShape | undefined;
 }
 
-/** The origin of weights: an address that is on no list. */
+/** The origin of weights. The list of back ends does not contain its address, so the configuration names it. */
 export interface OriginEndpoint {
   service: string;
   address: string;
 }
 
-/** Limits of what a caller may send. */
+/** Limits on the requests that a caller sends. */
 export interface CallerLimits {
   headerBytes: number;
   bodyBytes: number;
@@ -86,21 +86,21 @@
   idleTimeout: number;
 }
 
-/** A tenant and the keys with which its callers name it. */
+/** A tenant and the API keys by which its callers are recognised. */
 export interface DeclaredTenant {
   name: string;
   keys: string[];
-  /** 0 is the most urgent; goes before the route's. */
+  /** 0 is the highest priority; overrides the priority of the route. */
   priority: number | undefined;
 }
 
-/** One whole configuration; a higher revision replaces a lower one. */
+/** A complete configuration; a higher revision replaces a lower one. */
 export interface FleetConfiguration {
   revision: number;
   routes: Route[];
   services: BackEndService[];
   origin: OriginEndpoint | undefined;
   limits: CallerLimits;
-  /** Undefined where requests carry no keys. */
+  /** Undefined if requests carry no API keys. */
   tenants: DeclaredTenant[] | undefined;
 }
--- a/src/fleet/record-faults.ts
+++ b/src/fleet/record-faults.ts
@@ -1,28 +1,27 @@
 /**
- * Tells the operator of records that cannot be used: a log line when one turns bad, and a count by what is wrong. A record
- * that is written again with the same fault, as a back end's is at each heartbeat, is not told of again.
+ * Reports records that cannot be used to the operator: one log line when a record becomes invalid, and a counter by kind of
+ * fault. A record that is written again with the same fault, as a back end's record is at each heartbeat, is not reported again.
  */
 import type { StoredRow } from '../clients/watched-tables.js';
 import type { Log } from '../observability/log.js';
 import type { MetricSource } from '../observability/metrics.js';
 import type { RecordFault, RecordFaultKind } from './record-decoder.js';
 
-/** Where a record lies. */
+/** Identifies a revision of a record. */
 export type RecordPlace = Pick<StoredRow, 'table' | 'key' | 'revision'>;
 
-/** The records of some tables that cannot be used. */
+/** Tracks the invalid records of several tables. */
 export class RecordFaults {
-  /** Records and entries of records told of since the start. */
+  /** Invalid records, and invalid entries of records, reported since the process started. */
   readonly counts: Record<RecordFaultKind, number> = { unreadable: 0, missing: 0, type: 0, value: 0 };
   readonly #log: Log;
-  /** What was told last of each bad record, by table and key. */
+  /** What was last reported about each invalid record, by table and key. */
   readonly #told = new Map<string, Map<string, string>>();
 
   constructor(log: Log) {
     this.#log = log;
   }
 
-  /** The counts as a metric. */
   get metric(): MetricSource {
     return {
       name: 'records_left_out',
@@ -32,29 +31,29 @@
     };
   }
 
-  /** Notes a record that is written again at every heartbeat: told of when its fault changes. */
+  /** Handles a record that is written again at each heartbeat: reported only when its fault changes. */
   noteRepeated(place: RecordPlace, fault: RecordFault): void {
     if (this.#isNews(place, fault.reason)) this.#tell(place, fault);
   }
 
-  /** Notes a record that is written when it changes: told of at each revision. */
+  /** Handles a record that is written only when it changes: reported at each revision. */
   noteRevision(place: RecordPlace, fault: RecordFault): void {
     if (this.#isNews(place, String(place.revision))) this.#tell(place, fault);
   }
 
-  /** Notes the entries that are left out of a record which holds but for them. */
+  /** Handles a valid record some of whose entries were skipped. */
   noteLeftOut(place: RecordPlace, faults: readonly RecordFault[]): void {
     if (faults.length === 0) return this.noteGood(place);
     if (!this.#isNews(place, String(place.revision))) return;
     for (const fault of faults) this.#tell(place, fault, 'entry of a record left out');
   }
 
-  /** Notes a record that can be used, or is gone. */
+  /** Handles a record that is valid or was deleted. */
   noteGood({ table, key }: Pick<RecordPlace, 'table' | 'key'>): void {
     this.#told.get(table)?.delete(key);
   }
 
-  /** Forgets the records of `table` that are not among `keys`. */
+  /** Forgets the records of `table` whose keys are not in `keys`. */
   keepOnly(table: string, keys: ReadonlySet<string>): void {
     const told = this.#told.get(table);
     for (const key of told?.keys() ?? []) if (!keys.has(key)) told!.delete(key);
