--- a/src/fleet/named-versions.ts
+++ b/src/fleet/named-versions.ts
@@ -1,24 +1,25 @@
 /**
- * The versions of weights that the operator has named, and since when. A version must serve everywhere within a bound
- * from its naming; from then on no request may start on an older one.
+ * The versions of weights that the operator has named as the target of a model, and when. A named version must be served
+ * everywhere within a bound after its naming; after that no request may start on an older version.
  *
- * Nobody is told when a version was named. Each process knows a time before which it cannot have been: the store's time
- * at the last answer that did not hold it yet. The latest of all such times is the closest to the truth and never after
- * it, so processes exchange them and keep the maximum. A process that has just started knows none (minus infinity) and
- * forbids older versions at once, until the store's history or a peer tells it more.
+ * The store does not say when a version was named. Each process knows a lower bound: the store's time at the last answer that
+ * did not contain the version yet. The highest of these bounds is the closest to the actual time and never later than it, so
+ * processes exchange them and keep the maximum. A process that has just started knows no bound (minus infinity) and forbids
+ * older versions at once, until the store's history or a peer supplies one.
  */
 import type { NamedVersion } from '../protocol/reports.js';
 import type { StoreClock } from './store-clock.js';
 
-/** Versions of a model that are remembered at least. */
+/** Minimum number of versions kept for each model. */
 const REMEMBERED = 4;
 /**
- * The oldest of more is forgotten only once the one after it was named this long ago, in milliseconds: until that one's bound the
- * oldest alone forbids what was before it. It is far above the bounds in use (8 s).
+ * Beyond that number, the oldest version is dropped only when the next one was named this long before the latest, in
+ * milliseconds. Until the bound of that next version has passed, only the oldest one forbids the versions before it. The value
+ * is far above the bounds in use (8 s).
  */
 const FORGOTTEN_AFTER = 60_000;
 
-/** All named versions that matter. */
+/** The named versions that still affect requests. */
 export class NamedVersions {
   readonly #clock: StoreClock;
   readonly #byModel = new Map<string, NamedVersion[]>();
@@ -27,7 +28,7 @@
     this.#clock = clock;
   }
 
-  /** Notes a version, or that one was named later than was known. Returns true for a new version. */
+  /** Adds a version, or raises the lower bound of its naming time if it is known. Returns true for a new version. */
   note(named: NamedVersion): boolean {
     const versions = this.#byModel.get(named.model) ?? [];
     this.#byModel.set(named.model, versions);
@@ -42,12 +43,12 @@
     return true;
   }
 
-  /** The newest version of `model` that was named. */
+  /** The newest named version of `model`. */
   newest(model: string): NamedVersion | undefined {
     return this.#byModel.get(model)?.at(-1);
   }
 
-  /** The lowest version of `model` that requests may start on at `now`, `bound` milliseconds after a naming. */
+  /** The lowest version of `model` on which requests may start at `now`, with versions enforced `bound` ms after their naming. */
   lowestAllowed(model: string, now: number, bound: number): number {
     let lowest = 0;
     for (const named of this.#byModel.get(model) ?? []) {
@@ -56,24 +57,23 @@
     return lowest;
   }
 
-  /** Until when requests may start on `version` of `model`, `bound` milliseconds after a newer one was named. */
+  /** The time until which requests may start on `version` of `model`: `bound` ms after the naming of a newer version. */
   expiryOf(model: string, version: number, bound: number): number {
     const newer = (this.#byModel.get(model) ?? []).filter((named) => named.version > version);
     return Math.min(...newer.map((named) => this.namedAt(named) + bound));
   }
 
-  /** The earliest time at which a version can have been named, in milliseconds of this process's steady clock. */
+  /** The earliest time at which a version can have been named, in milliseconds of this process's monotonic clock. */
   namedAt({ notBefore }: NamedVersion): number {
     return this.#clock.localTimeAt(notBefore);
   }
 
-  /** Everything that is remembered. */
   all(): NamedVersion[] {
     return [...this.#byModel.values()].flat();
   }
 }
 
-/** Whether the second of `versions` forbids by now all that the first one does. */
+/** Whether the second of `versions` already forbids everything that the first one does. */
 function isOldestReplaced([, second, ...newer]: readonly NamedVersion[]): boolean {
   const latest = Math.max(...newer.map(({ notBefore }) => notBefore));
   return second.notBefore === Number.NEGATIVE_INFINITY || latest - second.notBefore > FORGOTTEN_AFTER;
--- a/src/fleet/store-clock.ts
+++ b/src/fleet/store-clock.ts
@@ -1,31 +1,31 @@
 /**
- * The store's steady clock as this process sees it. Times that several processes reason about are kept in the store's
- * time: an age that is told in a message grows wrong while the message waits for a receiver that stands still.
+ * An estimate of the store's monotonic clock. Times that several processes reason about are kept in store time: an age sent
+ * in a message becomes wrong while the message waits for a receiver that is suspended.
  */
 
-/** A window of estimates, in milliseconds: clocks that drift by 50 parts in a million part by 30 ms in it. */
+/** Length of an estimation window, in milliseconds; clocks that drift by 50 ppm diverge by 30 ms in it. */
 const WINDOW = 600_000;
 /**
- * A time of the store is believed to be later than it was by this at the most, in milliseconds, once a call has told how long
- * its answer can have been under way. What must not begin after a bound is taken back 250 ms before it: the rest of that is for
- * the tick in which it is noticed (50 ms) and for the way of the close.
+ * Once a response of the store has bounded the network delay, a store time is estimated at most this much later than it was,
+ * in milliseconds. Work that must not start after a deadline is withdrawn 250 ms before it; the remaining time covers the
+ * timer tick that notices the deadline (50 ms) and the delay of closing.
  */
 export const CLOCK_TOLERANCE = 100;
 
 /** Converts between the store's clock and this process's `performance.now()`. Times are in milliseconds. */
 export class StoreClock {
-  /** Least difference seen of the receiver's time to the store's, of this window and of the one before. */
+  /** Upper bounds of the offset, local time minus store time, from the current and the previous window. */
   #difference = Number.POSITIVE_INFINITY;
   #differenceBefore = Number.POSITIVE_INFINITY;
-  /** The difference is no less than this, by the calls of this window and of the one before. */
+  /** Lower bounds of the offset, from the calls of the current and the previous window. */
   #least = Number.NEGATIVE_INFINITY;
   #leastBefore = Number.NEGATIVE_INFINITY;
   #windowEndsAt = Number.NEGATIVE_INFINITY;
 
   /**
-   * Notes that the store's clock stood at `storeTime` at or before `receivedAt`. The way of a message only makes the
-   * difference look larger, so the least one is the closest.
-   * @param askedAt - where the store told it in answer to a call: when that was made, which the store's time is not before
+   * Adds a sample: the store's clock read `storeTime` at or before `receivedAt`. Message delay can only increase the apparent
+   * offset, so the smallest one is the closest.
+   * @param requestedAt - if the sample is a response to a call, when the call was made; the store read its clock no earlier
    */
   note(storeTime: number, receivedAt: number, askedAt = Number.NEGATIVE_INFINITY): void {
     if (!Number.isFinite(storeTime)) return;
@@ -40,20 +40,20 @@
     this.#least = Math.max(this.#least, askedAt - storeTime);
   }
 
-  /** False before anybody has told the store's time. */
+  /** False until the first sample. */
   get isKnown(): boolean {
     return Number.isFinite(this.#offset);
   }
 
-  /** The store's time at `localTime`, late by the shortest way of a message; minus infinity where it is not known. */
+  /** The store's time at `localTime`, behind by the shortest message delay; minus infinity if it is not known. */
   storeTimeAt(localTime: number): number {
     return localTime - this.#offset;
   }
 
   /**
-   * This process's time at `storeTime`, late by the shortest way of a message, but by `CLOCK_TOLERANCE` at the most where a call
-   * tells: a process that starts while all its links are slow would otherwise believe in bounds that have passed. Minus
-   * infinity where the store's time is not known.
+   * This process's time at `storeTime`, late by the shortest message delay, and by at most `CLOCK_TOLERANCE` once a call has
+   * bounded the offset. Without this limit, a process that starts while all its links are slow would treat deadlines that have
+   * passed as still ahead. Minus infinity if the store's time is not known.
    */
   localTimeAt(storeTime: number): number {
     if (!this.isKnown) return Number.NEGATIVE_INFINITY;
