--- a/src/fleet/back-end-identity.ts
+++ b/src/fleet/back-end-identity.ts
@@ -1,10 +1,10 @@
 import { type BackEndIdentity, isSameStart } from '../model/back-end-identity.js';
 
-/** A set of back ends: another start of one that is in it is not. */
+/** A set of back ends. It holds one start of each id: another start of the same id is not a member. */
 export class BackEndSet {
   readonly #starts = new Map<string, number | undefined>();
 
-  /** Adds a back end, in place of a former start of it. */
+  /** Adds a back end and replaces an earlier start of the same id. */
   add({ id, start }: BackEndIdentity): void {
     this.#starts.delete(id);
     this.#starts.set(id, start);
@@ -14,7 +14,7 @@
     return this.#starts.has(id) && isSameStart(this.#starts.get(id), start);
   }
 
-  /** Forgets those that were added first, beyond `count`. */
+  /** Evicts the back ends that were added first, until at most `count` remain. */
   keepLatest(count: number): void {
     for (const id of this.#starts.keys()) {
       if (this.#starts.size <= count) return;
--- a/src/fleet/back-end-list.ts
+++ b/src/fleet/back-end-list.ts
@@ -1,9 +1,10 @@
 /**
- * The platform's list of back ends as one process knows it: records with the store's revision, whole as of one
- * revision. It never goes back: older news of a record, of a former start of its back end, or an older list change nothing.
+ * The platform's list of back ends as known to this process: records with the store's revision, complete as of one revision.
+ * The list never goes back: an older update of a record, an update of a former start, or an older list changes nothing.
  *
- * A store that comes back from an older copy lists back ends as they were: what is known of them since is believed until they
- * have written themselves anew. One that has gone does not come back with the copy, and one that leaves goes on leaving.
+ * A store that is restored from an older copy lists back ends in an outdated state. What has been learnt since that copy is
+ * kept until the back ends have written their records again. A removed back end does not return with the copy, and one that is
+ * leaving stays so.
  */
 
 import { eraOf } from '../clients/store-revision.js';
@@ -12,34 +13,34 @@
 import { BackEndSet } from './back-end-identity.js';
 import { BackEndStarts } from './back-end-starts.js';
 
-/** A change of the list: a record that is new or has changed, or an identity that is gone. */
+/** A change of the list: a record that is new or has changed, or a back end that was removed. */
 export type BackEndChange =
   | { type: 'changed'; record: BackEndRecord }
   | { type: 'gone'; id: string; revision: number };
 
-/** Back ends that have gone and are remembered: the latest, more than go within the seconds that a copy is old. */
+/** Number of removed back ends kept, the latest ones; more than are removed in the few seconds by which a copy is old. */
 const MOST_GONE = 1_000;
 
-/** The list. */
+/** The list of back ends. */
 export class BackEndList {
   readonly records = new Map<string, BackEndRecord>();
   readonly #gone = new BackEndSet();
   readonly #starts = new BackEndStarts();
   #revision = 0;
 
-  /** The list is whole as of this revision of the store; 0 before the first reading. */
+  /** The list is complete as of this revision of the store; 0 before the first read. */
   get revision(): number {
     return this.#revision;
   }
 
-  /** Takes changes that lead from the present revision to `revision`; returns those that were news. */
+  /** Applies the changes that lead from the current revision to `revision`; returns those that had an effect. */
   apply(changes: readonly BackEndChange[], revision: number): BackEndChange[] {
     const news = changes.flatMap((change) => this.#take(change) ?? []);
     this.#revision = Math.max(this.#revision, revision);
     return news;
   }
 
-  /** Takes a whole list; returns what changed by it. An older one is passed over. */
+  /** Replaces the list; returns what changed. A list older than the current one is ignored. */
   replace(state: BackEndListState): BackEndChange[] {
     if (state.revision <= this.#revision) return [];
     const present = new Set(state.records.map(({ id }) => id));
@@ -51,9 +52,9 @@
   }
 
   /**
-   * Takes the start that a back end has reported itself; returns what changed by it. One that started again holds nothing,
-   * and does not leave: its entry, which is of the former start, says nothing else of it that does not last.
-   * @param follows - the start before it, where that is known
+   * Applies the start that a back end reports itself; returns what changed. A back end that has restarted holds no weights and
+   * is not leaving. The other fields of its record, which belongs to the former start, outlast a restart.
+   * @param follows - the preceding start, if it is known
    */
   takeStart(identity: BackEndIdentity, follows?: BackEndIdentity['start']): BackEndChange[] {
     const known = this.records.get(identity.id);
@@ -67,12 +68,11 @@
     return [{ type: 'changed', record }];
   }
 
-  /** The whole list. */
   state(): BackEndListState {
     return { revision: this.#revision, records: [...this.records.values()] };
   }
 
-  /** Takes one change; returns what it comes to, undefined where it is no news. */
+  /** Applies one change; returns its effect, or undefined if it has none. */
   #take(change: BackEndChange): BackEndChange | undefined {
     return change.type === 'gone' ? this.#remove(change) : this.#set(change.record);
   }
@@ -87,7 +87,7 @@
     return change;
   }
 
-  /** Whether a record comes with the first list of an era that is read: it may have been written before the end of the last. */
+  /** Whether a record is from the first list read in a new era: it may have been written before the end of the previous era. */
   #isOfCopy({ revision }: BackEndRecord): boolean {
     return this.#revision > 0 && eraOf(revision) > eraOf(this.#revision);
   }
@@ -98,9 +98,9 @@
     if (known === undefined && told.revision <= this.#revision) return undefined;
     if (known === undefined && this.#isOfCopy(told) && this.#gone.has(told)) return undefined;
     if (this.#starts.takeListed(told, told.revision) === 'older') return undefined;
-    // An entry that tells no start is taken for one of the start that is known.
+    // A record without a start is attributed to the current start.
     const start = this.#starts.presentOf(told.id);
-    // The entry that says so may have been lost with the end of an era; it is written again at the next heartbeat.
+    // The record that marks it as leaving may have been lost with the previous era; the next heartbeat writes it again.
     const goesOnLeaving =
       known?.leaving === true &&
       eraOf(known.revision) < eraOf(told.revision) &&
@@ -111,7 +111,7 @@
   }
 }
 
-/** Whether two records say the same of a back end, whenever they were written. */
+/** Whether two records have the same content, regardless of their revisions. */
 export function isAlike(one: BackEndRecord, other: BackEndRecord): boolean {
   return (
     isSameStart(one.start, other.start) &&
--- a/src/fleet/back-end-starts.ts
+++ b/src/fleet/back-end-starts.ts
@@ -1,52 +1,55 @@
 /**
- * Which start of each back end is the present one, by all that is told of it in whatever order. The store's entries come
- * with revisions, which order them; what a back end reports itself has none, and is ordered by the starts themselves.
+ * Determines which start of each back end is the current one, from updates that arrive in any order. Records in the store
+ * carry revisions, which order them. A start that a back end reports itself carries none and is ordered by its start time.
  *
- * - A start that was not known before and comes in a newer entry than the present one follows that, also where it looks
- *   older: its clock has stepped back. Where the present one was reported and has no entry yet, the later of both holds.
- * - A start that is reported follows the present one where the report says so. Else it does if it is later and was not known
- *   before. If it is earlier, the report is late, or a clock has stepped back: the next entry in the store tells.
- * - A start that another has followed does not come back with a report. An entry of it is late, unless it is the later one.
- * - An entry that is passed over is late. More of them are not: then the present one was taken for newer by mistake, and would
- *   be kept for good.
+ * - A listed start that was not known before, in a newer record than the current start's, replaces the current start, even if
+ *   its time is earlier: the back end's clock has stepped back. If the current start was reported and has no record yet, the
+ *   later of the two is kept.
+ * - A reported start replaces the current one if the report names the current one as its predecessor. Otherwise it does so
+ *   only if it is later and was not known before. If it is earlier, either the report is delayed or a clock has stepped back;
+ *   the next record in the store decides.
+ * - A start that has been replaced does not become current again by a report. A record of it is considered delayed, unless
+ *   its start time is later.
+ * - A single ignored record is taken as delayed. Several in a row mean that the current start was accepted by mistake; without
+ *   this rule it would be kept forever.
  */
 import type { BackEndIdentity } from '../model/back-end-identity.js';
 
 /**
- * Entries in a row with a start that is passed over after which that is the present one: a reader sees the latest
- * entry alone, twice a second, so that of those written before a restart one or two come after the report of it. A start
- * that was passed over by mistake is out for six seconds with an entry each 1.2 s.
+ * Number of consecutive records with an ignored start after which that start becomes the current one. A reader sees only the
+ * latest record, twice a second, so one or two records written before a restart can arrive after the report of the restart.
+ * A start that was ignored by mistake is unavailable for 6 s at one record per 1.2 s.
  */
 export const ENTRIES_TO_BELIEVE = 5;
-/** Former starts of one back end that are remembered: the latest; news are late by seconds, not by so many starts. */
+/** Maximum number of former starts kept per back end, the latest ones; updates are delayed by seconds, not by this many starts. */
 const FORMER_KEPT = 16;
-/** Back ends without an entry whose starts are remembered: the latest to go, more than a large deployment has. */
+/** Maximum number of back ends without a record whose starts are kept; more than a large deployment has. */
 const GONE_KEPT = 1_000;
 
-/** What the news of a start are worth. */
+/** How a start compares with the current start of its back end. */
 export type StartNews = 'same' | 'newer' | 'older';
 
 interface KnownStarts {
   present: number;
-  /** An entry of the present start has come: it was not reported alone. */
+  /** A record of the current start has been read; false if it is known from a report only. */
   isListed: boolean;
   former: number[];
-  /** Entries of a start that was passed over since the latest of the present one. */
+  /** The start that was ignored since the latest record of the current one, with the number of its records. */
   passedOver: { start: number; entries: number; revision: number } | undefined;
 }
 
-/** The starts of all back ends. */
+/** Tracks the starts of all back ends. */
 export class BackEndStarts {
   readonly #known = new Map<string, KnownStarts>();
-  /** Back ends that have no entry, those that went first before the others. */
+  /** Back ends that have no record, in order of removal. */
   readonly #gone = new Set<string>();
 
-  /** The present start of a back end; undefined where none is known. */
+  /** The current start of a back end; undefined if none is known. */
   presentOf(id: string): number | undefined {
     return this.#known.get(id)?.present;
   }
 
-  /** Takes the start that an entry of `revision` tells, which is newer than those of the present start. */
+  /** Applies the start in a record of `revision`, which is newer than the records of the current start. */
   takeListed({ id, start }: BackEndIdentity, revision: number): StartNews {
     this.#gone.delete(id);
     const known = this.#known.get(id);
@@ -61,8 +64,8 @@
   }
 
   /**
-   * Takes the start that a back end has reported itself.
-   * @param follows - the start before it, where its agent has seen that
+   * Applies the start that a back end reports itself.
+   * @param follows - the preceding start, if the back end's agent has seen it
    */
   takeReported({ id, start }: BackEndIdentity, follows?: BackEndIdentity['start']): StartNews {
     const known = this.#known.get(id);
@@ -73,7 +76,7 @@
     return follow(known, start, false);
   }
 
-  /** The entry of a back end has gone. */
+  /** The record of a back end was removed. */
   noteGone(id: string): void {
     if (!this.#known.has(id)) return;
     this.#gone.add(id);
@@ -83,14 +86,14 @@
     this.#known.delete(first);
   }
 
-  /** The first start that is known of a back end: nothing that is known of it is of another. */
+  /** Adds the first known start of a back end: anything known about the back end refers to it. */
   #begin(id: string, start: number, isListed: boolean): StartNews {
     this.#known.set(id, { present: start, isListed, former: [], passedOver: undefined });
     return 'same';
   }
 }
 
-/** Whether so many entries of a start that looks older have come that it is the present one; each counts once. */
+/** Whether enough records of an ignored start have been read to accept it as the current one; each revision counts once. */
 function goesOn(known: KnownStarts, start: number, revision: number): boolean {
   const passedOver =
     known.passedOver?.start === start ? known.passedOver : { start, entries: 0, revision: 0 };
