--- a/src/fleet/fleet-view.ts
+++ b/src/fleet/fleet-view.ts
@@ -1,6 +1,6 @@
 /**
- * What one process believes about the deployment: the configuration in force, the back ends, the versions that the
- * operator has named. Every part only moves forward; who told it, the store or a peer, makes no difference.
+ * The state of the deployment as known to this process: the active configuration, the back ends, and the versions that the
+ * operator has named. Each part only moves forward, whether an update comes from the store or from a peer.
  */
 import type { BackEndIdentity } from '../model/back-end-identity.js';
 import type { BackEndListState } from '../protocol/back-end-list-state.js';
@@ -12,65 +12,65 @@
 import { RouteTable } from './route-table.js';
 import { StoreClock } from './store-clock.js';
 
-/** A configuration as the operator wrote it, to be passed on, and as it was understood. */
+/** A configuration as the operator wrote it, to be forwarded to peers, and as it was parsed. */
 export interface ConfigurationDocument {
   document: Buffer;
   configuration: FleetConfiguration;
-  /** What is wrong with the entries that were left out of it. */
+  /** Faults of the entries that were skipped. */
   leftOut?: readonly RecordFault[];
 }
 
-/** Told when a belief changes. */
+/** Notified when the state changes. */
 export interface FleetListener {
   onConfiguration?(table: RouteTable): void;
   onBackEnds?(changes: readonly BackEndChange[]): void;
   onNamedVersion?(named: NamedVersion): void;
 }
 
-/** The beliefs of one process. */
+/** The state of the deployment as known to this process. */
 export class FleetView {
   readonly backEnds = new BackEndList();
-  /** The store's clock, in whose time processes tell one another when something happened. */
+  /** The store's clock; processes exchange times of events in store time. */
   readonly clock = new StoreClock();
   readonly versions = new NamedVersions(this.clock);
   readonly #listeners: FleetListener[] = [];
   #routes: RouteTable | undefined;
   #document: Buffer | undefined;
   #configurationTakenAt = Number.NEGATIVE_INFINITY;
-  /** Newest revision of a configuration that another process is known to have. */
+  /** Newest configuration revision that another process is known to have. */
   #configurationRevisionElsewhere = 0;
 
-  /** The configuration in force; undefined before any was heard of. */
+  /** The active configuration; undefined before the first one is received. */
   get routes(): RouteTable | undefined {
     return this.#routes;
   }
 
-  /** The configuration in force as the operator wrote it. */
+  /** The active configuration as the operator wrote it. */
   get document(): Buffer | undefined {
     return this.#document;
   }
 
-  /** Revision of the configuration in force; 0 before any was heard of. */
+  /** Revision of the active configuration; 0 before the first one is received. */
   get configurationRevision(): number {
     return this.#routes?.configuration.revision ?? 0;
   }
 
-  /** When the configuration in force was taken, in milliseconds of the steady clock; before all time where there is none. */
+  /** When the active configuration was applied, in milliseconds of the monotonic clock; minus infinity if there is none. */
   get configurationTakenAt(): number {
     return this.#configurationTakenAt;
   }
 
-  /** True while a newer configuration is known to be in force: what this one lacks may be in that one. */
+  /** Whether a newer configuration is known to exist; it may contain what the active one lacks. */
   get isConfigurationBehind(): boolean {
     return this.#configurationRevisionElsewhere > this.configurationRevision;
   }
 
-  /** Another process has the configuration of `revision`. */
+  /** Records that another process has the configuration of `revision`. */
   noteConfigurationElsewhere(revision: number): void {
     this.#configurationRevisionElsewhere = Math.max(this.#configurationRevisionElsewhere, revision);
   }
 
-  /** True once requests can be routed. */
+  /** Whether requests can be routed. */
   get complete(): boolean {
     return this.#routes !== undefined && this.backEnds.revision > 0;
   }
@@ -79,7 +79,7 @@
     this.#listeners.push(listener);
   }
 
-  /** Takes a configuration if it is newer than the one in force. */
+  /** Applies a configuration if it is newer than the active one. */
   takeConfiguration({ document, configuration }: ConfigurationDocument): boolean {
     if (this.#routes !== undefined && configuration.revision <= this.configurationRevision) return false;
     this.#routes = new RouteTable(configuration);
@@ -94,27 +94,25 @@
     for (const listener of this.#listeners) listener.onNamedVersion?.(named);
   }
 
-  /** Takes changes of the list of back ends up to `revision`. */
+  /** Applies changes of the list of back ends up to `revision`. */
   takeBackEndChanges(changes: readonly BackEndChange[], revision: number): void {
     this.#tell(this.backEnds.apply(changes, revision));
   }
 
-  /** Takes a whole list of back ends if it is newer. */
+  /** Replaces the list of back ends if the given one is newer. */
   takeBackEnds(state: BackEndListState): void {
     this.#tell(this.backEnds.replace(state));
   }
 
   /**
-   * Takes the start that a back end has reported itself: it counts as much as one that the store tells.
-   * @param follows - the start before it, where that is known
+   * Applies the start that a back end reports itself; it has the same weight as one read from the store.
+   * @param follows - the preceding start, if it is known
    */
   takeStart(identity: BackEndIdentity, follows?: BackEndIdentity['start']): void {
     this.#tell(this.backEnds.takeStart(identity, follows));
   }
 
-  /**
-   * Takes removals that were held back; they are older than the list's revision, and hold unless the record came back.
-   */
+  /** Applies removals that were held back. They are older than the list, and have no effect on records written since. */
   takeHeldRemovals(changes: readonly BackEndChange[]): void {
     this.#tell(this.backEnds.apply(changes, this.backEnds.revision));
   }
--- a/src/fleet/route-table.ts
+++ b/src/fleet/route-table.ts
@@ -1,5 +1,5 @@
 /**
- * A configuration compiled for look-up: the route of a host and a path, the tenant of a key, a service by its name.
+ * A configuration indexed for lookups: the route of a host and a path, the tenant of an API key, a service by name.
  *
  * @example
  * ```ts
@@ -9,13 +9,13 @@
  */
 import type { BackEndService, DeclaredTenant, FleetConfiguration, Route } from './configuration.js';
 
-/** The configuration in force, ready for requests. */
+/** The lookup tables of the active configuration. */
 export class RouteTable {
   readonly configuration: FleetConfiguration;
   readonly #routesByHost = new Map<string, Map<string, Route>>();
   readonly #tenantsByKey = new Map<string, DeclaredTenant>();
   readonly #services = new Map<string, BackEndService>();
-  /** Each priority that occurs, once. */
+  /** Each priority that occurs in a route or a tenant, once. */
   readonly #priorities: readonly number[];
 
   constructor(configuration: FleetConfiguration) {
@@ -29,7 +29,7 @@
     }
   }
 
-  /** The route of `host` with the longest prefix that begins `path`. */
+  /** The route of `host` with the longest path prefix that matches `path`. */
   match(host: string, path: string): Route | undefined {
     const routes = this.#routesByHost.get(hostName(host));
     if (routes === undefined) return undefined;
@@ -40,7 +40,7 @@
     return undefined;
   }
 
-  /** The tenant that holds `key`. */
+  /** The tenant that owns the API key. */
   tenantOf(key: string): DeclaredTenant | undefined {
     return this.#tenantsByKey.get(key);
   }
@@ -49,12 +49,12 @@
     return this.#services.get(name);
   }
 
-  /** Place of `priority` among those that routes and tenants have, 0 for the most urgent. */
+  /** Rank of `priority` among those of routes and tenants; 0 for the most urgent. */
   rankOf(priority: number): number {
     return this.#priorities.filter((other) => other < priority).length;
   }
 
-  /** True when requests of routes that are not public must carry a key. */
+  /** Whether requests for routes that are not public must carry an API key. */
   get needsKeys(): boolean {
     return this.configuration.tenants !== undefined;
   }
@@ -67,13 +67,13 @@
   }
 }
 
-/** The path of a request's target, without its query. */
+/** The path of a request target, without its query. */
 export function pathOf(target: string): string {
   const query = target.indexOf('?');
   return query < 0 ? target : target.slice(0, query);
 }
 
-/** The service of `route` for a request whose hash is `fraction`, in `[0, 1)`. */
+/** Selects the service of `route` by weight for a request whose hash is `fraction`, in `[0, 1)`. */
 export function targetService(route: Route, fraction: number): string {
   const total = route.targets.reduce((sum, { weight }) => sum + weight, 0);
   let rest = fraction * total;
@@ -84,7 +84,7 @@
   return route.targets[route.targets.length - 1].service;
 }
 
-/** The name in a Host header: without a port, in lower case. */
+/** The host name in a Host header: in lower case, without the port. */
 function hostName(host: string): string {
   const colon = host.indexOf(':');
   return (colon < 0 ? host : host.slice(0, colon)).toLowerCase();
