--- a/src/fleet/store-sync.ts
+++ b/src/fleet/store-sync.ts
@@ -1,6 +1,6 @@
 /**
- * Keeps the fleet view in step with the store. Back ends whose records lapsed while the store was away are kept for a
- * moment after its return: those that live write themselves again.
+ * Keeps the fleet view up to date with the store. Back ends whose records expired while the store was unavailable are kept for
+ * a short time after it returns, since those still running write their records again.
  */
 import { setImmediate as nextTurn } from 'node:timers/promises';
 import { eraOf, type StoreRevision } from '../clients/store-revision.js';
@@ -19,29 +19,29 @@
 import { TableFollower, type TableFollowerEvents } from './table-follower.js';
 
 /**
- * Longest wait for changes in one call, in milliseconds: those that this process reads for hear of it at least that often,
- * and read by themselves when they do not. A connection that goes silent is noticed after it and the time for an answer.
+ * Longest wait of one call for changes, in milliseconds. The processes for which this one reads get an update at least this
+ * often and read the store themselves if they do not. A silent connection is noticed after this wait plus the response timeout.
  */
 const LONGEST_WAIT = 900;
-/** The operator's changes of this time come together, in milliseconds. */
+/** Minimum interval between two reads of the operator's changes, in milliseconds. */
 const OPERATOR_INTERVAL = 60;
-/** Changes of back ends of this time come together, in milliseconds. */
+/** Minimum interval between two reads of changes of back ends, in milliseconds. */
 const BACK_END_INTERVAL = 500;
 /**
- * After the store's return removals wait this long, in milliseconds, and after the return of an older copy of it: back ends
- * that live write themselves again within two seconds.
+ * How long removals are held back after the store returns, or returns with an older copy of its data, in milliseconds; running
+ * back ends write their records again within two seconds.
  */
 const REMOVAL_HOLD = 1_900;
-/** A silence up to this is no outage: nothing lapses in it, in milliseconds. */
+/** A silence of up to this is not an outage, in milliseconds: no record expires during it. */
 const SHORT_SILENCE = 900;
 
 /**
- * Rows that are decoded at a time, with other work in between: the first 2,300 rows take 30 to 35 ms of a whole core (least
- * of six processes, `tools/decoding-bench.mjs`), and four times that on a quarter of one.
+ * Rows decoded in one turn of the event loop. Decoding the first 2,300 rows takes 30 to 35 ms of a whole core (minimum of six
+ * processes, `tools/decoding-bench.mjs`), and four times that on a quarter of a core.
  */
 const ROWS_AT_A_TIME = 100;
 
-/** What the sync works with. */
+/** Dependencies of the sync. */
 export interface StoreSyncOptions {
   tables: WatchedTables;
   decoder: RecordDecoder;
@@ -50,34 +50,33 @@
   log: Log;
 }
 
-/** What a row says of a back end. */
+/** The change that a row makes to the list of back ends. */
 interface RowNews {
-  /** A row that cannot be used names no back end, as one that is gone. */
+  /** An invalid row counts as a removal of its back end. */
   change: BackEndChange;
-  /** The row is gone: only such news are held back after the store's return, as rows also lapse while it is away. */
+  /** The row was deleted. Only deletions are held back after the store returns, as rows also expire during an outage. */
   isRemoval: boolean;
 }
 
-/** Follows the store's tables. */
+/** Follows the store's tables and applies their changes to the fleet view. */
 export class StoreSync implements Startable {
   readonly #options: StoreSyncOptions;
   readonly #operator: TableFollower;
   readonly #backEnds: TableFollower;
   readonly #followers: StartableGroup;
-  /** False while another process reads a table and passes on what is new. */
+  /** Whether this process reads the table; false while another process reads it and forwards the changes. */
   isReader: (table: FollowedTable) => boolean = () => true;
-  /** Takes what this process has read, for others. */
+  /** Receives what this process has read, to be forwarded to others. */
   onNews: (news: StoreNews) => void = () => {};
-  /** The store has come back from an older copy: what this process wrote there lately may be lost. */
+  /** Called when the store was restored from an older copy: recent writes of this process may be lost. */
   onOlderCopy: () => void = () => {};
-  /** The records that cannot be used. */
   readonly faults: RecordFaults;
-  /** The newest version of each model that the store has told of. */
+  /** The newest version of each model that was read from the store. */
   readonly #versionsRead = new Map<string, number>();
   readonly #held = new Map<string, BackEndChange>();
-  /** What rows say: one that is passed on as news and then taken is decoded once. */
+  /** Decoded rows: a row is both forwarded and applied, but decoded only once. */
   readonly #decoded = new WeakMap<StoredRow, Result<BackEndRecord, RecordFault>>();
-  /** Back ends whose latest entry that was passed on had another start than the present one here. */
+  /** Back ends whose last forwarded record had a start other than the current one here. */
   readonly #restartsPassed = new Set<string>();
   #holdUntil = 0;
   #holdTimer: NodeJS.Timeout | undefined;
@@ -130,14 +129,14 @@
     await this.#followers.stop();
   }
 
-  /** Takes what another process has read of the store. */
+  /** Applies what another process has read from the store. */
   take({ table, holdsRemovalsFor, ...news }: StoreNews): void {
     if (holdsRemovalsFor > 0)
       this.#holdUntil = Math.max(this.#holdUntil, performance.now() + holdsRemovalsFor);
     (table === 'operator' ? this.#operator : this.#backEnds).take(news);
   }
 
-  /** Passes on what is new to others; that a back end still lives is none of it. */
+  /** Forwards changes to others; heartbeats that change nothing are left out. */
   #pass(table: FollowedTable, news: TableNews): void {
     if (!this.isReader(table)) return;
     const holdsRemovalsFor = Math.max(0, this.#holdUntil - performance.now());
@@ -149,14 +148,14 @@
     if (row.value === undefined) return true;
     const known = this.#options.fleet.backEnds.records.get(row.key);
     const decoded = this.#backEnd(row);
-    // A bad row is news when it turns bad, not at each heartbeat.
+    // An invalid row is forwarded when it becomes invalid, not at each heartbeat.
     if (!decoded.ok) return known !== undefined || this.#held.has(row.key);
     if (known === undefined) return true;
     if (!isSameStart(decoded.value.start, known.start)) {
       this.#restartsPassed.add(row.key);
       return true;
     }
-    // Others may have held its removal back as well, or have taken a start for newer that was passed over here.
+    // Others may also hold back its removal, or may have accepted a start that was ignored here.
     const wasContested = this.#restartsPassed.delete(row.key);
     return wasContested || !isAlike(decoded.value, known) || this.#held.has(row.key);
   }
@@ -180,7 +179,7 @@
     };
   }
 
-  /** @param since - what is new was written after this, in milliseconds of the store's clock */
+  /** @param since - the changes were written after this, in milliseconds of the store's clock */
   #takeOperatorRows({ rows }: RowsAt, since: number): void {
     for (const row of rows) {
       const decoded = this.#options.decoder.operatorRecord(row);
@@ -203,14 +202,14 @@
     fleet.takeNamedVersion({ model: record.model, version: record.version, notBefore });
   }
 
-  /** False for a version that is read again, as after lost history: it was named before. */
+  /** False for a version that is read again, for example after the store lost its history: it was named earlier. */
   #isNew({ model, version }: { model: string; version: number }): boolean {
     if (version <= (this.#versionsRead.get(model) ?? 0)) return false;
     this.#versionsRead.set(model, version);
     return true;
   }
 
-  /** The store's history begins anew with a copy of it: what is missing there may have been written after it. */
+  /** Detects a store restored from an older copy, which starts a new era: what it lacks may have been written after the copy. */
   #noteEra(revision: StoreRevision): void {
     const known = this.#options.fleet.backEnds.revision;
     if (known === 0 || eraOf(revision) <= eraOf(known)) return;
--- a/src/fleet/table-follower.ts
+++ b/src/fleet/table-follower.ts
@@ -1,6 +1,6 @@
 /**
- * Follows one table of the store: reads it whole, then waits for changes. A store that is away is asked again with a
- * jittered, growing pause; where it has forgotten the changes since, the table is read whole again.
+ * Follows one table of the store: reads it completely, then waits for changes. Failed calls are repeated with a jittered
+ * exponential backoff. If the store no longer has the history of changes, the table is read completely again.
  */
 import type { ChangesError, RowsAt, StoredRow, WatchedTables } from '../clients/watched-tables.js';
 import type { Random } from '../model/random.js';
@@ -11,99 +11,97 @@
 import type { StoreClock } from './store-clock.js';
 
 /**
- * Time that the store may take to begin an answer, beyond the wait that it was asked for, and from one part of it to the next,
- * in milliseconds. A slow answer is read to its end: asked for again, it would come no sooner and fill the link longer.
+ * Response timeout of the store, in milliseconds: the time until the first part of a response, beyond the requested wait, and
+ * from one part to the next. A slow response is read to its end: a repeated request would return no sooner and load the link
+ * for longer.
  */
 const ANSWER_LIMIT = 1_500;
-/** While a long answer comes, others are told this often that this process reads the table, in milliseconds. */
+/** Interval at which others are notified, while a long response arrives, that this process reads the table, in milliseconds. */
 const TOLD_INTERVAL = 500;
 /**
- * A call that waits is given up sooner than that, so that a connection that went silent is noticed: after this many of the
- * store's latest answer times, but after this time at least, in milliseconds: above a packet that is lost and sent
- * again.
+ * A waiting call is given up earlier than that, so that a connection that has gone silent is noticed: after this multiple of
+ * the store's latest response time, but no earlier than the minimum, in milliseconds. The minimum allows for one lost and
+ * retransmitted packet.
  */
 const SILENT_ANSWERS = 4;
 const SHORTEST_ANSWER_LIMIT = 400;
-/** First and longest pause after a failed call, in milliseconds. */
+/** Initial and maximum backoff after a failed call, in milliseconds. */
 const FIRST_PAUSE = 150;
 const LONGEST_PAUSE = 700;
 /**
- * Calls that follow one another within this leave no gap in which a change could have stayed unseen for longer, in
- * milliseconds: the interval between calls (60 ms for what is timed), and one packet that is lost and sent again.
+ * Maximum gap between two calls at which a change still counts as written just before the response, in milliseconds. It covers
+ * the interval between calls (60 ms for the table whose changes are dated) and one lost and retransmitted packet.
  */
 const GAPLESS = 400;
 
-/** Time between two looks whether the table has to be read here, in milliseconds. */
+/** Interval at which a paused follower checks whether it has to read the table itself, in milliseconds. */
 const REST = 150;
 
-/** What a follower tells. */
+/** Events of a follower. */
 export interface TableFollowerEvents {
-  /** The whole table; what is new in it was written after `since`, in milliseconds of the store's clock. */
+  /** The complete table; changes in it were written after `since`, in milliseconds of the store's clock. */
   onWhole(rows: RowsAt, since: number): void;
-  /** Rows that changed since what was told before, all after `since`. */
+  /** Rows changed since the previous event, all written after `since`. */
   onChanges(rows: RowsAt, since: number): void;
   /**
-   * The store answers again, after `silence` milliseconds without an answer. It was not away where `isOutage` is false: one
-   * call alone had no answer, and the next one, on a new connection, had.
+   * The store answers again after `silence` milliseconds. `isOutage` is false if only one call failed to get a response and
+   * the next one, on a new connection, succeeded.
    */
   onRegained(silence: number, isOutage: boolean): void;
   /** The store does not answer, or answers with an error. */
   onLost(reason: string): void;
-  /** Rows have come; what takes long is done here, in parts, before they are told. */
+  /** Called with received rows before they are passed to the other events, for expensive work that yields to the event loop. */
   prepare(rows: readonly StoredRow[]): Promise<void>;
-  /** The store has answered; called before the changes are told. */
+  /** Changes to be forwarded to other processes; called before `onSnapshot` and `onChanges`. */
   onNews(news: TableNews): void;
 }
 
-/** What to follow, and how often it may be asked for. */
 export interface TableFollowerOptions {
   tables: WatchedTables;
   table: string;
   /** Longest wait for a change in one call, in milliseconds. */
   wait: number;
-  /** Least time between two calls, in milliseconds: changes of this time come together; read anew at each call. */
+  /** Minimum time between two calls, in milliseconds; evaluated before each call. Changes in between arrive together. */
   interval: () => number;
-  /** True while another process reads the table and passes on what is new. */
+  /** True while another process reads the table and forwards its changes. */
   rests: () => boolean;
-  /** Learns the store's time from each answer. */
+  /** Receives the store's time from each response. */
   clock: StoreClock;
   random: Random;
   events: TableFollowerEvents;
 }
 
-/** One call to the store. */
 interface FollowerCall {
-  /** When it was made, in milliseconds of the steady clock. */
+  /** When it was made, in milliseconds of the monotonic clock. */
   askedAt: number;
-  /** Time between the answer before and this call, in milliseconds. */
+  /** Time between the previous response and this call, in milliseconds. */
   gap: number;
   /** Aborted when the follower stops. */
   signal: AbortSignal;
 }
 
-/** Follows one table. */
 export class TableFollower implements Startable {
   readonly #options: TableFollowerOptions;
   #stopped: AbortController | undefined;
   #revision: number | undefined;
   #answeredAt = performance.now();
-  /** The store's time at its latest answer; minus infinity before the first. */
+  /** The store's time at its latest response; minus infinity before the first. */
   #storeTime = Number.NEGATIVE_INFINITY;
   #failures = 0;
-  /** True where a failed call since the latest answer was refused, and did not just stay without an answer. */
+  /** A call since the latest response failed with an error rather than by a timeout. */
   #wasRefused = false;
-  /** What was passed on does not follow on what is known here: the table has to be read. */
+  /** Forwarded changes did not follow on the revision known here, so the table has to be read. */
   #hasGap = false;
-  /** Time of the latest answer beyond the wait that was asked for, in milliseconds. */
+  /** Duration of the latest response beyond the requested wait, in milliseconds. */
   #answerTime = 0;
-  /** When others were last told of an answer that was still coming. */
+  /** When others were last notified of a response still arriving. */
   #toldAt = Number.NEGATIVE_INFINITY;
 
   constructor(options: TableFollowerOptions) {
     this.#options = options;
   }
 
-  /** False between a failed call and the next answer. */
+  /** False before the first response, and between a failed call and the next response. */
   get connected(): boolean {
     return this.#failures === 0 && this.#revision !== undefined;
   }
@@ -134,7 +132,7 @@
     return this.#revision !== undefined && !this.#hasGap && this.#options.rests();
   }
 
-  /** Takes what another process has read. */
+  /** Applies changes that another process has read. */
   take({ after, revision, storeTime, since, rows }: TableNews): void {
     if (this.#revision === undefined || revision <= this.#revision) return;
     this.#hasGap = after > this.#revision;
@@ -144,7 +142,7 @@
     this.#options.events.onChanges({ rows, revision, storeTime }, since);
   }
 
-  /** One call; returns the least pause before the next, in milliseconds. */
+  /** Makes one call; returns the minimum pause before the next, in milliseconds. */
   async #step(signal: AbortSignal): Promise<number> {
     const { tables, table, wait, events, clock } = this.#options;
     const askedAt = performance.now();
@@ -159,7 +157,7 @@
       if (read.ok) await events.prepare(read.value.rows);
       return this.#take(read, limit.signal, call, (rows, since) => events.onWhole(rows, since));
     }
-    // A store that was lost is asked for an answer at once: that it is back must not wait for a change.
+    // After a failure the call does not wait for a change, so that the store's return is noticed at once.
     const patience = this.#failures > 0 ? 0 : wait;
     const first = patience === 0 ? ANSWER_LIMIT : patience + this.#answerLimit;
     const limit = new AnswerLimit(signal, { first, next: ANSWER_LIMIT });
@@ -172,7 +170,7 @@
     return this.#take(changes, limit.signal, call, (rows, since) => events.onChanges(rows, since));
   }
 
-  /** A part of an answer has come: those for whom this process reads need not read themselves. */
+  /** Handles a part of a response. Notifies the processes for which this one reads, so that they do not read themselves. */
   #onPart(limit: AnswerLimit): void {
     limit.notePart();
     const now = performance.now();
@@ -182,12 +180,12 @@
     this.#options.events.onNews({ after: revision, revision, storeTime, since: storeTime, rows: [] });
   }
 
-  /** Time that the store may take for an answer beyond the wait, in milliseconds. */
+  /** Timeout of a waiting call beyond its wait, in milliseconds. */
   get #answerLimit(): number {
     return Math.min(ANSWER_LIMIT, Math.max(SHORTEST_ANSWER_LIMIT, SILENT_ANSWERS * this.#answerTime));
   }
 
-  /** Calls the store, and notes the time that its answer took where it was not waiting for a change. */
+  /** Makes a call, and records the response time unless the response came before the end of the wait. */
   async #timed<T extends Result<RowsAt, ChangesError>>(wait: number, call: () => Promise<T>): Promise<T> {
     const askedAt = performance.now();
     const answer = await call();
@@ -208,7 +206,7 @@
       const { rows, storeTime } = answer.value;
       this.#noteAnswer(storeTime, askedAt);
       const after = this.#revision;
-      // What was passed on meanwhile may be newer.
+      // Changes forwarded by another process meanwhile may be newer.
       const revision = Math.max(after ?? 0, answer.value.revision);
       this.#revision = revision;
       this.#hasGap = false;
@@ -228,15 +226,15 @@
   }
 
   /**
-   * After when that which is new in an answer was written, in the store's time. The store answers a waiting call as soon
-   * as there is a change, so without a gap before the call it was written just before the answer.
-   * @param gap - time between the answer before and this call, in milliseconds
+   * Lower bound, in store time, of when the changes in a response were written. The store answers a waiting call as soon as
+   * there is a change, so if no gap precedes the call, the change was written just before the response.
+   * @param gap - time between the previous response and this call, in milliseconds
    */
   #writtenSince({ storeTime }: RowsAt, gap: number): number {
     return gap <= GAPLESS ? Math.max(this.#storeTime, storeTime - GAPLESS) : this.#storeTime;
   }
 
-  /** @param askedAt - when the store was asked; undefined where another process was */
+  /** @param requestedAt - when the store was called; undefined if another process called it */
   #noteAnswer(storeTime: number, askedAt?: number): void {
     const now = performance.now();
     this.#options.clock.note(storeTime, now, askedAt);
@@ -249,7 +247,7 @@
   }
 }
 
-/** Waits for `milliseconds`, or until `signal`. */
+/** Resolves after `milliseconds`, or as soon as `signal` is aborted. */
 export function sleep(milliseconds: number, signal: AbortSignal): Promise<void> {
   if (milliseconds <= 0 || signal.aborted) return Promise.resolve();
   return new Promise((resolve) => {
