--- a/test/fleet/named-versions.test.ts
+++ b/test/fleet/named-versions.test.ts
@@ -1,4 +1,4 @@
-/** When a version was named, as processes believe that start, stop, stand still and tell one another. */
+/** Naming times of versions across processes that start, stop, are suspended and exchange what they know. */
 import fc from 'fast-check';
 import { describe, expect, it } from 'vitest';
 import { NamedVersions } from '../../src/fleet/named-versions.js';
@@ -8,7 +8,7 @@
 const NEVER = Number.NEGATIVE_INFINITY;
 const BOUND = 8_000;
 
-/** Beliefs of a process whose clock is that of the store. */
+/** The state of a process whose clock differs from the store's by `difference` milliseconds. */
 function beliefs(difference = 0): { clock: StoreClock; versions: NamedVersions } {
   const clock = new StoreClock();
   clock.note(0, difference);
@@ -16,7 +16,7 @@
 }
 
 describe('named versions', () => {
-  it('forbid older ones from their bound on, each from its own naming', () => {
+  it('forbid older versions once their own bound has passed', () => {
     const { versions } = beliefs();
     versions.note({ model: 'm', version: 2, notBefore: 1_000 });
     versions.note({ model: 'm', version: 3, notBefore: 5_000 });
@@ -25,7 +25,7 @@
     expect(versions.lowestAllowed('m', 13_000, BOUND)).toBe(3);
   });
 
-  it('forbid what the oldest of them forbids, however many follow before their own bounds', () => {
+  it('keep forbidding what the oldest of them forbids, however many are named before its bound', () => {
     const { versions } = beliefs();
     for (const version of [2, 3, 4, 5, 6, 7]) {
       versions.note({ model: 'm', version, notBefore: version * 1_000 });
@@ -35,7 +35,7 @@
     expect(versions.expiryOf('m', 1, BOUND)).toBe(10_000);
   });
 
-  it('are forgotten once others have long taken their place', () => {
+  it('are dropped once they have long been superseded', () => {
     const { versions } = beliefs();
     for (let version = 2; version <= 40; version++)
       versions.note({ model: 'm', version, notBefore: version * 20_000 });
@@ -45,35 +45,35 @@
     expect(versions.all().filter(({ model }) => model === 'other')).toHaveLength(4);
   });
 
-  it('forbid older ones at once where nothing is known of their naming', () => {
+  it('forbid older versions at once if the naming time is unknown', () => {
     const { versions } = beliefs();
     expect(versions.note({ model: 'm', version: 2, notBefore: NEVER })).toBe(true);
     expect(versions.lowestAllowed('m', 1, BOUND)).toBe(2);
   });
 
-  it('take no notice of a process that has just started and knows nothing', () => {
+  it('ignore a process that has just started and knows no naming time', () => {
     const { versions } = beliefs();
     versions.note({ model: 'm', version: 2, notBefore: 5_000 });
     expect(versions.note({ model: 'm', version: 2, notBefore: NEVER })).toBe(false);
     expect(versions.lowestAllowed('m', 12_999, BOUND)).toBe(0);
   });
 
-  it('count in the time of this process', () => {
+  it('are compared in the time of this process', () => {
     const { versions } = beliefs(700);
     versions.note({ model: 'm', version: 2, notBefore: 1_000 });
     expect(versions.lowestAllowed('m', 9_699, BOUND)).toBe(0);
     expect(versions.lowestAllowed('m', 9_700, BOUND)).toBe(2);
   });
 
-  it('forbid older ones where the time of the store is not known', () => {
+  it('forbid older versions if the store time is unknown', () => {
     const versions = new NamedVersions(new StoreClock());
     versions.note({ model: 'm', version: 2, notBefore: 1_000 });
     expect(versions.lowestAllowed('m', 1_001, BOUND)).toBe(2);
   });
 });
 
-describe('the clock of the store', () => {
-  it('is as close as the quickest message', () => {
+describe('StoreClock', () => {
+  it('uses the sample with the shortest delay', () => {
     const clock = new StoreClock();
     clock.note(1_000, 5_250);
     clock.note(2_000, 6_004);
@@ -82,7 +82,7 @@
     expect(clock.localTimeAt(3_000)).toBe(7_004);
   });
 
-  it('forgets old estimates, as clocks drift', () => {
+  it('discards old samples, as clocks drift', () => {
     const clock = new StoreClock();
     clock.note(0, 0);
     for (const minutes of [11, 22, 33]) clock.note(minutes * 60_000, minutes * 60_000 + 100);
@@ -90,17 +90,17 @@
   });
 });
 
-describe('the believed time of a bound, whatever way the calls to the store take', () => {
+describe('the estimated local time of a deadline, for any delays of calls to the store', () => {
   const call = fc.record({
     pause: fc.integer({ min: 0, max: 2_000 }),
-    /** Time until the store has stamped its answer: the way there, and what it waits for changes. */
+    /** Time until the store has stamped its response: the delay of the request and the wait for changes. */
     there: fc.integer({ min: 0, max: 1_500 }),
     back: fc.integer({ min: 0, max: 3_000 }),
-    /** A message of another process alone, of which it is not known when it was made. */
+    /** A sample forwarded by another process, for which the time of the call is unknown. */
     isTold: fc.boolean(),
   });
 
-  it('is later than the truth by less than withdrawals go ahead, once the store has answered a call', () => {
+  it('is late by less than the withdrawal lead once the store has answered a call', () => {
     fc.assert(
       fc.property(fc.array(call, { minLength: 1, maxLength: 20 }), (calls) => {
         const clock = new StoreClock();
@@ -115,12 +115,12 @@
           else clock.note(stamp, now, askedAt);
           hasAnswered ||= !isTold;
           if (!isTold) quickest = Math.min(quickest, there);
-          // The clock of this process is that of the store.
+          // The store's clock equals that of this process.
           if (hasAnswered) expect(clock.localTimeAt(0)).toBeLessThanOrEqual(CLOCK_TOLERANCE);
-          // Nor is it earlier than calls account for: engines would be given up too soon.
+          // It is not earlier than the calls account for either, since engines would be given up too soon.
           if (hasAnswered)
             expect(clock.localTimeAt(0)).toBeGreaterThanOrEqual(Math.min(0, CLOCK_TOLERANCE - quickest));
-          // What others are told is never ahead of the store.
+          // The store time sent to others is never ahead of the store.
           expect(clock.storeTimeAt(now)).toBeLessThanOrEqual(now);
         }
       }),
@@ -128,14 +128,14 @@
     );
   });
 
-  it('leaves the rest of what withdrawals go ahead to a tick and to the way of a close', () => {
+  it('leaves time in the withdrawal lead for a timer tick and the delay of closing', () => {
     expect(CLOCK_TOLERANCE).toBeLessThanOrEqual(WITHDRAWAL_LEAD - 150);
   });
 });
 
-describe('processes that start, stand still, hear the store and one another in any order', () => {
+describe('processes that start, are suspended, and receive store times and versions in any order', () => {
   const PROCESSES = 4;
-  /** What happens, after a pause; `delay` is how long a message lies unread by a receiver that stands still. */
+  /** An event after a pause; `delay` is how long a message waits for a suspended receiver. */
   const step = fc.record({
     pause: fc.integer({ min: 0, max: 1_500 }),
     delay: fc.integer({ min: 0, max: 8_000 }),
@@ -147,7 +147,7 @@
   interface Process {
     clock: StoreClock;
     versions: NamedVersions;
-    /** The store's time at the latest answer. */
+    /** The store's time at its latest response. */
     heardAt: number;
   }
   const fresh = (): Process => {
@@ -156,7 +156,7 @@
   };
   const beliefOf = ({ versions }: Process) => versions.newest('m')?.notBefore;
 
-  it('never believe a naming later than it was, and lose nothing that the best of them knew', () => {
+  it('never estimate a naming too late, and keep the best bound that any of them sent', () => {
     fc.assert(
       fc.property(fc.array(step, { maxLength: 60 }), fc.integer({ min: 0, max: 20_000 }), (steps, named) => {
         const processes = Array.from({ length: PROCESSES }, fresh);
@@ -166,7 +166,7 @@
           const process = processes[who];
           if (what === 'start') processes[who] = fresh();
           if (what === 'answer') {
-            // What was read before is no news.
+            // A version that an earlier response contained is not newly named.
             const isNews = now >= named && process.heardAt < named;
             if (isNews) process.versions.note({ model: 'm', version: 2, notBefore: process.heardAt });
             process.clock.note(now, now + delay);
@@ -181,7 +181,7 @@
           }
           for (const one of processes) {
             expect(beliefOf(one) ?? NEVER).toBeLessThanOrEqual(named);
-            // What lies unread makes the store's time look earlier: never does a version seem to be named later.
+            // A delayed message makes the store time look earlier, so a version never seems to be named later.
             if (one.clock.isKnown) expect(one.clock.storeTimeAt(now)).toBeLessThanOrEqual(now);
           }
         }
--- a/test/fleet/store-sync.test.ts
+++ b/test/fleet/store-sync.test.ts
@@ -1,4 +1,4 @@
-/** Following the store through its faults. */
+/** StoreSync through outages of the store, lost history, restored copies, and reading by another process. */
 import { afterEach, beforeEach, describe, expect, it } from 'vitest';
 import { MemoryStore } from '../../emulator/store/memory-store.js';
 import type { RowsAt, WatchedTables } from '../../src/clients/watched-tables.js';
@@ -30,8 +30,8 @@
 
 afterEach(() => sync.stop());
 
-describe('a process that follows the store', () => {
-  it('takes what is there and what changes', async () => {
+describe('StoreSync reading the store', () => {
+  it('applies the initial state and later changes', async () => {
     expect(fleet.configurationRevision).toBe(1);
     expect(ids()).toEqual(['one', 'two']);
     store.write('operator', 'configuration', '2');
@@ -40,9 +40,9 @@
     await until(() => fleet.backEnds.records.get('two')?.leaving === true, 'the leaving back end');
   });
 
-  it('knows how late it may take the clock of the store to be, where all answers are long under way', async () => {
+  it('bounds the estimate of the store clock by the time of the call if every response is delayed', async () => {
     const stamps: Array<{ stamp: number; at: number }> = [];
-    /** The answer is made at once and arrives much later. */
+    /** Produces the response at once but delivers it much later. */
     const late = async <T extends { ok: boolean; value?: unknown }>(answer: Promise<T>): Promise<T> => {
       const made = await answer;
       if (made.ok) stamps.push({ stamp: (made.value as RowsAt).storeTime, at: performance.now() });
@@ -63,12 +63,12 @@
     expect(view.clock.localTimeAt(stamp)).toBeLessThanOrEqual(at + CLOCK_TOLERANCE);
   });
 
-  it('takes a removal at once while the store answers', async () => {
+  it('applies a removal at once while the store is available', async () => {
     store.write('backEnds', 'one', undefined);
     await until(() => ids().length === 1, 'the removal');
   });
 
-  it('reads all again where the history is forgotten, and compares', async () => {
+  it('reads the whole table again and compares it after the store has lost its history', async () => {
     store.faults.down = true;
     await until(() => !sync.connected, 'the loss');
     store.write('backEnds', 'one', undefined);
@@ -79,7 +79,7 @@
     await until(() => ids().join() === 'two', 'the removal');
   });
 
-  it('keeps back ends that lapsed while the store was away, until they are back or are not', async () => {
+  it('keeps back ends whose records expired during an outage until the hold time is over', async () => {
     const seen: string[] = [];
     fleet.listen({
       onBackEnds: (changes) => {
@@ -88,7 +88,7 @@
     });
     store.faults.down = true;
     await until(() => !sync.connected, 'the loss');
-    // The outage must be longer than what passes for a hiccup.
+    // The outage must be longer than `MAX_HARMLESS_SILENCE`.
     await new Promise((resolve) => setTimeout(resolve, 1_200));
     store.write('backEnds', 'one', undefined);
     store.write('backEnds', 'two', undefined);
@@ -100,7 +100,7 @@
     expect(seen).toEqual(['two']);
   });
 
-  it('keeps back ends that an older copy of the store lacks, though the store was never seen away', async () => {
+  it('keeps back ends missing from a restored older copy even if no outage was seen', async () => {
     const copy = store.copy();
     store.write('backEnds', 'three', 'ready');
     await until(() => ids().includes('three'), 'the one that joins');
@@ -110,7 +110,7 @@
     await until(() => ids().join() === 'one,two', 'the end of the one that is still missing');
   });
 
-  it('holds a back end for leaving, once it has heard of it, while the store is away and a peer knows less', async () => {
+  it('keeps a back end as leaving while the store is unavailable and a peer has an older list', async () => {
     store.write('backEnds', 'one', 'leaving');
     await until(() => fleet.backEnds.records.get('one')?.leaving === true, 'the notice');
     const { revision } = fleet.backEnds.records.get('one')!;
@@ -122,7 +122,7 @@
     expect(fleet.backEnds.records.get('one')?.leaving).toBe(true);
   });
 
-  it('dates a version that it sees being named, and none that was there before', async () => {
+  it('dates a version whose naming it observes, but not one that was named before the first read', async () => {
     expect(fleet.versions.newest('model')).toMatchObject({
       version: 1,
       notBefore: Number.NEGATIVE_INFINITY,
@@ -130,12 +130,12 @@
     store.write('operator', 'model', '2');
     const writtenAt = performance.now();
     await until(() => fleet.versions.newest('model')?.version === 2, 'the version');
-    // The stand-in's clock is that of this process.
+    // The in-memory store uses the clock of this process.
     expect(fleet.versions.newest('model')?.notBefore).toBeLessThanOrEqual(writtenAt);
     expect(fleet.versions.newest('model')?.notBefore).toBeGreaterThan(writtenAt - 500);
   });
 
-  it('dates a version that was named while the store was away from the last answer before', async () => {
+  it('dates a version named during an outage from the last response before it', async () => {
     await new Promise((resolve) => setTimeout(resolve, 100));
     store.faults.down = true;
     const lostAt = performance.now();
@@ -147,7 +147,7 @@
     expect(fleet.versions.newest('model')?.notBefore).toBeLessThanOrEqual(lostAt);
   });
 
-  it('does not take a version for newly named that it reads again, or that is written again', async () => {
+  it('keeps the date of a version that is read or written again', async () => {
     store.write('operator', 'model', '2');
     await until(() => fleet.versions.newest('model')?.version === 2, 'the version');
     const { notBefore } = fleet.versions.newest('model')!;
@@ -162,8 +162,8 @@
   });
 });
 
-describe('a process that reads the store for others', () => {
-  it('passes on an entry of a former start that it does not take itself, and the one after it', async () => {
+describe('StoreSync reading the store for others', () => {
+  it('forwards a record of a former start that it ignores itself, and the next record', async () => {
     const passed: string[] = [];
     sync.onNews = ({ table, rows }) => {
       if (table === 'backEnds') passed.push(...rows.map(({ value }) => value?.toString() ?? ''));
@@ -177,15 +177,15 @@
     passed.length = 0;
     await write('ready 100');
     expect(fleet.backEnds.records.get('one')?.start).toBe(200);
-    // Others may have taken the late entry: they did not know of the start before it.
+    // Others may have accepted the delayed record, as they may not have known the start before it.
     await write('ready 200');
     await write('ready 200');
     expect(passed).toEqual(['ready 100', 'ready 200']);
   });
 });
 
-describe('a process for which another one reads the store', () => {
-  /** News of the operator's table after revision `after`, as the reader passes them on. */
+describe('StoreSync with another process reading the store', () => {
+  /** An update of the operator's table after revision `after`, as the reading process forwards it. */
   const news = (after: number, revision: number, value: string, key = 'configuration') => ({
     table: 'operator' as const,
     after,
@@ -196,7 +196,7 @@
     holdsRemovalsFor: 0,
   });
 
-  it('takes what it passes on, and asks the store for nothing', async () => {
+  it('applies forwarded changes without calling the store', async () => {
     sync.isReader = () => false;
     await new Promise((resolve) => setTimeout(resolve, 1_200));
     const asked = { ...store.calls };
@@ -206,7 +206,7 @@
     expect(store.calls).toEqual(asked);
   });
 
-  it('reads the store itself where it has missed something', async () => {
+  it('reads the store itself after a missed update', async () => {
     sync.isReader = () => false;
     await new Promise((resolve) => setTimeout(resolve, 1_200));
     store.write('operator', 'configuration', '8');
@@ -215,7 +215,7 @@
     await until(() => fleet.configurationRevision === 8, 'what the store has');
   });
 
-  it('dates a version by when the reader saw it', async () => {
+  it('dates a version by when the reading process saw it', async () => {
     sync.isReader = () => false;
     await new Promise((resolve) => setTimeout(resolve, 1_200));
     const passed = news(store.revision, store.revision + 1, '2', 'model');
@@ -223,7 +223,7 @@
     expect(fleet.versions.newest('model')).toMatchObject({ version: 2, notBefore: passed.since });
   });
 
-  it('keeps back ends for as long as the reader does', async () => {
+  it('holds removals for as long as the reading process does', async () => {
     sync.isReader = () => false;
     const { revision } = store;
     sync.take({
