--- a/test/fleet/back-end-starts.test.ts
+++ b/test/fleet/back-end-starts.test.ts
@@ -1,4 +1,4 @@
-/** Back ends that start again under their id: the newer start holds, in whatever order the news of it come. */
+/** Back ends that restart under the same id: the newer start is kept, in whatever order records and reports arrive. */
 import { describe, expect, it } from 'vitest';
 import { BackEndSet } from '../../src/fleet/back-end-identity.js';
 import { BackEndList } from '../../src/fleet/back-end-list.js';
@@ -26,7 +26,7 @@
   };
 }
 
-/** A list that takes rows of the store as they come. */
+/** A list of back ends that applies one record at a time. */
 class ReadList extends BackEndList {
   read(start: number | undefined, revision: number, changes: Partial<BackEndRecord> = {}): boolean {
     return this.apply([{ type: 'changed', record: record(start, revision, changes) }], revision).length > 0;
@@ -37,8 +37,8 @@
   }
 }
 
-describe('a back end that starts again under its id', () => {
-  it('is known by its newer start, and a late entry of the former changes nothing', () => {
+describe('a back end that restarts under the same id', () => {
+  it('is listed with its newer start, and a delayed record of the former start changes nothing', () => {
     const list = new ReadList();
     list.read(100, 1, { layers: LAYERS });
     expect(list.read(200, 2)).toBe(true);
@@ -46,7 +46,7 @@
     expect(list.present).toMatchObject({ start: 200, layers: undefined, revision: 2 });
   });
 
-  it('is known by the start that it reports itself before the store has it, and holds nothing then', () => {
+  it('is listed with a start that it reports before the store contains it, and without weights', () => {
     const list = new ReadList();
     list.read(100, 1, { layers: LAYERS, leaving: true });
     expect(list.takeStart({ id: 'one', start: 200 })).toHaveLength(1);
@@ -56,7 +56,7 @@
     expect(list.read(200, 3, { layers: LAYERS })).toBe(true);
   });
 
-  it('is not known by an older start that a late report tells of', () => {
+  it('ignores an older start in a delayed report', () => {
     const list = new ReadList();
     list.read(200, 1, { layers: LAYERS });
     expect(list.takeStart({ id: 'one', start: 100 })).toEqual([]);
@@ -65,7 +65,7 @@
     expect(list.present?.start).toBe(300);
   });
 
-  it('is known by its start after its clock stepped back, in the order of the store', () => {
+  it('follows the order of the store after its clock stepped back', () => {
     const list = new ReadList();
     list.read(200, 1, { layers: LAYERS });
     expect(list.read(150, 2)).toBe(true);
@@ -73,21 +73,21 @@
     expect(list.present).toMatchObject({ start: 150, layers: undefined });
   });
 
-  it('is known by its start after its clock stepped back, by a report that names the start before', () => {
+  it('follows a report that names the preceding start after its clock stepped back', () => {
     const list = new ReadList();
     list.read(200, 1, { layers: LAYERS });
     expect(list.takeStart({ id: 'one', start: 150 }, 200)).toHaveLength(1);
     expect(list.present).toMatchObject({ start: 150, layers: undefined });
-    // Late: another has followed the start that this one followed.
+    // A delayed report: another start has already replaced its predecessor.
     list.read(300, 2);
     expect(list.takeStart({ id: 'one', start: 150 }, 200)).toEqual([]);
     expect(list.present?.start).toBe(300);
   });
 
-  it('is not kept out for good by an entry of an older start that came late, nor by a late report', () => {
+  it('is not excluded forever by a delayed record of an older start or by a delayed report', () => {
     const late = new ReadList();
     late.read(200, 1);
-    // That this is older cannot be told: a clock may have stepped back.
+    // This record cannot be recognised as older, as the clock may have stepped back.
     late.read(100, 2);
     expect(late.read(200, 3)).toBe(true);
     expect(late.present?.start).toBe(200);
@@ -99,7 +99,7 @@
     expect(misled.present?.start).toBe(50);
   });
 
-  it('is known by the start that it reported, whatever start between had an entry before that', () => {
+  it('keeps a reported start when a record of an intermediate start arrives later', () => {
     const list = new ReadList();
     list.read(100, 1);
     list.takeStart({ id: 'one', start: 300 });
@@ -107,7 +107,7 @@
     expect(list.present?.start).toBe(300);
   });
 
-  it('counts each entry of a former start once, however often it is read', () => {
+  it('counts each record of a former start once, however often it is read', () => {
     const list = new ReadList();
     list.read(100, 1);
     list.takeStart({ id: 'one', start: 200 });
@@ -115,7 +115,7 @@
     expect(list.present?.start).toBe(200);
   });
 
-  it('is remembered after its entry has gone', () => {
+  it('keeps its former starts after its record was removed', () => {
     const list = new ReadList();
     list.read(100, 1);
     list.read(200, 2);
@@ -124,7 +124,7 @@
     expect(list.read(200, 5)).toBe(true);
   });
 
-  it('is the same where no start is told', () => {
+  it('is treated as unchanged if no start is given', () => {
     const list = new ReadList();
     list.read(undefined, 1, { layers: LAYERS });
     expect(list.read(undefined, 2, { layers: LAYERS })).toBe(true);
@@ -136,7 +136,7 @@
   });
 });
 
-it('a set of back ends has the start that was added, and no other', () => {
+it('a set of back ends contains only the added start of an id', () => {
   const tried = new BackEndSet();
   tried.add({ id: 'one', start: 100 });
   tried.add({ id: 'two' });
--- a/test/fleet/beliefs.test.ts
+++ b/test/fleet/beliefs.test.ts
@@ -1,4 +1,4 @@
-/** What a process believes: only forward, whoever tells. */
+/** The fleet view and its parts move forward only, whatever the source of an update. */
 import { describe, expect, it } from 'vitest';
 import { BackEndList } from '../../src/fleet/back-end-list.js';
 import type { FleetConfiguration, Route } from '../../src/fleet/configuration.js';
@@ -51,15 +51,15 @@
     ['/a/', '/a/'],
     ['/ab/c', '/'],
     ['/', '/'],
-  ])('%s leads to the longest prefix, %s', (path, prefix) => {
+  ])('%s matches the longest prefix, %s', (path, prefix) => {
     expect(table.match('api.example:80', path)?.pathPrefix).toBe(prefix);
   });
 
-  it('knows no other host', () => expect(table.match('other.example', '/a/')).toBeUndefined());
+  it('does not match another host', () => expect(table.match('other.example', '/a/')).toBeUndefined());
 
-  it('leaves the query out', () => expect(pathOf('/a/b?c=/d/')).toBe('/a/b'));
+  it('strips the query', () => expect(pathOf('/a/b?c=/d/')).toBe('/a/b'));
 
-  it('splits by weight', () => {
+  it('splits requests by weight', () => {
     const route = {
       ...configuration(1, ['/']).routes[0],
       targets: [
@@ -73,8 +73,8 @@
   });
 });
 
-describe('the configuration', () => {
-  it('never goes back', () => {
+describe('FleetView.applyConfiguration', () => {
+  it('ignores an older revision', () => {
     const fleet = new FleetView();
     expect(fleet.takeConfiguration({ document: Buffer.from('5'), configuration: configuration(5) })).toBe(
       true,
@@ -88,7 +88,7 @@
 });
 
 describe('the list of back ends', () => {
-  it('takes newer records and removals, and passes older ones over', () => {
+  it('applies newer records and removals, and ignores older ones', () => {
     const list = new BackEndList();
     list.apply([{ type: 'changed', record: record('1', 4) }], 4);
     expect(list.apply([{ type: 'changed', record: record('1', 3, { leaving: true }) }], 3)).toEqual([]);
@@ -97,7 +97,7 @@
     expect(list.revision).toBe(6);
   });
 
-  it('does not take back what it knows to be gone', () => {
+  it('does not restore a removed back end from an older record', () => {
     const list = new BackEndList();
     list.apply([{ type: 'changed', record: record('1', 4) }], 4);
     list.apply([{ type: 'gone', id: '1', revision: 5 }], 5);
@@ -105,7 +105,7 @@
     expect(list.records.size).toBe(0);
   });
 
-  it('takes a whole list only if it is newer', () => {
+  it('is replaced only by a newer list', () => {
     const list = new BackEndList();
     list.replace({ revision: 5, records: [record('1', 2), record('2', 5)] });
     expect(list.replace({ revision: 4, records: [] })).toEqual([]);
--- a/test/fleet/decoding-ahead.test.ts
+++ b/test/fleet/decoding-ahead.test.ts
@@ -1,4 +1,4 @@
-/** A long list of back ends is decoded in parts: the process does other work in between. */
+/** A long list of back ends is decoded in batches, so that the event loop is not blocked. */
 import { afterEach, expect, it } from 'vitest';
 import { MemoryStore } from '../../emulator/store/memory-store.js';
 import { FleetView } from '../../src/fleet/fleet-view.js';
@@ -10,14 +10,14 @@
 import { textRecords } from './text-records.js';
 
 const ROWS = 2_300;
-/** Rows that may be decoded with nothing else in between: a twentieth of the list. */
+/** Maximum number of rows decoded in one turn of the event loop: a twentieth of the list. */
 const MOST_AT_A_TIME = ROWS / 20;
 
 let sync: StoreSync | undefined;
 
 afterEach(() => sync?.stop());
 
-it('no more than a part of the rows is decoded in one turn, and each row once', async () => {
+it('decodes only a batch of rows per turn, and each row once', async () => {
   let inTurn = 0;
   let mostInTurn = 0;
   let decoded = 0;
--- a/test/fleet/store-drill-orders.test.ts
+++ b/test/fleet/store-drill-orders.test.ts
@@ -1,7 +1,7 @@
 /**
- * Lists of back ends over any order of joins, drains, ends, readings and returns of the store from an older copy. Two entries
- * read the store at moments of their own. Neither forgets what it has heard since the copy was made, and both agree with the
- * store once back ends have written themselves twice.
+ * Two readers of a store follow any sequence of back ends that join, drain and end, of reads, and of restores of the store from
+ * an older copy. Neither reader loses what it learnt after the copy was made, and both agree with the store once every running
+ * back end has written its record twice.
  */
 import fc from 'fast-check';
 import { expect, it } from 'vitest';
@@ -28,13 +28,13 @@
   fc.record({ type: fc.constant('comeBack' as const) }),
 );
 
-/** A back end that lives. */
+/** A running back end. */
 interface Living {
   start: number;
   leaves: boolean;
 }
 
-/** A store, its back ends, and two readers of it. */
+/** A store, its back ends and two readers. */
 class World {
   readonly store = new MemoryStore();
   readonly readers = [new Reader(this.store), new Reader(this.store)];
@@ -73,8 +73,8 @@
   }
 
   /**
-   * Back ends write themselves again; entries of those that have ended lapse. One that was taken for gone, and is seen first in
-   * the list of an era, is believed at its next heartbeat.
+   * Running back ends write their records again and the records of ended ones expire. A back end that was recorded as removed
+   * and appears in the first list of a new era is accepted at its next heartbeat.
    */
   async settle(): Promise<void> {
     for (let heartbeat = 0; heartbeat < 2; heartbeat++) {
@@ -85,7 +85,7 @@
   }
 }
 
-/** One entry's reading, and what it must not forget. */
+/** The list that one reader keeps, and the drains and ends that it must not lose. */
 class Reader {
   readonly list = new BackEndList();
   readonly #store: MemoryStore;
@@ -125,7 +125,7 @@
     this.list.apply(changes, revision);
   }
 
-  /** Within an era an entry goes as its back end ends; what is missing in the first list of one may just have been lost. */
+  /** Within an era a removed record means that its back end ended; the first list of an era may just lack it. */
   #noteEnds(ids: readonly string[]): void {
     for (const id of ids) {
       const record = this.list.records.get(id);
@@ -150,7 +150,7 @@
   return decoded.value;
 }
 
-it('lists of back ends follow a store that comes back from older copies, and forget nothing by it', async () => {
+it('lists of back ends follow a store restored from older copies without losing drains and ends', async () => {
   await fc.assert(
     fc.asyncProperty(fc.array(step, { maxLength: 40 }), async (steps) => {
       const world = new World();
--- a/test/fleet/text-records.ts
+++ b/test/fleet/text-records.ts
@@ -1,11 +1,10 @@
-/** Records of a store as plain text: a configuration is its revision, a back end is `ready` or `leaving`, and its start. */
+/** Decodes records written as plain text: a configuration is its revision; a back end is `ready` or `leaving` and its start. */
 import type { ConfigurationDocument } from '../../src/fleet/fleet-view.js';
 import type { RecordDecoder } from '../../src/fleet/record-decoder.js';
 import { success } from '../../src/model/result.js';
 
 const LIMITS = { headerBytes: 1, bodyBytes: 1, headerTimeout: 1, idleTimeout: 1 };
 
-/** Their decoder. */
 export const textRecords: RecordDecoder = {
   operatorTable: 'operator',
   backEndTable: 'backEnds',
