--- a/src/fleet/back-end-list.ts
+++ b/src/fleet/back-end-list.ts
@@ -19,12 +19,12 @@
   | { type: 'gone'; id: string; revision: number };
 
 /** Number of removed back ends kept, the latest ones; more than are removed in the few seconds by which a copy is old. */
-const MOST_GONE = 1_000;
+const MAX_REMOVED = 1_000;
 
 /** The list of back ends. */
 export class BackEndList {
   readonly records = new Map<string, BackEndRecord>();
-  readonly #gone = new BackEndSet();
+  readonly #removed = new BackEndSet();
   readonly #starts = new BackEndStarts();
   #revision = 0;
 
@@ -35,7 +35,7 @@
 
   /** Applies the changes that lead from the current revision to `revision`; returns those that had an effect. */
   apply(changes: readonly BackEndChange[], revision: number): BackEndChange[] {
-    const news = changes.flatMap((change) => this.#take(change) ?? []);
+    const news = changes.flatMap((change) => this.#applyChange(change) ?? []);
     this.#revision = Math.max(this.#revision, revision);
     return news;
   }
@@ -56,11 +56,11 @@
    * is not leaving. The other fields of its record, which belongs to the former start, outlast a restart.
    * @param follows - the preceding start, if it is known
    */
-  takeStart(identity: BackEndIdentity, follows?: BackEndIdentity['start']): BackEndChange[] {
+  applyReportedStart(identity: BackEndIdentity, follows?: BackEndIdentity['start']): BackEndChange[] {
     const known = this.records.get(identity.id);
     if (known === undefined) return [];
-    const news = this.#starts.takeReported(identity, follows);
-    const start = this.#starts.presentOf(identity.id);
+    const news = this.#starts.applyReported(identity, follows);
+    const start = this.#starts.currentOf(identity.id);
     if (news === 'older' || start === known.start) return [];
     const record =
       news === 'same' ? { ...known, start } : { ...known, start, leaving: false, layers: undefined };
@@ -73,46 +73,46 @@
   }
 
   /** Applies one change; returns its effect, or undefined if it has none. */
-  #take(change: BackEndChange): BackEndChange | undefined {
+  #applyChange(change: BackEndChange): BackEndChange | undefined {
     return change.type === 'gone' ? this.#remove(change) : this.#set(change.record);
   }
 
   #remove(change: BackEndChange & { type: 'gone' }): BackEndChange | undefined {
     const known = this.records.get(change.id);
     if (known === undefined || known.revision > change.revision) return undefined;
-    this.#starts.noteGone(change.id);
-    this.#gone.add(known);
-    this.#gone.keepLatest(MOST_GONE);
+    this.#starts.noteRemoved(change.id);
+    this.#removed.add(known);
+    this.#removed.keepLatest(MAX_REMOVED);
     this.records.delete(change.id);
     return change;
   }
 
   /** Whether a record is from the first list read in a new era: it may have been written before the end of the previous era. */
-  #isOfCopy({ revision }: BackEndRecord): boolean {
+  #isFromNewEra({ revision }: BackEndRecord): boolean {
     return this.#revision > 0 && eraOf(revision) > eraOf(this.#revision);
   }
 
-  #set(told: BackEndRecord): BackEndChange | undefined {
-    const known = this.records.get(told.id);
-    if (known !== undefined && known.revision >= told.revision) return undefined;
-    if (known === undefined && told.revision <= this.#revision) return undefined;
-    if (known === undefined && this.#isOfCopy(told) && this.#gone.has(told)) return undefined;
-    if (this.#starts.takeListed(told, told.revision) === 'older') return undefined;
+  #set(received: BackEndRecord): BackEndChange | undefined {
+    const known = this.records.get(received.id);
+    if (known !== undefined && known.revision >= received.revision) return undefined;
+    if (known === undefined && received.revision <= this.#revision) return undefined;
+    if (known === undefined && this.#isFromNewEra(received) && this.#removed.has(received)) return undefined;
+    if (this.#starts.applyListed(received, received.revision) === 'older') return undefined;
     // A record without a start is attributed to the current start.
-    const start = this.#starts.presentOf(told.id);
+    const start = this.#starts.currentOf(received.id);
     // The record that marks it as leaving may have been lost with the previous era; the next heartbeat writes it again.
-    const goesOnLeaving =
+    const isStillLeaving =
       known?.leaving === true &&
-      eraOf(known.revision) < eraOf(told.revision) &&
-      isSameStart(known.start, told.start);
-    const record = { ...told, start, leaving: told.leaving || goesOnLeaving };
+      eraOf(known.revision) < eraOf(received.revision) &&
+      isSameStart(known.start, received.start);
+    const record = { ...received, start, leaving: received.leaving || isStillLeaving };
     this.records.set(record.id, record);
     return { type: 'changed', record };
   }
 }
 
 /** Whether two records have the same content, regardless of their revisions. */
-export function isAlike(one: BackEndRecord, other: BackEndRecord): boolean {
+export function hasSameContent(one: BackEndRecord, other: BackEndRecord): boolean {
   return (
     isSameStart(one.start, other.start) &&
     one.service === other.service &&
--- a/src/fleet/back-end-starts.ts
+++ b/src/fleet/back-end-starts.ts
@@ -20,95 +20,94 @@
  * latest record, twice a second, so one or two records written before a restart can arrive after the report of the restart.
  * A start that was ignored by mistake is unavailable for 6 s at one record per 1.2 s.
  */
-export const ENTRIES_TO_BELIEVE = 5;
+export const RECORDS_TO_CONFIRM = 5;
 /** Maximum number of former starts kept per back end, the latest ones; updates are delayed by seconds, not by this many starts. */
-const FORMER_KEPT = 16;
+const MAX_FORMER_STARTS = 16;
 /** Maximum number of back ends without a record whose starts are kept; more than a large deployment has. */
-const GONE_KEPT = 1_000;
+const MAX_REMOVED_BACK_ENDS = 1_000;
 
 /** How a start compares with the current start of its back end. */
-export type StartNews = 'same' | 'newer' | 'older';
+export type StartOrder = 'same' | 'newer' | 'older';
 
 interface KnownStarts {
-  present: number;
+  current: number;
   /** A record of the current start has been read; false if it is known from a report only. */
   isListed: boolean;
   former: number[];
   /** The start that was ignored since the latest record of the current one, with the number of its records. */
-  passedOver: { start: number; entries: number; revision: number } | undefined;
+  ignored: { start: number; entries: number; revision: number } | undefined;
 }
 
 /** Tracks the starts of all back ends. */
 export class BackEndStarts {
   readonly #known = new Map<string, KnownStarts>();
   /** Back ends that have no record, in order of removal. */
-  readonly #gone = new Set<string>();
+  readonly #removed = new Set<string>();
 
   /** The current start of a back end; undefined if none is known. */
-  presentOf(id: string): number | undefined {
-    return this.#known.get(id)?.present;
+  currentOf(id: string): number | undefined {
+    return this.#known.get(id)?.current;
   }
 
   /** Applies the start in a record of `revision`, which is newer than the records of the current start. */
-  takeListed({ id, start }: BackEndIdentity, revision: number): StartNews {
-    this.#gone.delete(id);
+  applyListed({ id, start }: BackEndIdentity, revision: number): StartOrder {
+    this.#removed.delete(id);
     const known = this.#known.get(id);
-    if (start == null || start === known?.present) {
-      if (known !== undefined) Object.assign(known, { isListed: true, passedOver: undefined });
+    if (start == null || start === known?.current) {
+      if (known !== undefined) Object.assign(known, { isListed: true, ignored: undefined });
       return 'same';
     }
-    if (known === undefined) return this.#begin(id, start, true);
-    const isInOrder = known.isListed && !known.former.includes(start);
-    if (!isInOrder && start < known.present && !goesOn(known, start, revision)) return 'older';
-    return follow(known, start, true);
+    if (known === undefined) return this.#addFirst(id, start, true);
+    const isNewByRevision = known.isListed && !known.former.includes(start);
+    if (!isNewByRevision && start < known.current && !isConfirmed(known, start, revision)) return 'older';
+    return replaceCurrent(known, start, true);
   }
 
   /**
    * Applies the start that a back end reports itself.
    * @param follows - the preceding start, if the back end's agent has seen it
    */
-  takeReported({ id, start }: BackEndIdentity, follows?: BackEndIdentity['start']): StartNews {
+  applyReported({ id, start }: BackEndIdentity, follows?: BackEndIdentity['start']): StartOrder {
     const known = this.#known.get(id);
-    if (start == null || start === known?.present) return 'same';
-    if (known === undefined) return this.#begin(id, start, false);
-    const isNext = follows === known.present;
-    if (!isNext && (known.former.includes(start) || start < known.present)) return 'older';
-    return follow(known, start, false);
+    if (start == null || start === known?.current) return 'same';
+    if (known === undefined) return this.#addFirst(id, start, false);
+    const isNext = follows === known.current;
+    if (!isNext && (known.former.includes(start) || start < known.current)) return 'older';
+    return replaceCurrent(known, start, false);
   }
 
   /** The record of a back end was removed. */
-  noteGone(id: string): void {
+  noteRemoved(id: string): void {
     if (!this.#known.has(id)) return;
-    this.#gone.add(id);
-    if (this.#gone.size <= GONE_KEPT) return;
-    const [first] = this.#gone;
-    this.#gone.delete(first);
+    this.#removed.add(id);
+    if (this.#removed.size <= MAX_REMOVED_BACK_ENDS) return;
+    const [first] = this.#removed;
+    this.#removed.delete(first);
     this.#known.delete(first);
   }
 
   /** Adds the first known start of a back end: anything known about the back end refers to it. */
-  #begin(id: string, start: number, isListed: boolean): StartNews {
-    this.#known.set(id, { present: start, isListed, former: [], passedOver: undefined });
+  #addFirst(id: string, start: number, isListed: boolean): StartOrder {
+    this.#known.set(id, { current: start, isListed, former: [], ignored: undefined });
     return 'same';
   }
 }
 
 /** Whether enough records of an ignored start have been read to accept it as the current one; each revision counts once. */
-function goesOn(known: KnownStarts, start: number, revision: number): boolean {
-  const passedOver =
-    known.passedOver?.start === start ? known.passedOver : { start, entries: 0, revision: 0 };
-  known.passedOver = passedOver;
-  if (revision <= passedOver.revision) return false;
-  passedOver.revision = revision;
-  passedOver.entries++;
-  return passedOver.entries >= ENTRIES_TO_BELIEVE;
+function isConfirmed(known: KnownStarts, start: number, revision: number): boolean {
+  const ignored = known.ignored?.start === start ? known.ignored : { start, entries: 0, revision: 0 };
+  known.ignored = ignored;
+  if (revision <= ignored.revision) return false;
+  ignored.revision = revision;
+  ignored.entries++;
+  return ignored.entries >= RECORDS_TO_CONFIRM;
 }
 
-function follow(known: KnownStarts, start: number, isListed: boolean): StartNews {
+function replaceCurrent(known: KnownStarts, start: number, isListed: boolean): StartOrder {
   const former = known.former.filter((one) => one !== start);
-  known.former = [...former, known.present].slice(-FORMER_KEPT);
-  known.present = start;
+  known.former = [...former, known.current].slice(-MAX_FORMER_STARTS);
+  known.current = start;
   known.isListed = isListed;
-  known.passedOver = undefined;
+  known.ignored = undefined;
   return 'newer';
 }
--- a/src/fleet/fleet-view.ts
+++ b/src/fleet/fleet-view.ts
@@ -17,7 +17,7 @@
   document: Buffer;
   configuration: FleetConfiguration;
   /** Faults of the entries that were skipped. */
-  leftOut?: readonly RecordFault[];
+  skippedEntries?: readonly RecordFault[];
 }
 
 /** Notified when the state changes. */
@@ -36,9 +36,9 @@
   readonly #listeners: FleetListener[] = [];
   #routes: RouteTable | undefined;
   #document: Buffer | undefined;
-  #configurationTakenAt = Number.NEGATIVE_INFINITY;
+  #configurationAppliedAt = Number.NEGATIVE_INFINITY;
   /** Newest configuration revision that another process is known to have. */
-  #configurationRevisionElsewhere = 0;
+  #remoteConfigurationRevision = 0;
 
   /** The active configuration; undefined before the first one is received. */
   get routes(): RouteTable | undefined {
@@ -56,18 +56,18 @@
   }
 
   /** When the active configuration was applied, in milliseconds of the monotonic clock; minus infinity if there is none. */
-  get configurationTakenAt(): number {
-    return this.#configurationTakenAt;
+  get configurationAppliedAt(): number {
+    return this.#configurationAppliedAt;
   }
 
   /** Whether a newer configuration is known to exist; it may contain what the active one lacks. */
   get isConfigurationBehind(): boolean {
-    return this.#configurationRevisionElsewhere > this.configurationRevision;
+    return this.#remoteConfigurationRevision > this.configurationRevision;
   }
 
   /** Records that another process has the configuration of `revision`. */
-  noteConfigurationElsewhere(revision: number): void {
-    this.#configurationRevisionElsewhere = Math.max(this.#configurationRevisionElsewhere, revision);
+  noteRemoteConfigurationRevision(revision: number): void {
+    this.#remoteConfigurationRevision = Math.max(this.#remoteConfigurationRevision, revision);
   }
 
   /** Whether requests can be routed. */
@@ -80,44 +80,44 @@
   }
 
   /** Applies a configuration if it is newer than the active one. */
-  takeConfiguration({ document, configuration }: ConfigurationDocument): boolean {
+  applyConfiguration({ document, configuration }: ConfigurationDocument): boolean {
     if (this.#routes !== undefined && configuration.revision <= this.configurationRevision) return false;
     this.#routes = new RouteTable(configuration);
     this.#document = document;
-    this.#configurationTakenAt = performance.now();
+    this.#configurationAppliedAt = performance.now();
     for (const listener of this.#listeners) listener.onConfiguration?.(this.#routes);
     return true;
   }
 
-  takeNamedVersion(named: NamedVersion): void {
-    if (!this.versions.note(named)) return;
+  applyNamedVersion(named: NamedVersion): void {
+    if (!this.versions.add(named)) return;
     for (const listener of this.#listeners) listener.onNamedVersion?.(named);
   }
 
   /** Applies changes of the list of back ends up to `revision`. */
-  takeBackEndChanges(changes: readonly BackEndChange[], revision: number): void {
-    this.#tell(this.backEnds.apply(changes, revision));
+  applyBackEndChanges(changes: readonly BackEndChange[], revision: number): void {
+    this.#notifyBackEnds(this.backEnds.apply(changes, revision));
   }
 
   /** Replaces the list of back ends if the given one is newer. */
-  takeBackEnds(state: BackEndListState): void {
-    this.#tell(this.backEnds.replace(state));
+  applyBackEndList(state: BackEndListState): void {
+    this.#notifyBackEnds(this.backEnds.replace(state));
   }
 
   /**
    * Applies the start that a back end reports itself; it has the same weight as one read from the store.
    * @param follows - the preceding start, if it is known
    */
-  takeStart(identity: BackEndIdentity, follows?: BackEndIdentity['start']): void {
-    this.#tell(this.backEnds.takeStart(identity, follows));
+  applyReportedStart(identity: BackEndIdentity, follows?: BackEndIdentity['start']): void {
+    this.#notifyBackEnds(this.backEnds.applyReportedStart(identity, follows));
   }
 
   /** Applies removals that were held back. They are older than the list, and have no effect on records written since. */
-  takeHeldRemovals(changes: readonly BackEndChange[]): void {
-    this.#tell(this.backEnds.apply(changes, this.backEnds.revision));
+  applyHeldRemovals(changes: readonly BackEndChange[]): void {
+    this.#notifyBackEnds(this.backEnds.apply(changes, this.backEnds.revision));
   }
 
-  #tell(changes: readonly BackEndChange[]): void {
+  #notifyBackEnds(changes: readonly BackEndChange[]): void {
     if (changes.length === 0) return;
     for (const listener of this.#listeners) listener.onBackEnds?.(changes);
   }
--- a/src/fleet/named-versions.ts
+++ b/src/fleet/named-versions.ts
@@ -11,13 +11,13 @@
 import type { StoreClock } from './store-clock.js';
 
 /** Minimum number of versions kept for each model. */
-const REMEMBERED = 4;
+const MIN_VERSIONS_KEPT = 4;
 /**
  * Beyond that number, the oldest version is dropped only when the next one was named this long before the latest, in
  * milliseconds. Until the bound of that next version has passed, only the oldest one forbids the versions before it. The value
  * is far above the bounds in use (8 s).
  */
-const FORGOTTEN_AFTER = 60_000;
+const SUPERSEDED_RETENTION = 60_000;
 
 /** The named versions that still affect requests. */
 export class NamedVersions {
@@ -29,7 +29,7 @@
   }
 
   /** Adds a version, or raises the lower bound of its naming time if it is known. Returns true for a new version. */
-  note(named: NamedVersion): boolean {
+  add(named: NamedVersion): boolean {
     const versions = this.#byModel.get(named.model) ?? [];
     this.#byModel.set(named.model, versions);
     const known = versions.find(({ version }) => version === named.version);
@@ -39,7 +39,7 @@
     }
     versions.push({ ...named });
     versions.sort((a, b) => a.version - b.version);
-    while (versions.length > REMEMBERED && isOldestReplaced(versions)) versions.shift();
+    while (versions.length > MIN_VERSIONS_KEPT && isOldestSuperseded(versions)) versions.shift();
     return true;
   }
 
@@ -74,7 +74,7 @@
 }
 
 /** Whether the second of `versions` already forbids everything that the first one does. */
-function isOldestReplaced([, second, ...newer]: readonly NamedVersion[]): boolean {
+function isOldestSuperseded([, second, ...newer]: readonly NamedVersion[]): boolean {
   const latest = Math.max(...newer.map(({ notBefore }) => notBefore));
-  return second.notBefore === Number.NEGATIVE_INFINITY || latest - second.notBefore > FORGOTTEN_AFTER;
+  return second.notBefore === Number.NEGATIVE_INFINITY || latest - second.notBefore > SUPERSEDED_RETENTION;
 }
--- a/src/fleet/record-faults.ts
+++ b/src/fleet/record-faults.ts
@@ -8,7 +8,7 @@
 import type { RecordFault, RecordFaultKind } from './record-decoder.js';
 
 /** Identifies a revision of a record. */
-export type RecordPlace = Pick<StoredRow, 'table' | 'key' | 'revision'>;
+export type RecordLocation = Pick<StoredRow, 'table' | 'key' | 'revision'>;
 
 /** Tracks the invalid records of several tables. */
 export class RecordFaults {
@@ -16,7 +16,7 @@
   readonly counts: Record<RecordFaultKind, number> = { unreadable: 0, missing: 0, type: 0, value: 0 };
   readonly #log: Log;
   /** What was last reported about each invalid record, by table and key. */
-  readonly #told = new Map<string, Map<string, string>>();
+  readonly #reported = new Map<string, Map<string, string>>();
 
   constructor(log: Log) {
     this.#log = log;
@@ -32,42 +32,42 @@
   }
 
   /** Handles a record that is written again at each heartbeat: reported only when its fault changes. */
-  noteRepeated(place: RecordPlace, fault: RecordFault): void {
-    if (this.#isNews(place, fault.reason)) this.#tell(place, fault);
+  noteRepeated(place: RecordLocation, fault: RecordFault): void {
+    if (this.#markReported(place, fault.reason)) this.#report(place, fault);
   }
 
   /** Handles a record that is written only when it changes: reported at each revision. */
-  noteRevision(place: RecordPlace, fault: RecordFault): void {
-    if (this.#isNews(place, String(place.revision))) this.#tell(place, fault);
+  noteRevision(place: RecordLocation, fault: RecordFault): void {
+    if (this.#markReported(place, String(place.revision))) this.#report(place, fault);
   }
 
   /** Handles a valid record some of whose entries were skipped. */
-  noteLeftOut(place: RecordPlace, faults: readonly RecordFault[]): void {
-    if (faults.length === 0) return this.noteGood(place);
-    if (!this.#isNews(place, String(place.revision))) return;
-    for (const fault of faults) this.#tell(place, fault, 'entry of a record left out');
+  noteSkippedEntries(place: RecordLocation, faults: readonly RecordFault[]): void {
+    if (faults.length === 0) return this.noteValid(place);
+    if (!this.#markReported(place, String(place.revision))) return;
+    for (const fault of faults) this.#report(place, fault, 'entry of a record left out');
   }
 
   /** Handles a record that is valid or was deleted. */
-  noteGood({ table, key }: Pick<RecordPlace, 'table' | 'key'>): void {
-    this.#told.get(table)?.delete(key);
+  noteValid({ table, key }: Pick<RecordLocation, 'table' | 'key'>): void {
+    this.#reported.get(table)?.delete(key);
   }
 
   /** Forgets the records of `table` whose keys are not in `keys`. */
-  keepOnly(table: string, keys: ReadonlySet<string>): void {
-    const told = this.#told.get(table);
-    for (const key of told?.keys() ?? []) if (!keys.has(key)) told!.delete(key);
+  retainOnly(table: string, keys: ReadonlySet<string>): void {
+    const reported = this.#reported.get(table);
+    for (const key of reported?.keys() ?? []) if (!keys.has(key)) reported!.delete(key);
   }
 
-  #isNews({ table, key }: RecordPlace, mark: string): boolean {
-    const told = this.#told.get(table) ?? new Map<string, string>();
-    this.#told.set(table, told);
-    if (told.get(key) === mark) return false;
-    told.set(key, mark);
+  #markReported({ table, key }: RecordLocation, mark: string): boolean {
+    const reported = this.#reported.get(table) ?? new Map<string, string>();
+    this.#reported.set(table, reported);
+    if (reported.get(key) === mark) return false;
+    reported.set(key, mark);
     return true;
   }
 
-  #tell({ table, key, revision }: RecordPlace, fault: RecordFault, message = 'record left out'): void {
+  #report({ table, key, revision }: RecordLocation, fault: RecordFault, message = 'record left out'): void {
     this.counts[fault.kind]++;
     this.#log.warn(message, { table, key, revision, kind: fault.kind, reason: fault.reason });
   }
--- a/src/fleet/route-table.ts
+++ b/src/fleet/route-table.ts
@@ -55,7 +55,7 @@
   }
 
   /** Whether requests for routes that are not public must carry an API key. */
-  get needsKeys(): boolean {
+  get requiresKeys(): boolean {
     return this.configuration.tenants !== undefined;
   }
 
--- a/src/fleet/store-clock.ts
+++ b/src/fleet/store-clock.ts
@@ -4,7 +4,7 @@
  */
 
 /** Length of an estimation window, in milliseconds; clocks that drift by 50 ppm diverge by 30 ms in it. */
-const WINDOW = 600_000;
+const ESTIMATION_WINDOW = 600_000;
 /**
  * Once a response of the store has bounded the network delay, a store time is estimated at most this much later than it was,
  * in milliseconds. Work that must not start after a deadline is withdrawn 250 ms before it; the remaining time covers the
@@ -15,11 +15,11 @@
 /** Converts between the store's clock and this process's `performance.now()`. Times are in milliseconds. */
 export class StoreClock {
   /** Upper bounds of the offset, local time minus store time, from the current and the previous window. */
-  #difference = Number.POSITIVE_INFINITY;
-  #differenceBefore = Number.POSITIVE_INFINITY;
+  #upperBound = Number.POSITIVE_INFINITY;
+  #previousUpperBound = Number.POSITIVE_INFINITY;
   /** Lower bounds of the offset, from the calls of the current and the previous window. */
-  #least = Number.NEGATIVE_INFINITY;
-  #leastBefore = Number.NEGATIVE_INFINITY;
+  #lowerBound = Number.NEGATIVE_INFINITY;
+  #previousLowerBound = Number.NEGATIVE_INFINITY;
   #windowEndsAt = Number.NEGATIVE_INFINITY;
 
   /**
@@ -27,17 +27,17 @@
    * offset, so the smallest one is the closest.
    * @param requestedAt - if the sample is a response to a call, when the call was made; the store read its clock no earlier
    */
-  note(storeTime: number, receivedAt: number, askedAt = Number.NEGATIVE_INFINITY): void {
+  addSample(storeTime: number, receivedAt: number, requestedAt = Number.NEGATIVE_INFINITY): void {
     if (!Number.isFinite(storeTime)) return;
     if (receivedAt >= this.#windowEndsAt) {
-      this.#differenceBefore = this.#difference;
-      this.#difference = Number.POSITIVE_INFINITY;
-      this.#leastBefore = this.#least;
-      this.#least = Number.NEGATIVE_INFINITY;
-      this.#windowEndsAt = receivedAt + WINDOW;
+      this.#previousUpperBound = this.#upperBound;
+      this.#upperBound = Number.POSITIVE_INFINITY;
+      this.#previousLowerBound = this.#lowerBound;
+      this.#lowerBound = Number.NEGATIVE_INFINITY;
+      this.#windowEndsAt = receivedAt + ESTIMATION_WINDOW;
     }
-    this.#difference = Math.min(this.#difference, receivedAt - storeTime);
-    this.#least = Math.max(this.#least, askedAt - storeTime);
+    this.#upperBound = Math.min(this.#upperBound, receivedAt - storeTime);
+    this.#lowerBound = Math.max(this.#lowerBound, requestedAt - storeTime);
   }
 
   /** False until the first sample. */
@@ -57,12 +57,12 @@
    */
   localTimeAt(storeTime: number): number {
     if (!this.isKnown) return Number.NEGATIVE_INFINITY;
-    const least = Math.max(this.#least, this.#leastBefore);
-    const latest = Number.isFinite(least) ? least + CLOCK_TOLERANCE : Number.POSITIVE_INFINITY;
+    const lowerBound = Math.max(this.#lowerBound, this.#previousLowerBound);
+    const latest = Number.isFinite(lowerBound) ? lowerBound + CLOCK_TOLERANCE : Number.POSITIVE_INFINITY;
     return storeTime + Math.min(this.#offset, latest);
   }
 
   get #offset(): number {
-    return Math.min(this.#difference, this.#differenceBefore);
+    return Math.min(this.#upperBound, this.#previousUpperBound);
   }
 }
--- a/src/fleet/store-sync.ts
+++ b/src/fleet/store-sync.ts
@@ -12,7 +12,7 @@
 import type { Log } from '../observability/log.js';
 import type { BackEndRecord } from '../protocol/back-end-list-state.js';
 import type { FollowedTable, StoreNews, TableNews } from '../protocol/store-news.js';
-import { type BackEndChange, isAlike } from './back-end-list.js';
+import { type BackEndChange, hasSameContent } from './back-end-list.js';
 import type { FleetView } from './fleet-view.js';
 import type { OperatorRecord, RecordDecoder, RecordFault } from './record-decoder.js';
 import { RecordFaults } from './record-faults.js';
@@ -22,7 +22,7 @@
  * Longest wait of one call for changes, in milliseconds. The processes for which this one reads get an update at least this
  * often and read the store themselves if they do not. A silent connection is noticed after this wait plus the response timeout.
  */
-const LONGEST_WAIT = 900;
+const LONG_POLL_WAIT = 900;
 /** Minimum interval between two reads of the operator's changes, in milliseconds. */
 const OPERATOR_INTERVAL = 60;
 /** Minimum interval between two reads of changes of back ends, in milliseconds. */
@@ -31,15 +31,15 @@
  * How long removals are held back after the store returns, or returns with an older copy of its data, in milliseconds; running
  * back ends write their records again within two seconds.
  */
-const REMOVAL_HOLD = 1_900;
+const REMOVAL_HOLD_TIME = 1_900;
 /** A silence of up to this is not an outage, in milliseconds: no record expires during it. */
-const SHORT_SILENCE = 900;
+const MAX_HARMLESS_SILENCE = 900;
 
 /**
  * Rows decoded in one turn of the event loop. Decoding the first 2,300 rows takes 30 to 35 ms of a whole core (minimum of six
  * processes, `tools/decoding-bench.mjs`), and four times that on a quarter of a core.
  */
-const ROWS_AT_A_TIME = 100;
+const DECODE_BATCH_SIZE = 100;
 
 /** Dependencies of the sync. */
 export interface StoreSyncOptions {
@@ -51,7 +51,7 @@
 }
 
 /** The change that a row makes to the list of back ends. */
-interface RowNews {
+interface RowChange {
   /** An invalid row counts as a removal of its back end. */
   change: BackEndChange;
   /** The row was deleted. Only deletions are held back after the store returns, as rows also expire during an outage. */
@@ -67,18 +67,18 @@
   /** Whether this process reads the table; false while another process reads it and forwards the changes. */
   isReader: (table: FollowedTable) => boolean = () => true;
   /** Receives what this process has read, to be forwarded to others. */
-  onNews: (news: StoreNews) => void = () => {};
+  onForward: (news: StoreNews) => void = () => {};
   /** Called when the store was restored from an older copy: recent writes of this process may be lost. */
-  onOlderCopy: () => void = () => {};
+  onStoreRestored: () => void = () => {};
   readonly faults: RecordFaults;
   /** The newest version of each model that was read from the store. */
   readonly #versionsRead = new Map<string, number>();
-  readonly #held = new Map<string, BackEndChange>();
+  readonly #heldRemovals = new Map<string, BackEndChange>();
   /** Decoded rows: a row is both forwarded and applied, but decoded only once. */
   readonly #decoded = new WeakMap<StoredRow, Result<BackEndRecord, RecordFault>>();
   /** Back ends whose last forwarded record had a start other than the current one here. */
-  readonly #restartsPassed = new Set<string>();
-  #holdUntil = 0;
+  readonly #forwardedRestarts = new Set<string>();
+  #holdRemovalsUntil = 0;
   #holdTimer: NodeJS.Timeout | undefined;
 
   constructor(options: StoreSyncOptions) {
@@ -91,12 +91,12 @@
       random,
       clock,
       table: decoder.operatorTable,
-      wait: LONGEST_WAIT,
+      wait: LONG_POLL_WAIT,
       interval: () => OPERATOR_INTERVAL,
-      rests: () => !this.isReader('operator'),
+      isPaused: () => !this.isReader('operator'),
       events: this.#events('operator', {
-        onWhole: (rows, since) => this.#takeOperatorRows(rows, since),
-        onChanges: (rows, since) => this.#takeOperatorRows(rows, since),
+        onSnapshot: (rows, since) => this.#applyOperatorRows(rows, since),
+        onChanges: (rows, since) => this.#applyOperatorRows(rows, since),
       }),
     });
     this.#backEnds = new TableFollower({
@@ -104,12 +104,12 @@
       random,
       clock,
       table: decoder.backEndTable,
-      wait: LONGEST_WAIT,
+      wait: LONG_POLL_WAIT,
       interval: () => BACK_END_INTERVAL,
-      rests: () => !this.isReader('backEnds'),
+      isPaused: () => !this.isReader('backEnds'),
       events: this.#events('backEnds', {
-        onWhole: (rows) => this.#takeWholeList(rows),
-        onChanges: (rows) => this.#takeChanges(rows),
+        onSnapshot: (rows) => this.#applySnapshot(rows),
+        onChanges: (rows) => this.#applyChanges(rows),
       }),
     });
     this.#followers = new StartableGroup([this.#operator, this.#backEnds]);
@@ -130,76 +130,77 @@
   }
 
   /** Applies what another process has read from the store. */
-  take({ table, holdsRemovalsFor, ...news }: StoreNews): void {
+  applyForwarded({ table, holdsRemovalsFor, ...news }: StoreNews): void {
     if (holdsRemovalsFor > 0)
-      this.#holdUntil = Math.max(this.#holdUntil, performance.now() + holdsRemovalsFor);
-    (table === 'operator' ? this.#operator : this.#backEnds).take(news);
+      this.#holdRemovalsUntil = Math.max(this.#holdRemovalsUntil, performance.now() + holdsRemovalsFor);
+    (table === 'operator' ? this.#operator : this.#backEnds).applyForwarded(news);
   }
 
   /** Forwards changes to others; heartbeats that change nothing are left out. */
-  #pass(table: FollowedTable, news: TableNews): void {
+  #forward(table: FollowedTable, news: TableNews): void {
     if (!this.isReader(table)) return;
-    const holdsRemovalsFor = Math.max(0, this.#holdUntil - performance.now());
-    const rows = table === 'operator' ? news.rows : news.rows.filter((row) => this.#isNews(row));
-    this.onNews({ ...news, rows, table, holdsRemovalsFor });
+    const holdsRemovalsFor = Math.max(0, this.#holdRemovalsUntil - performance.now());
+    const rows = table === 'operator' ? news.rows : news.rows.filter((row) => this.#isWorthForwarding(row));
+    this.onForward({ ...news, rows, table, holdsRemovalsFor });
   }
 
-  #isNews(row: StoredRow): boolean {
+  #isWorthForwarding(row: StoredRow): boolean {
     if (row.value === undefined) return true;
     const known = this.#options.fleet.backEnds.records.get(row.key);
-    const decoded = this.#backEnd(row);
+    const decoded = this.#decodeBackEnd(row);
     // An invalid row is forwarded when it becomes invalid, not at each heartbeat.
-    if (!decoded.ok) return known !== undefined || this.#held.has(row.key);
+    if (!decoded.ok) return known !== undefined || this.#heldRemovals.has(row.key);
     if (known === undefined) return true;
     if (!isSameStart(decoded.value.start, known.start)) {
-      this.#restartsPassed.add(row.key);
+      this.#forwardedRestarts.add(row.key);
       return true;
     }
     // Others may also hold back its removal, or may have accepted a start that was ignored here.
-    const wasContested = this.#restartsPassed.delete(row.key);
-    return wasContested || !isAlike(decoded.value, known) || this.#held.has(row.key);
+    const wasContested = this.#forwardedRestarts.delete(row.key);
+    return wasContested || !hasSameContent(decoded.value, known) || this.#heldRemovals.has(row.key);
   }
 
   #events(
     table: FollowedTable,
-    taking: Pick<TableFollowerEvents, 'onWhole' | 'onChanges'>,
+    handlers: Pick<TableFollowerEvents, 'onSnapshot' | 'onChanges'>,
   ): TableFollowerEvents {
     const { log } = this.#options;
     return {
-      ...taking,
+      ...handlers,
       prepare: async (rows) => {
-        if (table === 'backEnds') await this.#decodeAhead(rows);
+        if (table === 'backEnds') await this.#predecode(rows);
       },
-      onNews: (news) => this.#pass(table, news),
-      onLost: (reason) => log.warn('store lost', { table, reason }),
-      onRegained: (silence, isOutage) => {
+      onForward: (news) => this.#forward(table, news),
+      onStoreLost: (reason) => log.warn('store lost', { table, reason }),
+      onStoreRegained: (silence, isOutage) => {
         log.info('store regained', { table, silenceMs: Math.round(silence), isOutage });
-        if (isOutage && silence > SHORT_SILENCE) this.#holdUntil = performance.now() + REMOVAL_HOLD;
+        if (isOutage && silence > MAX_HARMLESS_SILENCE)
+          this.#holdRemovalsUntil = performance.now() + REMOVAL_HOLD_TIME;
       },
     };
   }
 
   /** @param since - the changes were written after this, in milliseconds of the store's clock */
-  #takeOperatorRows({ rows }: RowsAt, since: number): void {
+  #applyOperatorRows({ rows }: RowsAt, since: number): void {
     for (const row of rows) {
       const decoded = this.#options.decoder.operatorRecord(row);
       if (decoded === undefined) continue;
-      if (decoded.ok) this.#takeOperatorRecord(row, decoded.value, since);
+      if (decoded.ok) this.#applyOperatorRecord(row, decoded.value, since);
       else this.faults.noteRevision(row, decoded.error);
     }
   }
 
-  #takeOperatorRecord(row: StoredRow, record: OperatorRecord, since: number): void {
+  #applyOperatorRecord(row: StoredRow, record: OperatorRecord, since: number): void {
     const { fleet, log } = this.#options;
     if (record.type === 'configuration') {
-      this.faults.noteLeftOut(row, record.document.leftOut ?? []);
-      if (fleet.takeConfiguration(record.document))
+      this.faults.noteSkippedEntries(row, record.document.skippedEntries ?? []);
+      if (fleet.applyConfiguration(record.document))
         log.info('configuration taken', { revision: fleet.configurationRevision, from: 'store' });
       return;
     }
-    this.faults.noteGood(row);
+    this.faults.noteValid(row);
     const notBefore = this.#isNew(record) ? since : Number.NEGATIVE_INFINITY;
-    fleet.takeNamedVersion({ model: record.model, version: record.version, notBefore });
+    fleet.applyNamedVersion({ model: record.model, version: record.version, notBefore });
   }
 
   /** False for a version that is read again, for example after the store lost its history: it was named earlier. */
@@ -210,79 +211,82 @@
   }
 
   /** Detects a store restored from an older copy, which starts a new era: what it lacks may have been written after the copy. */
-  #noteEra(revision: StoreRevision): void {
+  #checkEra(revision: StoreRevision): void {
     const known = this.#options.fleet.backEnds.revision;
     if (known === 0 || eraOf(revision) <= eraOf(known)) return;
     this.#options.log.warn('store came back from an older copy', { era: eraOf(revision) });
-    this.#holdUntil = performance.now() + REMOVAL_HOLD;
-    this.onOlderCopy();
+    this.#holdRemovalsUntil = performance.now() + REMOVAL_HOLD_TIME;
+    this.onStoreRestored();
   }
 
-  #takeWholeList({ rows, revision }: RowsAt): void {
-    this.#noteEra(revision);
+  #applySnapshot({ rows, revision }: RowsAt): void {
+    this.#checkEra(revision);
     const present = new Set(rows.map(({ key }) => key));
-    this.faults.keepOnly(this.#options.decoder.backEndTable, present);
+    this.faults.retainOnly(this.#options.decoder.backEndTable, present);
     const missing = [...this.#options.fleet.backEnds.records.keys()]
       .filter((id) => !present.has(id))
-      .map((id): RowNews => ({ change: { type: 'gone', id, revision }, isRemoval: true }));
+      .map((id): RowChange => ({ change: { type: 'gone', id, revision }, isRemoval: true }));
     this.#apply([...missing, ...this.#decode(rows)], revision);
   }
 
-  #takeChanges({ rows, revision }: RowsAt): void {
+  #applyChanges({ rows, revision }: RowsAt): void {
     this.#apply(this.#decode(rows), revision);
   }
 
-  #apply(news: readonly RowNews[], revision: number): void {
-    const isHolding = performance.now() < this.#holdUntil;
+  #apply(news: readonly RowChange[], revision: number): void {
+    const isHolding = performance.now() < this.#holdRemovalsUntil;
     const taken: BackEndChange[] = [];
     for (const { change, isRemoval } of news) {
       if (isRemoval && isHolding) {
-        this.#hold(change);
+        this.#holdRemoval(change);
         continue;
       }
-      if (!isRemoval) this.#held.delete(idOf(change));
+      if (!isRemoval) this.#heldRemovals.delete(idOf(change));
       taken.push(change);
     }
-    this.#options.fleet.takeBackEndChanges(taken, revision);
+    this.#options.fleet.applyBackEndChanges(taken, revision);
   }
 
-  #hold(change: BackEndChange): void {
+  #holdRemoval(change: BackEndChange): void {
     const id = idOf(change);
     if (!this.#options.fleet.backEnds.records.has(id)) return;
     this.#options.log.info('removal held back', { backEnd: id });
-    this.#held.set(id, change);
-    this.#holdTimer ??= setTimeout(() => this.#endHold(), this.#holdUntil - performance.now());
+    this.#heldRemovals.set(id, change);
+    this.#holdTimer ??= setTimeout(
+      () => this.#releaseRemovals(),
+      this.#holdRemovalsUntil - performance.now(),
+    );
   }
 
-  #endHold(): void {
-    const left = this.#holdUntil - performance.now();
-    this.#holdTimer = left > 0 ? setTimeout(() => this.#endHold(), left) : undefined;
+  #releaseRemovals(): void {
+    const left = this.#holdRemovalsUntil - performance.now();
+    this.#holdTimer = left > 0 ? setTimeout(() => this.#releaseRemovals(), left) : undefined;
     if (left > 0) return;
-    this.#options.fleet.takeHeldRemovals([...this.#held.values()]);
-    this.#held.clear();
+    this.#options.fleet.applyHeldRemovals([...this.#heldRemovals.values()]);
+    this.#heldRemovals.clear();
   }
 
-  #decode(rows: readonly StoredRow[]): RowNews[] {
+  #decode(rows: readonly StoredRow[]): RowChange[] {
     return rows.map((row) => {
       const { key: id, revision } = row;
       const isRemoval = row.value === undefined;
-      const decoded = isRemoval ? undefined : this.#backEnd(row);
+      const decoded = isRemoval ? undefined : this.#decodeBackEnd(row);
       if (decoded?.ok === false) this.faults.noteRepeated(row, decoded.error);
-      else this.faults.noteGood(row);
+      else this.faults.noteValid(row);
       return decoded?.ok === true
         ? { change: { type: 'changed', record: decoded.value }, isRemoval }
         : { change: { type: 'gone', id, revision }, isRemoval };
     });
   }
 
-  async #decodeAhead(rows: readonly StoredRow[]): Promise<void> {
+  async #predecode(rows: readonly StoredRow[]): Promise<void> {
     for (const [index, row] of rows.entries()) {
-      if (index > 0 && index % ROWS_AT_A_TIME === 0) await nextTurn();
-      if (row.value !== undefined) this.#backEnd(row);
+      if (index > 0 && index % DECODE_BATCH_SIZE === 0) await nextTurn();
+      if (row.value !== undefined) this.#decodeBackEnd(row);
     }
   }
 
-  #backEnd(row: StoredRow): Result<BackEndRecord, RecordFault> {
+  #decodeBackEnd(row: StoredRow): Result<BackEndRecord, RecordFault> {
     const known = this.#decoded.get(row);
     if (known !== undefined) return known;
     const decoded = this.#options.decoder.backEnd(row);
--- a/src/fleet/table-follower.ts
+++ b/src/fleet/table-follower.ts
@@ -15,45 +15,45 @@
  * from one part to the next. A slow response is read to its end: a repeated request would return no sooner and load the link
  * for longer.
  */
-const ANSWER_LIMIT = 1_500;
+const RESPONSE_TIMEOUT = 1_500;
 /** Interval at which others are notified, while a long response arrives, that this process reads the table, in milliseconds. */
-const TOLD_INTERVAL = 500;
+const PROGRESS_INTERVAL = 500;
 /**
  * A waiting call is given up earlier than that, so that a connection that has gone silent is noticed: after this multiple of
  * the store's latest response time, but no earlier than the minimum, in milliseconds. The minimum allows for one lost and
  * retransmitted packet.
  */
-const SILENT_ANSWERS = 4;
-const SHORTEST_ANSWER_LIMIT = 400;
+const TIMEOUT_RESPONSE_TIMES = 4;
+const MIN_RESPONSE_TIMEOUT = 400;
 /** Initial and maximum backoff after a failed call, in milliseconds. */
-const FIRST_PAUSE = 150;
-const LONGEST_PAUSE = 700;
+const INITIAL_BACKOFF = 150;
+const MAX_BACKOFF = 700;
 /**
  * Maximum gap between two calls at which a change still counts as written just before the response, in milliseconds. It covers
  * the interval between calls (60 ms for the table whose changes are dated) and one lost and retransmitted packet.
  */
-const GAPLESS = 400;
+const MAX_CONTIGUOUS_GAP = 400;
 
 /** Interval at which a paused follower checks whether it has to read the table itself, in milliseconds. */
-const REST = 150;
+const PAUSE_CHECK_INTERVAL = 150;
 
 /** Events of a follower. */
 export interface TableFollowerEvents {
   /** The complete table; changes in it were written after `since`, in milliseconds of the store's clock. */
-  onWhole(rows: RowsAt, since: number): void;
+  onSnapshot(rows: RowsAt, since: number): void;
   /** Rows changed since the previous event, all written after `since`. */
   onChanges(rows: RowsAt, since: number): void;
   /**
    * The store answers again after `silence` milliseconds. `isOutage` is false if only one call failed to get a response and
    * the next one, on a new connection, succeeded.
    */
-  onRegained(silence: number, isOutage: boolean): void;
+  onStoreRegained(silence: number, isOutage: boolean): void;
   /** The store does not answer, or answers with an error. */
-  onLost(reason: string): void;
+  onStoreLost(reason: string): void;
   /** Called with received rows before they are passed to the other events, for expensive work that yields to the event loop. */
   prepare(rows: readonly StoredRow[]): Promise<void>;
   /** Changes to be forwarded to other processes; called before `onSnapshot` and `onChanges`. */
-  onNews(news: TableNews): void;
+  onForward(news: TableNews): void;
 }
 
 export interface TableFollowerOptions {
@@ -64,7 +64,7 @@
   /** Minimum time between two calls, in milliseconds; evaluated before each call. Changes in between arrive together. */
   interval: () => number;
   /** True while another process reads the table and forwards its changes. */
-  rests: () => boolean;
+  isPaused: () => boolean;
   /** Receives the store's time from each response. */
   clock: StoreClock;
   random: Random;
@@ -73,7 +73,7 @@
 
 interface FollowerCall {
   /** When it was made, in milliseconds of the monotonic clock. */
-  askedAt: number;
+  requestedAt: number;
   /** Time between the previous response and this call, in milliseconds. */
   gap: number;
   /** Aborted when the follower stops. */
@@ -93,9 +93,9 @@
   /** Forwarded changes did not follow on the revision known here, so the table has to be read. */
   #hasGap = false;
   /** Duration of the latest response beyond the requested wait, in milliseconds. */
-  #answerTime = 0;
+  #responseTime = 0;
   /** When others were last notified of a response still arriving. */
-  #toldAt = Number.NEGATIVE_INFINITY;
+  #notifiedAt = Number.NEGATIVE_INFINITY;
 
   constructor(options: TableFollowerOptions) {
     this.#options = options;
@@ -118,99 +118,105 @@
 
   async #run(signal: AbortSignal): Promise<void> {
     while (!signal.aborted) {
-      if (this.#mayRest) {
-        await sleep(REST, signal);
+      if (this.#mayPause) {
+        await sleep(PAUSE_CHECK_INTERVAL, signal);
         continue;
       }
-      const askedAt = performance.now();
-      const pause = await this.#step(signal);
-      await sleep(Math.max(pause, this.#options.interval() - (performance.now() - askedAt)), signal);
+      const requestedAt = performance.now();
+      const pause = await this.#poll(signal);
+      await sleep(Math.max(pause, this.#options.interval() - (performance.now() - requestedAt)), signal);
     }
   }
 
-  get #mayRest(): boolean {
-    return this.#revision !== undefined && !this.#hasGap && this.#options.rests();
+  get #mayPause(): boolean {
+    return this.#revision !== undefined && !this.#hasGap && this.#options.isPaused();
   }
 
   /** Applies changes that another process has read. */
-  take({ after, revision, storeTime, since, rows }: TableNews): void {
+  applyForwarded({ after, revision, storeTime, since, rows }: TableNews): void {
     if (this.#revision === undefined || revision <= this.#revision) return;
     this.#hasGap = after > this.#revision;
     if (this.#hasGap) return;
     this.#revision = revision;
-    this.#noteAnswer(storeTime);
+    this.#noteResponse(storeTime);
     this.#options.events.onChanges({ rows, revision, storeTime }, since);
   }
 
   /** Makes one call; returns the minimum pause before the next, in milliseconds. */
-  async #step(signal: AbortSignal): Promise<number> {
+  async #poll(signal: AbortSignal): Promise<number> {
     const { tables, table, wait, events, clock } = this.#options;
-    const askedAt = performance.now();
-    const gap = clock.isKnown ? clock.storeTimeAt(askedAt) - this.#storeTime : Number.POSITIVE_INFINITY;
-    const call = { askedAt, gap, signal };
+    const requestedAt = performance.now();
+    const gap = clock.isKnown ? clock.storeTimeAt(requestedAt) - this.#storeTime : Number.POSITIVE_INFINITY;
+    const call = { requestedAt, gap, signal };
     if (this.#revision === undefined) {
-      const limit = new AnswerLimit(signal, { first: ANSWER_LIMIT, next: ANSWER_LIMIT });
-      const read = await this.#timed(0, () =>
+      const limit = new AnswerLimit(signal, { first: RESPONSE_TIMEOUT, next: RESPONSE_TIMEOUT });
+      const read = await this.#measureResponse(0, () =>
         tables.read(table, '', limit.signal, () => this.#onPart(limit)),
       );
       limit.end();
       if (read.ok) await events.prepare(read.value.rows);
-      return this.#take(read, limit.signal, call, (rows, since) => events.onWhole(rows, since));
+      return this.#handleResponse(read, limit.signal, call, (rows, since) => events.onSnapshot(rows, since));
     }
     // After a failure the call does not wait for a change, so that the store's return is noticed at once.
     const patience = this.#failures > 0 ? 0 : wait;
-    const first = patience === 0 ? ANSWER_LIMIT : patience + this.#answerLimit;
-    const limit = new AnswerLimit(signal, { first, next: ANSWER_LIMIT });
+    const first = patience === 0 ? RESPONSE_TIMEOUT : patience + this.#responseTimeout;
+    const limit = new AnswerLimit(signal, { first, next: RESPONSE_TIMEOUT });
     const query = { table, after: this.#revision, wait: patience };
-    const changes = await this.#timed(patience, () =>
+    const changes = await this.#measureResponse(patience, () =>
       tables.changes(query, limit.signal, () => this.#onPart(limit)),
     );
     limit.end();
     if (changes.ok) await events.prepare(changes.value.rows);
-    return this.#take(changes, limit.signal, call, (rows, since) => events.onChanges(rows, since));
+    return this.#handleResponse(changes, limit.signal, call, (rows, since) => events.onChanges(rows, since));
   }
 
   /** Handles a part of a response. Notifies the processes for which this one reads, so that they do not read themselves. */
   #onPart(limit: AnswerLimit): void {
     limit.notePart();
     const now = performance.now();
-    if (this.#revision === undefined || now - this.#toldAt < TOLD_INTERVAL) return;
-    this.#toldAt = now;
+    if (this.#revision === undefined || now - this.#notifiedAt < PROGRESS_INTERVAL) return;
+    this.#notifiedAt = now;
     const [revision, storeTime] = [this.#revision, this.#storeTime];
-    this.#options.events.onNews({ after: revision, revision, storeTime, since: storeTime, rows: [] });
+    this.#options.events.onForward({ after: revision, revision, storeTime, since: storeTime, rows: [] });
   }
 
   /** Timeout of a waiting call beyond its wait, in milliseconds. */
-  get #answerLimit(): number {
-    return Math.min(ANSWER_LIMIT, Math.max(SHORTEST_ANSWER_LIMIT, SILENT_ANSWERS * this.#answerTime));
+  get #responseTimeout(): number {
+    return Math.min(
+      RESPONSE_TIMEOUT,
+      Math.max(MIN_RESPONSE_TIMEOUT, TIMEOUT_RESPONSE_TIMES * this.#responseTime),
+    );
   }
 
   /** Makes a call, and records the response time unless the response came before the end of the wait. */
-  async #timed<T extends Result<RowsAt, ChangesError>>(wait: number, call: () => Promise<T>): Promise<T> {
-    const askedAt = performance.now();
+  async #measureResponse<T extends Result<RowsAt, ChangesError>>(
+    wait: number,
+    call: () => Promise<T>,
+  ): Promise<T> {
+    const requestedAt = performance.now();
     const answer = await call();
-    const beyond = performance.now() - askedAt - wait;
-    if (answer.ok && beyond >= 0) this.#answerTime = beyond;
+    const beyond = performance.now() - requestedAt - wait;
+    if (answer.ok && beyond >= 0) this.#responseTime = beyond;
     return answer;
   }
 
-  #take(
+  #handleResponse(
     answer: Result<RowsAt, ChangesError>,
     limit: AbortSignal,
-    { askedAt, gap, signal }: FollowerCall,
+    { requestedAt, gap, signal }: FollowerCall,
     tell: (rows: RowsAt, since: number) => void,
   ): number {
     if (signal.aborted) return 0;
     if (answer.ok) {
       const since = this.#writtenSince(answer.value, gap);
       const { rows, storeTime } = answer.value;
-      this.#noteAnswer(storeTime, askedAt);
+      this.#noteResponse(storeTime, requestedAt);
       const after = this.#revision;
       // Changes forwarded by another process meanwhile may be newer.
       const revision = Math.max(after ?? 0, answer.value.revision);
       this.#revision = revision;
       this.#hasGap = false;
-      if (after !== undefined) this.#options.events.onNews({ after, revision, storeTime, since, rows });
+      if (after !== undefined) this.#options.events.onForward({ after, revision, storeTime, since, rows });
       tell(answer.value, since);
       return 0;
     }
@@ -220,8 +226,8 @@
     }
     this.#wasRefused ||= !limit.aborted;
     if (this.#failures++ === 0)
-      this.#options.events.onLost('reason' in answer.error ? answer.error.reason : answer.error.type);
-    const longest = Math.min(LONGEST_PAUSE, FIRST_PAUSE * 2 ** Math.min(this.#failures, 4));
+      this.#options.events.onStoreLost('reason' in answer.error ? answer.error.reason : answer.error.type);
+    const longest = Math.min(MAX_BACKOFF, INITIAL_BACKOFF * 2 ** Math.min(this.#failures, 4));
     return longest * (0.5 + this.#options.random.fraction() / 2);
   }
 
@@ -231,16 +237,18 @@
    * @param gap - time between the previous response and this call, in milliseconds
    */
   #writtenSince({ storeTime }: RowsAt, gap: number): number {
-    return gap <= GAPLESS ? Math.max(this.#storeTime, storeTime - GAPLESS) : this.#storeTime;
+    return gap <= MAX_CONTIGUOUS_GAP
+      ? Math.max(this.#storeTime, storeTime - MAX_CONTIGUOUS_GAP)
+      : this.#storeTime;
   }
 
   /** @param requestedAt - when the store was called; undefined if another process called it */
-  #noteAnswer(storeTime: number, askedAt?: number): void {
+  #noteResponse(storeTime: number, requestedAt?: number): void {
     const now = performance.now();
-    this.#options.clock.note(storeTime, now, askedAt);
+    this.#options.clock.addSample(storeTime, now, requestedAt);
     this.#storeTime = Math.max(this.#storeTime, storeTime);
     const isOutage = this.#wasRefused || this.#failures > 1;
-    if (this.#failures > 0) this.#options.events.onRegained(now - this.#answeredAt, isOutage);
+    if (this.#failures > 0) this.#options.events.onStoreRegained(now - this.#answeredAt, isOutage);
     this.#failures = 0;
     this.#wasRefused = false;
     this.#answeredAt = now;
--- a/src/forwarding/admitted-request.ts
+++ b/src/forwarding/admitted-request.ts
@@ -48,7 +48,7 @@
   const route = table.match(headers.host ?? '', pathOf(url ?? '/'));
   const isBehind = fleet.isConfigurationBehind;
   if (route === undefined) return failure({ error: { type: isBehind ? 'configurationBehind' : 'noRoute' } });
-  const needsKey = table.needsKeys && !route.isPublic;
+  const needsKey = table.requiresKeys && !route.isPublic;
   const tenant = needsKey ? table.tenantOf(String(headers[names.callerKey] ?? '')) : undefined;
   if (needsKey && tenant === undefined)
     return failure({ error: { type: isBehind ? 'configurationBehind' : 'unknownKey' }, route: route.name });
--- a/src/forwarding/direct-permits.ts
+++ b/src/forwarding/direct-permits.ts
@@ -201,7 +201,7 @@
     const requestedAt = performance.now();
     const read = await tables.read(TABLE, PARTITION, withLimit(signal, CALL_LIMIT));
     if (!read.ok) return false;
-    clock.note(read.value.storeTime, performance.now(), requestedAt);
+    clock.addSample(read.value.storeTime, performance.now(), requestedAt);
     const expired: string[] = [];
     for (const stored of read.value.rows) {
       const schedule = this.#noteRow(stored.key, stored);
--- a/src/forwarding/quarantine-records.ts
+++ b/src/forwarding/quarantine-records.ts
@@ -195,7 +195,7 @@
     const askedAt = performance.now();
     const read = await tables.read(TABLE, PARTITION, withLimit(signal, CALL_LIMIT));
     if (!read.ok) return false;
-    clock.note(read.value.storeTime, performance.now(), askedAt);
+    clock.addSample(read.value.storeTime, performance.now(), askedAt);
     const { rows } = read.value;
     const crashes = rows.flatMap((row) => this.#crashesIn(row));
     this.#revision = rows.find(({ key }) => key === this.#ownKey)?.revision ?? 0;
--- a/src/forwarding/request-log.ts
+++ b/src/forwarding/request-log.ts
@@ -107,7 +107,7 @@
       latestFailure: this.#latestFailure,
       ...context,
       configuration: fleet.configurationRevision,
-      configurationAgeMs: Math.round(now - fleet.configurationTakenAt),
+      configurationAgeMs: Math.round(now - fleet.configurationAppliedAt),
       ageMs: this.age,
     });
   }
--- a/src/peers/entry-peers.ts
+++ b/src/peers/entry-peers.ts
@@ -344,8 +344,8 @@
     }
     // A process that is back before the former one has lapsed is no newcomer, and knows nothing.
     if (row.toldNewsOn !== connection) this.#tellNews(row, connection);
-    fleet.clock.note(report.storeTime, now);
-    for (const named of report.versions) fleet.takeNamedVersion(named);
+    fleet.clock.addSample(report.storeTime, now);
+    for (const named of report.versions) fleet.applyNamedVersion(named);
     this.#askForNewer(connection, report, now);
     this.#options.onReport(report);
   }
@@ -358,7 +358,7 @@
 
   #askForNewer(connection: Connection, report: EntryReport, now: number): void {
     const { fleet, hearsStore } = this.#options;
-    fleet.noteConfigurationElsewhere(report.configurationRevision);
+    fleet.noteRemoteConfigurationRevision(report.configurationRevision);
     const isNewer = report.configurationRevision > fleet.configurationRevision;
     const isListNewer = !hearsStore() && report.backEndsRevision > fleet.backEnds.revision;
     const isNear = report.zone === this.#options.zone;
@@ -405,7 +405,7 @@
     const decoded = decoder.configuration(document);
     if (!decoded.ok)
       return log.warn('configuration of a peer left out', { from: row.address, ...decoded.error });
-    if (!fleet.takeConfiguration(decoded.value)) return;
+    if (!fleet.applyConfiguration(decoded.value)) return;
     log.info('configuration taken', { revision: fleet.configurationRevision, from: row.address });
   }
 
@@ -418,7 +418,7 @@
       start: record.start ?? undefined,
       layers: record.layers ?? undefined,
     }));
-    this.#options.fleet.takeBackEnds({ revision, records: whole });
+    this.#options.fleet.applyBackEndList({ revision, records: whole });
   }
 }
 
--- a/src/roles/direct-entry.ts
+++ b/src/roles/direct-entry.ts
@@ -109,7 +109,7 @@
       news: new PeerNews(this.#poison, this.#limits),
       onStoreNews: (news, id) => {
         this.#storeReaders[news.table].noteNews(id, performance.now());
-        sync.take(news);
+        sync.applyForwarded(news);
       },
       onLapsed: ({ id }) => {
         for (const readers of Object.values(this.#storeReaders)) readers.forget(id);
@@ -122,12 +122,12 @@
       backEnds: new StoreReaders(settings.zone),
     };
     sync.isReader = (table) => this.#reads(table);
-    sync.onOlderCopy = () => {
+    sync.onStoreRestored = () => {
       this.#collection.noteOlderCopy();
       quarantineRecords.noteOlderCopy();
       this.#permits.noteOlderCopy();
     };
-    sync.onNews = (news) => this.#peers.passStoreNews(news);
+    sync.onForward = (news) => this.#peers.passStoreNews(news);
     backEnds.mostConnectionsKept = (service) => this.#connectionsKept(service);
     this.#agents = new EngineAgents(
       (row) => this.#planner.planFor(row),
@@ -336,7 +336,7 @@
     const { fleet, backEnds } = this.#components;
     const news = engineNews(report);
     const row = backEnds.rowAt(report.address, news.start);
-    if (row !== undefined) fleet.takeStart({ id: row.record.id, start: news.start }, report.follows);
+    if (row !== undefined) fleet.applyReportedStart({ id: row.record.id, start: news.start }, report.follows);
     backEnds.takeNews(report.address, news);
   }
 
--- a/src/weights/engine-loader.ts
+++ b/src/weights/engine-loader.ts
@@ -133,9 +133,9 @@
     const plan = told.versions.length === 0 ? { ...told, versions: this.#plan?.versions ?? [] } : told;
     this.#plan = plan;
     const now = performance.now();
-    this.#clock.note(plan.storeTime, now);
+    this.#clock.addSample(plan.storeTime, now);
     for (const named of plan.versions) {
-      if (!this.#versions.note(named)) continue;
+      if (!this.#versions.add(named)) continue;
       const ageMs = Math.round(now - this.#versions.namedAt(named));
       this.#options.log.info('version wanted', { model: named.model, version: named.version, ageMs });
     }
--- a/src/weights/engine-starts.ts
+++ b/src/weights/engine-starts.ts
@@ -2,7 +2,7 @@
  * Which start of the engine beside this process answers. Calls to it overlap, so that an answer of a former start may come
  * after one of the next; an engine's clock may have stepped back, so that the next start may look older.
  */
-import type { StartNews } from '../fleet/back-end-starts.js';
+import type { StartOrder } from '../fleet/back-end-starts.js';
 import type { BackEndIdentity } from '../model/back-end-identity.js';
 
 /** The starts of one engine. */
@@ -26,7 +26,7 @@
    * whatever it looks like; of calls that overlap the later start is.
    * @param askedAt - when the call began, in milliseconds of the steady clock, as `now`
    */
-  take(start: BackEndIdentity['start'], askedAt: number, now: number): StartNews {
+  take(start: BackEndIdentity['start'], askedAt: number, now: number): StartOrder {
     const isSame = start === undefined || this.#present === undefined || start === this.#present;
     const overlaps = askedAt < this.#answeredAt;
     if (!isSame && overlaps && (start === this.#former || start < this.#present!)) return 'older';
--- a/test/fleet/decoding-ahead.test.ts
+++ b/test/fleet/decoding-ahead.test.ts
@@ -7,11 +7,11 @@
 import { seededRandom } from '../../src/model/random.js';
 import { silentLog } from '../../src/observability/log.js';
 import { until } from '../support.js';
-import { textRecords } from './text-records.js';
+import { textRecordDecoder } from './text-records.js';
 
 const ROWS = 2_300;
 /** Maximum number of rows decoded in one turn of the event loop: a twentieth of the list. */
-const MOST_AT_A_TIME = ROWS / 20;
+const MAX_ROWS_PER_TURN = ROWS / 20;
 
 let sync: StoreSync | undefined;
 
@@ -25,13 +25,13 @@
     inTurn = 0;
   };
   const decoder: RecordDecoder = {
-    ...textRecords,
+    ...textRecordDecoder,
     backEnd(row) {
       decoded++;
       inTurn++;
       mostInTurn = Math.max(mostInTurn, inTurn);
       if (inTurn === 1) setImmediate(endTurn);
-      return textRecords.backEnd(row);
+      return textRecordDecoder.backEnd(row);
     },
   };
   const store = new MemoryStore();
@@ -47,5 +47,5 @@
   store.writeAll('backEnds', rows('leaving'));
   await until(() => fleet.backEnds.records.get('i-0')?.leaving === true, 'the changes');
   expect(decoded).toBe(2 * ROWS);
-  expect(mostInTurn).toBeLessThanOrEqual(MOST_AT_A_TIME);
+  expect(mostInTurn).toBeLessThanOrEqual(MAX_ROWS_PER_TURN);
 });
--- a/test/fleet/beliefs.test.ts
+++ b/test/fleet/fleet-view.test.ts
@@ -76,10 +76,10 @@
 describe('FleetView.applyConfiguration', () => {
   it('ignores an older revision', () => {
     const fleet = new FleetView();
-    expect(fleet.takeConfiguration({ document: Buffer.from('5'), configuration: configuration(5) })).toBe(
+    expect(fleet.applyConfiguration({ document: Buffer.from('5'), configuration: configuration(5) })).toBe(
       true,
     );
-    expect(fleet.takeConfiguration({ document: Buffer.from('4'), configuration: configuration(4) })).toBe(
+    expect(fleet.applyConfiguration({ document: Buffer.from('4'), configuration: configuration(4) })).toBe(
       false,
     );
     expect(fleet.configurationRevision).toBe(5);
--- a/test/fleet/store-drill-orders.test.ts
+++ b/test/fleet/store-restore-orders.test.ts
@@ -9,7 +9,7 @@
 import { eraOf } from '../../src/clients/store-revision.js';
 import { BackEndList } from '../../src/fleet/back-end-list.js';
 import type { BackEndRecord } from '../../src/protocol/back-end-list-state.js';
-import { textRecords } from './text-records.js';
+import { textRecordDecoder } from './text-records.js';
 
 const IDS = ['one', 'two', 'three'];
 const TABLE = 'backEnds';
@@ -29,29 +29,30 @@
 );
 
 /** A running back end. */
-interface Living {
+interface RunningBackEnd {
   start: number;
-  leaves: boolean;
+  isLeaving: boolean;
 }
 
 /** A store, its back ends and two readers. */
-class World {
+class Simulation {
   readonly store = new MemoryStore();
   readonly readers = [new Reader(this.store), new Reader(this.store)];
-  readonly living = new Map<string, Living>();
-  #copy: StoreCopy = this.store.copy();
+  readonly running = new Map<string, RunningBackEnd>();
+  #latestCopy: StoreCopy = this.store.copy();
   #starts = 0;
 
-  play(step: Step): Promise<void> | void {
+  applyStep(step: Step): Promise<void> | void {
     switch (step.type) {
       case 'join':
-        if (!this.living.has(step.id)) this.living.set(step.id, { start: ++this.#starts, leaves: false });
+        if (!this.running.has(step.id))
+          this.running.set(step.id, { start: ++this.#starts, isLeaving: false });
         return this.write(step.id);
       case 'drain':
-        if (this.living.has(step.id)) this.living.get(step.id)!.leaves = true;
+        if (this.running.has(step.id)) this.running.get(step.id)!.isLeaving = true;
         return this.write(step.id);
       case 'end':
-        if (!this.living.delete(step.id)) return;
+        if (!this.running.delete(step.id)) return;
         this.store.write(TABLE, step.id, undefined);
         return;
       case 'beat':
@@ -59,27 +60,27 @@
       case 'read':
         return this.readers[step.reader].read();
       case 'copy':
-        this.#copy = this.store.copy();
+        this.#latestCopy = this.store.copy();
         return;
       case 'comeBack':
-        return this.store.restore(this.#copy);
+        return this.store.restore(this.#latestCopy);
     }
   }
 
   write(id: string): void {
-    const living = this.living.get(id);
-    if (living === undefined) return;
-    this.store.write(TABLE, id, `${living.leaves ? 'leaving' : 'ready'} ${living.start}`);
+    const backEnd = this.running.get(id);
+    if (backEnd === undefined) return;
+    this.store.write(TABLE, id, `${backEnd.isLeaving ? 'leaving' : 'ready'} ${backEnd.start}`);
   }
 
   /**
    * Running back ends write their records again and the records of ended ones expire. A back end that was recorded as removed
    * and appears in the first list of a new era is accepted at its next heartbeat.
    */
-  async settle(): Promise<void> {
+  async writeAndReadTwice(): Promise<void> {
     for (let heartbeat = 0; heartbeat < 2; heartbeat++) {
       for (const id of IDS) this.write(id);
-      for (const id of IDS) if (!this.living.has(id)) this.store.write(TABLE, id, undefined);
+      for (const id of IDS) if (!this.running.has(id)) this.store.write(TABLE, id, undefined);
       for (const reader of this.readers) await reader.read();
     }
   }
@@ -89,7 +90,7 @@
 class Reader {
   readonly list = new BackEndList();
   readonly #store: MemoryStore;
-  readonly #left = new Map<string, Set<number>>();
+  readonly #drained = new Map<string, Set<number>>();
   readonly #ended = new Set<string>();
 
   constructor(store: MemoryStore) {
@@ -100,7 +101,7 @@
     const signal = AbortSignal.timeout(60_000);
     const { revision } = this.list;
     const changes = await this.#store.changes({ table: TABLE, after: revision, wait: 0 }, signal);
-    if (changes.ok && eraOf(revision) === this.#store.era) this.#take(changes.value);
+    if (changes.ok && eraOf(revision) === this.#store.era) this.#applyChanges(changes.value);
     else await this.#readWhole(signal);
     this.#check();
   }
@@ -112,11 +113,11 @@
     this.list.replace({ revision, records: rows.map((row) => recordOf(row)) });
   }
 
-  #take({
+  #applyChanges({
     rows,
     revision,
   }: Extract<Awaited<ReturnType<MemoryStore['changes']>>, { ok: true }>['value']): void {
-    this.#noteEnds(rows.filter(({ value }) => value === undefined).map(({ key }) => key));
+    this.#recordEnds(rows.filter(({ value }) => value === undefined).map(({ key }) => key));
     const changes = rows.map((row) =>
       row.value === undefined
         ? ({ type: 'gone', id: row.key, revision: row.revision } as const)
@@ -126,7 +127,7 @@
   }
 
   /** Within an era a removed record means that its back end ended; the first list of an era may just lack it. */
-  #noteEnds(ids: readonly string[]): void {
+  #recordEnds(ids: readonly string[]): void {
     for (const id of ids) {
       const record = this.list.records.get(id);
       if (record?.leaving === true) this.#ended.add(`${id} ${record.start}`);
@@ -135,8 +136,8 @@
 
   #check(): void {
     for (const { id, start, leaving } of this.list.records.values()) {
-      const left = this.#left.get(id) ?? new Set<number>();
-      this.#left.set(id, left);
+      const left = this.#drained.get(id) ?? new Set<number>();
+      this.#drained.set(id, left);
       if (leaving) left.add(start!);
       expect(left.has(start!) && !leaving, `${id} ${start} serves again after it left`).toBe(false);
       expect(this.#ended.has(`${id} ${start}`), `${id} ${start} is listed again after it ended`).toBe(false);
@@ -144,8 +145,8 @@
   }
 }
 
-function recordOf(row: Parameters<typeof textRecords.backEnd>[0]): BackEndRecord {
-  const decoded = textRecords.backEnd(row);
+function recordOf(row: Parameters<typeof textRecordDecoder.backEnd>[0]): BackEndRecord {
+  const decoded = textRecordDecoder.backEnd(row);
   if (!decoded.ok) throw new Error(decoded.error.reason);
   return decoded.value;
 }
@@ -153,11 +154,13 @@
 it('lists of back ends follow a store restored from older copies without losing drains and ends', async () => {
   await fc.assert(
     fc.asyncProperty(fc.array(step, { maxLength: 40 }), async (steps) => {
-      const world = new World();
-      for (const one of steps) await world.play(one);
-      await world.settle();
-      const expected = [...world.living].map(([id, { start, leaves }]) => [id, start, leaves]).sort();
-      for (const { list } of world.readers) {
+      const simulation = new Simulation();
+      for (const one of steps) await simulation.applyStep(one);
+      await simulation.writeAndReadTwice();
+      const expected = [...simulation.running]
+        .map(([id, { start, isLeaving }]) => [id, start, isLeaving])
+        .sort();
+      for (const { list } of simulation.readers) {
         const known = [...list.records.values()].map(({ id, start, leaving }) => [id, start, leaving]);
         expect(known.sort()).toEqual(expected);
       }
--- a/test/fleet/store-sync.test.ts
+++ b/test/fleet/store-sync.test.ts
@@ -8,7 +8,7 @@
 import { seededRandom } from '../../src/model/random.js';
 import { silentLog } from '../../src/observability/log.js';
 import { until } from '../support.js';
-import { textRecords as decoder } from './text-records.js';
+import { textRecordDecoder as decoder } from './text-records.js';
 
 let store: MemoryStore;
 let fleet: FleetView;
@@ -44,23 +44,29 @@
     const stamps: Array<{ stamp: number; at: number }> = [];
     /** Produces the response at once but delivers it much later. */
     const late = async <T extends { ok: boolean; value?: unknown }>(answer: Promise<T>): Promise<T> => {
-      const made = await answer;
-      if (made.ok) stamps.push({ stamp: (made.value as RowsAt).storeTime, at: performance.now() });
+      const response = await answer;
+      if (response.ok) stamps.push({ stamp: (response.value as RowsAt).storeTime, at: performance.now() });
       await new Promise((resolve) => setTimeout(resolve, 4 * CLOCK_TOLERANCE));
-      return made;
+      return response;
     };
     const tables: WatchedTables = {
       read: (table, partition, signal) => late(store.read(table, partition, signal)),
       changes: (query, signal) => late(store.changes({ ...query, wait: 0 }, signal)),
       transact: (...call) => store.transact(...call),
     };
-    const view = new FleetView();
-    const slow = new StoreSync({ tables, decoder, fleet: view, random: seededRandom(1), log: silentLog });
-    await slow.start();
-    await until(() => view.complete, 'the first reading');
-    await slow.stop();
+    const slowFleet = new FleetView();
+    const slowSync = new StoreSync({
+      tables,
+      decoder,
+      fleet: slowFleet,
+      random: seededRandom(1),
+      log: silentLog,
+    });
+    await slowSync.start();
+    await until(() => slowFleet.complete, 'the first reading');
+    await slowSync.stop();
     const [{ stamp, at }] = stamps;
-    expect(view.clock.localTimeAt(stamp)).toBeLessThanOrEqual(at + CLOCK_TOLERANCE);
+    expect(slowFleet.clock.localTimeAt(stamp)).toBeLessThanOrEqual(at + CLOCK_TOLERANCE);
   });
 
   it('applies a removal at once while the store is available', async () => {
@@ -117,8 +123,8 @@
     store.faults.down = true;
     await until(() => !sync.connected, 'the loss');
     const older = { ...fleet.backEnds.records.get('one')!, leaving: false, revision: revision - 1 };
-    fleet.takeBackEnds({ revision: fleet.backEnds.revision - 1, records: [older] });
-    fleet.takeBackEnds({ revision: fleet.backEnds.revision + 1, records: [older] });
+    fleet.applyBackEndList({ revision: fleet.backEnds.revision - 1, records: [older] });
+    fleet.applyBackEndList({ revision: fleet.backEnds.revision + 1, records: [older] });
     expect(fleet.backEnds.records.get('one')?.leaving).toBe(true);
   });
 
@@ -164,9 +170,9 @@
 
 describe('StoreSync reading the store for others', () => {
   it('forwards a record of a former start that it ignores itself, and the next record', async () => {
-    const passed: string[] = [];
-    sync.onNews = ({ table, rows }) => {
-      if (table === 'backEnds') passed.push(...rows.map(({ value }) => value?.toString() ?? ''));
+    const forwarded: string[] = [];
+    sync.onForward = ({ table, rows }) => {
+      if (table === 'backEnds') forwarded.push(...rows.map(({ value }) => value?.toString() ?? ''));
     };
     const write = async (entry: string) => {
       store.write('backEnds', 'one', entry);
@@ -174,13 +180,13 @@
     };
     await write('ready 100');
     await write('ready 200');
-    passed.length = 0;
+    forwarded.length = 0;
     await write('ready 100');
     expect(fleet.backEnds.records.get('one')?.start).toBe(200);
     // Others may have accepted the delayed record, as they may not have known the start before it.
     await write('ready 200');
     await write('ready 200');
-    expect(passed).toEqual(['ready 100', 'ready 200']);
+    expect(forwarded).toEqual(['ready 100', 'ready 200']);
   });
 });
 
@@ -199,18 +205,18 @@
   it('applies forwarded changes without calling the store', async () => {
     sync.isReader = () => false;
     await new Promise((resolve) => setTimeout(resolve, 1_200));
-    const asked = { ...store.calls };
-    sync.take(news(store.revision, store.revision + 1, '7'));
+    const callsBefore = { ...store.calls };
+    sync.applyForwarded(news(store.revision, store.revision + 1, '7'));
     expect(fleet.configurationRevision).toBe(7);
     await new Promise((resolve) => setTimeout(resolve, 400));
-    expect(store.calls).toEqual(asked);
+    expect(store.calls).toEqual(callsBefore);
   });
 
   it('reads the store itself after a missed update', async () => {
     sync.isReader = () => false;
     await new Promise((resolve) => setTimeout(resolve, 1_200));
     store.write('operator', 'configuration', '8');
-    sync.take(news(store.revision + 5, store.revision + 6, '9'));
+    sync.applyForwarded(news(store.revision + 5, store.revision + 6, '9'));
     expect(fleet.configurationRevision).toBe(1);
     await until(() => fleet.configurationRevision === 8, 'what the store has');
   });
@@ -218,15 +224,15 @@
   it('dates a version by when the reading process saw it', async () => {
     sync.isReader = () => false;
     await new Promise((resolve) => setTimeout(resolve, 1_200));
-    const passed = news(store.revision, store.revision + 1, '2', 'model');
-    sync.take(passed);
-    expect(fleet.versions.newest('model')).toMatchObject({ version: 2, notBefore: passed.since });
+    const update = news(store.revision, store.revision + 1, '2', 'model');
+    sync.applyForwarded(update);
+    expect(fleet.versions.newest('model')).toMatchObject({ version: 2, notBefore: update.since });
   });
 
   it('holds removals for as long as the reading process does', async () => {
     sync.isReader = () => false;
     const { revision } = store;
-    sync.take({
+    sync.applyForwarded({
       ...news(revision, revision + 1, ''),
       table: 'backEnds',
       rows: [{ table: 'backEnds', partition: '', key: 'one', value: undefined, revision: revision + 1 }],
--- a/test/fleet/text-records.ts
+++ b/test/fleet/text-records.ts
@@ -5,20 +5,20 @@
 
 const LIMITS = { headerBytes: 1, bodyBytes: 1, headerTimeout: 1, idleTimeout: 1 };
 
-export const textRecords: RecordDecoder = {
+export const textRecordDecoder: RecordDecoder = {
   operatorTable: 'operator',
   backEndTable: 'backEnds',
   operatorRecord(row) {
     if (row.value === undefined) return undefined;
     if (row.key === 'configuration')
-      return success({ type: 'configuration', document: documentOf(row.value) });
+      return success({ type: 'configuration', document: parseDocument(row.value) });
     return success({ type: 'namedVersion', model: row.key, version: Number(row.value.toString()) });
   },
-  configuration: (document) => success(documentOf(document)),
+  configuration: (document) => success(parseDocument(document)),
   backEnd: (row) =>
     success({
       id: row.key,
-      start: startIn(row.value!.toString()),
+      start: parseStart(row.value!.toString()),
       service: 's',
       address: '127.0.0.1:1',
       zone: 'z',
@@ -29,7 +29,7 @@
     }),
 };
 
-function documentOf(document: Buffer): ConfigurationDocument {
+function parseDocument(document: Buffer): ConfigurationDocument {
   return {
     document,
     configuration: {
@@ -43,7 +43,7 @@
   };
 }
 
-function startIn(text: string): number | undefined {
+function parseStart(text: string): number | undefined {
   const [, start] = text.split(' ');
   return start === undefined ? undefined : Number(start);
 }
--- a/test/forwarding/caller-gone.test.ts
+++ b/test/forwarding/caller-gone.test.ts
@@ -166,7 +166,7 @@
   it('while its request is held', async () => {
     forwarding.list();
     const held = CONFIGURATION.routes.map((one) => ({ ...one, objective: 400 }));
-    forwarding.fleet.takeConfiguration({
+    forwarding.fleet.applyConfiguration({
       document: Buffer.from(''),
       configuration: { ...CONFIGURATION, revision: 2, routes: held },
     });
--- a/test/forwarding/configuration-behind.test.ts
+++ b/test/forwarding/configuration-behind.test.ts
@@ -38,7 +38,7 @@
   (await forwarding.send(path, { headers: { 'x-key': key } })).status;
 
 it('a request that an entry does not know is to come back while a newer configuration is in force elsewhere', async () => {
-  forwarding.fleet.noteConfigurationElsewhere(2);
+  forwarding.fleet.noteRemoteConfigurationRevision(2);
   const answer = await forwarding.send('/added/a');
   expect(answer.status).toBe(503);
   expect(Number(answer.headers['retry-after'])).toBeGreaterThan(0);
@@ -47,9 +47,9 @@
 });
 
 it('a request that no configuration allows is refused once the newest one is known', async () => {
-  forwarding.fleet.noteConfigurationElsewhere(2);
-  forwarding.fleet.takeConfiguration({ document: Buffer.from(''), configuration: NEWER });
-  forwarding.fleet.noteConfigurationElsewhere(1);
+  forwarding.fleet.noteRemoteConfigurationRevision(2);
+  forwarding.fleet.applyConfiguration({ document: Buffer.from(''), configuration: NEWER });
+  forwarding.fleet.noteRemoteConfigurationRevision(1);
   expect(await statusOf('/added/a')).toBe(200);
   expect(await statusOf('/nothing/a')).toBe(404);
   expect(await statusOf('/read/a', 'key-b')).toBe(401);
--- a/test/forwarding/deadly-content.test.ts
+++ b/test/forwarding/deadly-content.test.ts
@@ -145,7 +145,7 @@
           services: SERVICES,
           tenants,
         };
-        forwarding.fleet.takeConfiguration({ document: Buffer.from(''), configuration });
+        forwarding.fleet.applyConfiguration({ document: Buffer.from(''), configuration });
         forwarding.list([`b${index}`, backEnd]);
         await forwarding.send('/once/', { method: 'POST', body: 'deadly', headers: { 'x-key': key } });
         await pause(2 * SAME_MOMENT);
--- a/test/forwarding/foreign-back-ends.test.ts
+++ b/test/forwarding/foreign-back-ends.test.ts
@@ -26,7 +26,7 @@
     const [route] = ENGINE_CONFIGURATION.routes;
     const routes = [{ ...route, targets: [{ service: 'unnamed', weight: 1 }] }];
     const configuration = { ...ENGINE_CONFIGURATION, revision: 2, routes };
-    forwarding.fleet.takeConfiguration({ document: Buffer.from(''), configuration });
+    forwarding.fleet.applyConfiguration({ document: Buffer.from(''), configuration });
     forwarding.list(['one', engine, { ...LISTED, service: 'unnamed' }]);
     expect((await forwarding.send('/write/')).status).toBe(503);
     expect(engine.requests).toHaveLength(0);
@@ -76,7 +76,7 @@
       { name: 'plain', maxConnections: 0, engine: undefined },
     ];
     const configuration = { ...ENGINE_CONFIGURATION, revision: 2, services };
-    forwarding.fleet.takeConfiguration({ document: Buffer.from(''), configuration });
+    forwarding.fleet.applyConfiguration({ document: Buffer.from(''), configuration });
     forwarding.list(['one', engine, LISTED]);
     expect((await forwarding.send('/write/')).status).toBe(200);
     forwarding.list(['one', engine, { ...LISTED, service: 'plain' }]);
--- a/test/forwarding/forwarding-harness.ts
+++ b/test/forwarding/forwarding-harness.ts
@@ -156,7 +156,7 @@
       this.metrics,
     );
     await this.#server.start();
-    fleet.takeConfiguration({ document: Buffer.from(''), configuration });
+    fleet.applyConfiguration({ document: Buffer.from(''), configuration });
   }
 
   async stop(): Promise<void> {
@@ -177,7 +177,7 @@
   /** Lists these back ends and no others. */
   list(...backEnds: Array<[id: string, backEnd: StandInBackEnd, changes?: Partial<BackEndRecord>]>): void {
     const revision = this.fleet.backEnds.revision + 1;
-    this.fleet.takeBackEnds({
+    this.fleet.applyBackEndList({
       revision,
       records: backEnds.map(([id, backEnd, changes]) => ({
         id,
@@ -210,14 +210,14 @@
   /** Names `version` of the model `m` so that those before it expire after `milliseconds`. */
   expireIn(milliseconds: number, version = 2): void {
     const now = performance.now();
-    this.fleet.clock.note(now, now);
-    this.fleet.takeNamedVersion({ model: 'm', version, notBefore: now + milliseconds - VERSION_BOUND });
+    this.fleet.clock.addSample(now, now);
+    this.fleet.applyNamedVersion({ model: 'm', version, notBefore: now + milliseconds - VERSION_BOUND });
   }
 
   /** The agent of the engine at `address` has read this start of it. */
   takeEngineStart(address: string, start: number): void {
     const row = this.backEnds.rowAt(address, start);
-    if (row !== undefined) this.fleet.takeStart({ id: row.record.id, start });
+    if (row !== undefined) this.fleet.applyReportedStart({ id: row.record.id, start });
   }
 
   /** Sends a request without a body whose caller is going to leave. */
--- a/test/forwarding/forwarding.test.ts
+++ b/test/forwarding/forwarding.test.ts
@@ -80,7 +80,7 @@
   });
 
   it('gets 503 with the time to come back while nothing is known, never 404', async () => {
-    forwarding.fleet.takeConfiguration({
+    forwarding.fleet.applyConfiguration({
       document: Buffer.from(''),
       configuration: { ...CONFIGURATION, revision: 2 },
     });
--- a/test/forwarding/restart-order.test.ts
+++ b/test/forwarding/restart-order.test.ts
@@ -6,7 +6,7 @@
 import { describe, expect, it } from 'vitest';
 import { BackEndSet } from '../../src/fleet/back-end-identity.js';
 import { BackEndList } from '../../src/fleet/back-end-list.js';
-import { ENTRIES_TO_BELIEVE } from '../../src/fleet/back-end-starts.js';
+import { RECORDS_TO_CONFIRM } from '../../src/fleet/back-end-starts.js';
 import { FleetView } from '../../src/fleet/fleet-view.js';
 import { BackEndLimits } from '../../src/forwarding/back-end-limits.js';
 import { BackEndSelector, type Requirements } from '../../src/forwarding/back-end-selector.js';
@@ -27,7 +27,7 @@
 const ADDRESS = '127.0.0.1:1';
 const FIRST_START = 1_000_000;
 /** Entries and reports of the present start that must suffice to put everything right. */
-const SETTLING = ENTRIES_TO_BELIEVE + 1;
+const SETTLING = RECORDS_TO_CONFIRM + 1;
 
 /** What happens; `pick` chooses among what is there. */
 type Step =
@@ -69,7 +69,7 @@
 
   constructor() {
     this.fleet.listen({ onBackEnds: (changes) => this.table.apply(changes) });
-    this.fleet.takeConfiguration({ document: Buffer.from(''), configuration: ENGINE_CONFIGURATION });
+    this.fleet.applyConfiguration({ document: Buffer.from(''), configuration: ENGINE_CONFIGURATION });
     this.selector = new BackEndSelector({
       fleet: this.fleet,
       table: this.table,
@@ -118,19 +118,19 @@
     if (news.type === 'entry') {
       const { record } = news;
       if (this.#isLost(record)) return;
-      this.fleet.takeBackEndChanges([{ type: 'changed', record }], record.revision);
+      this.fleet.applyBackEndChanges([{ type: 'changed', record }], record.revision);
       this.#noteTold(record.start!);
     } else if (news.type === 'report') {
       const isListed = this.row !== undefined;
       const row = this.table.rowAt(ADDRESS, news.start);
-      if (row !== undefined) this.fleet.takeStart({ id: ID, start: news.start }, news.follows);
+      if (row !== undefined) this.fleet.applyReportedStart({ id: ID, start: news.start }, news.follows);
       this.table.takeNews(ADDRESS, this.#engineNews(news.start));
       // A report says nothing while no entry has told whose address it is.
       if (isListed) this.#noteTold(news.start);
     } else if (news.type === 'load') this.table.takeLoads('peer', [news.load]);
     else {
       if (news.state.records.some((record) => this.#isLost(record))) return;
-      this.fleet.takeBackEnds(news.state);
+      this.fleet.applyBackEndList(news.state);
       for (const { start } of news.state.records) this.#noteTold(start!);
     }
   }
@@ -166,7 +166,7 @@
     if (this.#placeOf(start!) >= this.newestTold) return false;
     const late = this.#late.get(start!) ?? new Set();
     this.#late.set(start!, late.add(revision));
-    return late.size >= ENTRIES_TO_BELIEVE;
+    return late.size >= RECORDS_TO_CONFIRM;
   }
 
   #nextStart(clockStep: number): number {
--- a/test/forwarding/slots.test.ts
+++ b/test/forwarding/slots.test.ts
@@ -157,7 +157,7 @@
   // It waits for 0.6 s: long enough for the queue of an engine, shorter than engines may be silent.
   const routes = CONFIGURATION.routes.map((route) => ({ ...route, objective: 1_200 }));
   const configuration = { ...CONFIGURATION, revision: 2, routes };
-  forwarding.fleet.takeConfiguration({ document: Buffer.from(''), configuration });
+  forwarding.fleet.applyConfiguration({ document: Buffer.from(''), configuration });
   const taken = Array.from({ length: 2 * SLOTS }, () => forwarding.send('/write/a'));
   await until(() => requests() === 2 * SLOTS, 'all slots to be taken');
   let asked = 0;
@@ -226,7 +226,7 @@
   // It waits for 0.2 s: the engines, which do not answer here, are not taken for silent before 0.8 s.
   const routes = CONFIGURATION.routes.map((route) => ({ ...route, objective: 400 }));
   const configuration = { ...CONFIGURATION, revision: 2, routes };
-  forwarding.fleet.takeConfiguration({ document: Buffer.from(''), configuration });
+  forwarding.fleet.applyConfiguration({ document: Buffer.from(''), configuration });
   const taken = Array.from({ length: 2 * SLOTS }, () => forwarding.send('/write/a'));
   await until(() => requests() === 2 * SLOTS, 'all slots to be taken');
   const refused = await forwarding.send('/write/a');
--- a/test/forwarding/stream-cut-while-back-end-pauses.test.ts
+++ b/test/forwarding/stream-cut-while-back-end-pauses.test.ts
@@ -132,7 +132,7 @@
   it('is not cut where a configuration drops its route and service meanwhile', async () => {
     const answering = forwarding.send('/write/a');
     await until(() => requestCount() === 1, 'the request has arrived');
-    forwarding.fleet.takeConfiguration({
+    forwarding.fleet.applyConfiguration({
       document: Buffer.from(''),
       configuration: { ...CONFIGURATION, revision: 2, routes: [], services: [] },
     });
--- a/test/forwarding/version-expiry.test.ts
+++ b/test/forwarding/version-expiry.test.ts
@@ -21,7 +21,7 @@
 /** A newer configuration with `changes` comes into force. */
 function configure(changes: Partial<FleetConfiguration>): void {
   const configuration = { ...ENGINE_CONFIGURATION, revision: 2, ...changes };
-  forwarding.fleet.takeConfiguration({ document: Buffer.from(''), configuration });
+  forwarding.fleet.applyConfiguration({ document: Buffer.from(''), configuration });
 }
 
 beforeEach(async () => {
--- a/test/peers/configuration-copies.test.ts
+++ b/test/peers/configuration-copies.test.ts
@@ -12,7 +12,7 @@
   createTrafficCounters,
 } from '../../src/protocol/connection.js';
 import type { EntryReport } from '../../src/protocol/reports.js';
-import { textRecords } from '../fleet/text-records.js';
+import { textRecordDecoder } from '../fleet/text-records.js';
 import { NO_NEWS, until } from '../support.js';
 
 const LAGGING = 4;
@@ -41,8 +41,8 @@
 const READS_PER_COPY = 2;
 
 function takeRevision(fleet: FleetView, revision: number): void {
-  const read = textRecords.configuration(Buffer.from(String(revision)));
-  if (read.ok) fleet.takeConfiguration(read.value);
+  const read = textRecordDecoder.configuration(Buffer.from(String(revision)));
+  if (read.ok) fleet.applyConfiguration(read.value);
 }
 
 async function startEntry(zone: string, address: string, seeds: string[]) {
@@ -80,7 +80,7 @@
     zone,
     seeds,
     fleet,
-    decoder: textRecords,
+    decoder: textRecordDecoder,
     hearsStore: () => true,
     random: seededRandom(1),
     report,
--- a/test/peers/fleet-wish.test.ts
+++ b/test/peers/fleet-wish.test.ts
@@ -12,7 +12,7 @@
   ConnectionListener,
   createTrafficCounters,
 } from '../../src/protocol/connection.js';
-import { textRecords } from '../fleet/text-records.js';
+import { textRecordDecoder } from '../fleet/text-records.js';
 import { NO_NEWS, until } from '../support.js';
 
 const OTHERS = 6;
@@ -34,9 +34,9 @@
 }
 
 function takeDocument(fleet: FleetView, document: string): void {
-  const read = textRecords.configuration(Buffer.from(document));
+  const read = textRecordDecoder.configuration(Buffer.from(document));
   if (!read.ok) throw new Error(read.error.reason);
-  fleet.takeConfiguration(read.value);
+  fleet.applyConfiguration(read.value);
 }
 
 /** @param tells - the revision that it says to have; it has the document where it is given */
@@ -54,10 +54,10 @@
   const fleet = new FleetView();
   if (init.document !== undefined) takeDocument(fleet, init.document);
   const decoder = {
-    ...textRecords,
+    ...textRecordDecoder,
     configuration: (document: Buffer) => {
       entry.sent++;
-      return textRecords.configuration(document);
+      return textRecordDecoder.configuration(document);
     },
   };
   const peers = new EntryPeers({
--- a/test/platform/records-generated.test.ts
+++ b/test/platform/records-generated.test.ts
@@ -144,7 +144,7 @@
         const read = platformRecords.configuration(bytes);
         if (!read.ok) return expectTold(read.error);
         expectUsable(read.value.configuration);
-        for (const fault of read.value.leftOut ?? []) expectTold(fault);
+        for (const fault of read.value.skippedEntries ?? []) expectTold(fault);
       }),
       RUNS,
     );
--- a/test/platform/records.test.ts
+++ b/test/platform/records.test.ts
@@ -82,7 +82,7 @@
             origin: { service: 'kafi81c', address: '172.20.0.3:8006' },
             tenants: [{ keys: ['k1', 'k2'] }],
           },
-          leftOut: [],
+          skippedEntries: [],
         },
       },
     });
--- a/test/platform/silent-store.test.ts
+++ b/test/platform/silent-store.test.ts
@@ -6,7 +6,7 @@
 import { StoreSync } from '../../src/fleet/store-sync.js';
 import { seededRandom } from '../../src/model/random.js';
 import { silentLog } from '../../src/observability/log.js';
-import { textRecords } from '../fleet/text-records.js';
+import { textRecordDecoder } from '../fleet/text-records.js';
 import { SilentProxy } from '../silent-proxy.js';
 import { until } from '../support.js';
 import { wireStore } from './wire-store.js';
@@ -58,7 +58,7 @@
     const tables = platformTables(proxy.address);
     sync = new StoreSync({
       tables,
-      decoder: textRecords,
+      decoder: textRecordDecoder,
       fleet,
       random: seededRandom(1),
       log: silentLog,
--- a/test/platform/slow-store.test.ts
+++ b/test/platform/slow-store.test.ts
@@ -7,7 +7,7 @@
 import { StoreSync } from '../../src/fleet/store-sync.js';
 import { seededRandom } from '../../src/model/random.js';
 import { silentLog } from '../../src/observability/log.js';
-import { textRecords } from '../fleet/text-records.js';
+import { textRecordDecoder } from '../fleet/text-records.js';
 import { until } from '../support.js';
 import { wireStore } from './wire-store.js';
 
@@ -78,13 +78,13 @@
   fleet = new FleetView();
   sync = new StoreSync({
     tables: platformTables(address),
-    decoder: textRecords,
+    decoder: textRecordDecoder,
     fleet,
     random: seededRandom(1),
     log: silentLog,
   });
   newsCount = 0;
-  sync.onNews = ({ table }) => {
+  sync.onForward = ({ table }) => {
     if (table === 'operator') newsCount++;
   };
 });
--- a/test/platform/store-drill.test.ts
+++ b/test/platform/store-drill.test.ts
@@ -13,7 +13,7 @@
 import { StoreSync } from '../../src/fleet/store-sync.js';
 import { seededRandom } from '../../src/model/random.js';
 import { silentLog } from '../../src/observability/log.js';
-import { textRecords } from '../fleet/text-records.js';
+import { textRecordDecoder } from '../fleet/text-records.js';
 import { until } from '../support.js';
 import { type EraTold, wireStore } from './wire-store.js';
 
@@ -40,7 +40,13 @@
   store.write('backEnds', 'one', 'ready 100');
   store.write('backEnds', 'two', two);
   fleet = new FleetView();
-  sync = new StoreSync({ tables, decoder: textRecords, fleet, random: seededRandom(1), log: silentLog });
+  sync = new StoreSync({
+    tables,
+    decoder: textRecordDecoder,
+    fleet,
+    random: seededRandom(1),
+    log: silentLog,
+  });
   await sync.start();
   await until(() => fleet.complete, 'the first reading');
 }
--- a/test/weights/joint-drop.test.ts
+++ b/test/weights/joint-drop.test.ts
@@ -17,7 +17,7 @@
   const fleet = new FleetView();
   const backEnds = new BackEndTable();
   fleet.listen({ onBackEnds: (changes) => backEnds.apply(changes) });
-  fleet.takeConfiguration({ document: Buffer.from(''), configuration: ENGINE_CONFIGURATION });
+  fleet.applyConfiguration({ document: Buffer.from(''), configuration: ENGINE_CONFIGURATION });
   const layers = { from: 0, end: ENGINE_LAYERS, version: 1 };
   const records = ZONES.map((zone, index) => ({
     id: `engine-${index}`,
@@ -29,7 +29,7 @@
     layers,
     revision: 1,
   }));
-  fleet.takeBackEnds({ revision: 1, records });
+  fleet.applyBackEndList({ revision: 1, records });
   for (const [index, { address }] of records.entries()) {
     const isSwitching = index < ZONES.length - 1;
     backEnds.takeNews(address, {
--- a/test/weights/object-puts.test.ts
+++ b/test/weights/object-puts.test.ts
@@ -63,12 +63,12 @@
     random: seededRandom(1),
     log: silentLog,
   });
-  fleet.takeConfiguration({
+  fleet.applyConfiguration({
     document: Buffer.from(''),
     configuration: { ...ENGINE_CONFIGURATION, origin: { service: 'weights', address: 'origin' } },
   });
-  fleet.clock.note(performance.now(), performance.now());
-  fleet.takeNamedVersion({ model: 'm', version: 2, notBefore: performance.now() });
+  fleet.clock.addSample(performance.now(), performance.now());
+  fleet.applyNamedVersion({ model: 'm', version: 2, notBefore: performance.now() });
   await duty.start();
   await until(() => objects.parts >= partsOf(manifest).length, 'all parts in the store');
   await duty.stop();
--- a/tools/guard-table.mjs
+++ b/tools/guard-table.mjs
@@ -37,7 +37,7 @@
   {
     fault: 'an entry refuses for good what a newer configuration may allow',
     file: 'src/fleet/fleet-view.ts',
-    find: 'return this.#configurationRevisionElsewhere > this.configurationRevision;',
+    find: 'return this.#remoteConfigurationRevision > this.configurationRevision;',
     replace: 'return false;',
     test: 'test/forwarding/configuration-behind.test.ts',
   },
@@ -51,7 +51,7 @@
   {
     fault: 'others are not told that a long answer of the store is still coming',
     file: 'src/fleet/table-follower.ts',
-    find: 'this.#options.events.onNews({ after: revision, revision, storeTime, since: storeTime, rows: [] });',
+    find: 'this.#options.events.onForward({ after: revision, revision, storeTime, since: storeTime, rows: [] });',
     replace: '',
     test: 'test/platform/slow-store.test.ts',
   },
@@ -197,22 +197,22 @@
   {
     fault: 'a back end that has gone comes back with an older copy of the store',
     file: 'src/fleet/back-end-list.ts',
-    find: 'if (known === undefined && this.#isOfCopy(told) && this.#gone.has(told)) return undefined;',
+    find: 'if (known === undefined && this.#isFromNewEra(received) && this.#removed.has(received)) return undefined;',
     replace: '',
-    test: 'test/platform/store-drill.test.ts test/fleet/store-drill-orders.test.ts',
+    test: 'test/platform/store-drill.test.ts test/fleet/store-restore-orders.test.ts',
   },
   {
     fault: 'a back end that leaves serves on with an older copy of the store',
     file: 'src/fleet/back-end-list.ts',
-    find: 'leaving: told.leaving || goesOnLeaving',
-    replace: 'leaving: told.leaving',
-    test: 'test/platform/store-drill.test.ts test/fleet/store-drill-orders.test.ts',
+    find: 'leaving: received.leaving || isStillLeaving',
+    replace: 'leaving: received.leaving',
+    test: 'test/platform/store-drill.test.ts test/fleet/store-restore-orders.test.ts',
   },
   {
     fault: 'back ends that an older copy of the store lacks are dropped at once',
     file: 'src/fleet/store-sync.ts',
-    find: 'this.#holdUntil = performance.now() + REMOVAL_HOLD;\n    this.onOlderCopy();',
-    replace: 'this.onOlderCopy();',
+    find: 'this.#holdRemovalsUntil = performance.now() + REMOVAL_HOLD_TIME;\n    this.onStoreRestored();',
+    replace: 'this.onStoreRestored();',
     test: 'test/fleet/store-sync.test.ts',
   },
   {
@@ -364,7 +364,7 @@
     fault:
       'a restart is not noticed in a report where the clock stepped back, though it names the start before',
     file: 'src/fleet/back-end-starts.ts',
-    find: 'const isNext = follows === known.present;',
+    find: 'const isNext = follows === known.current;',
     replace: 'const isNext = false;',
     test: 'test/fleet/back-end-starts.test.ts',
   },
@@ -383,7 +383,7 @@
   {
     fault: 'a restart that an agent reports before the store tells is not noticed',
     file: 'src/roles/direct-entry.ts',
-    find: 'if (row !== undefined) fleet.takeStart({ id: row.record.id, start: news.start }, report.follows);',
+    find: 'if (row !== undefined) fleet.applyReportedStart({ id: row.record.id, start: news.start }, report.follows);',
     replace: '',
     test: 'test/roles/direct-entry.test.ts',
   },
@@ -474,21 +474,21 @@
   {
     fault: 'a late entry of a former start is taken',
     file: 'src/fleet/back-end-starts.ts',
-    find: "if (!isInOrder && start < known.present && !goesOn(known, start, revision)) return 'older';",
+    find: "if (!isNewByRevision && start < known.current && !isConfirmed(known, start, revision)) return 'older';",
     replace: '',
     test: 'test/fleet/back-end-starts.test.ts',
   },
   {
     fault: 'a late report of a former start is taken',
     file: 'src/fleet/back-end-starts.ts',
-    find: "if (!isNext && (known.former.includes(start) || start < known.present)) return 'older';",
+    find: "if (!isNext && (known.former.includes(start) || start < known.current)) return 'older';",
     replace: '',
     test: 'test/fleet/back-end-starts.test.ts',
   },
   {
     fault: 'a start that was passed over by mistake is passed over for good',
     file: 'src/fleet/back-end-starts.ts',
-    find: 'return passedOver.entries >= ENTRIES_TO_BELIEVE;',
+    find: 'return ignored.entries >= RECORDS_TO_CONFIRM;',
     replace: 'return false;',
     test: 'test/fleet/back-end-starts.test.ts',
   },
@@ -767,14 +767,14 @@
   {
     fault: 'records that lapsed with the store are dropped at its return',
     file: 'src/fleet/store-sync.ts',
-    find: 'const isHolding = performance.now() < this.#holdUntil;',
+    find: 'const isHolding = performance.now() < this.#holdRemovalsUntil;',
     replace: 'const isHolding = false;',
     test: 'test/fleet/store-sync.test.ts',
   },
   {
     fault: 'a fresh process takes the versions that it finds for new',
     file: 'src/fleet/table-follower.ts',
-    find: 'gap <= GAPLESS',
+    find: 'gap <= MAX_CONTIGUOUS_GAP',
     replace: 'true',
     test: 'test/fleet/store-sync.test.ts',
   },
@@ -783,7 +783,7 @@
     file: 'src/fleet/fleet-view.ts',
     find: 'configuration.revision <= this.configurationRevision',
     replace: 'false',
-    test: 'test/fleet/beliefs.test.ts',
+    test: 'test/fleet/fleet-view.test.ts',
   },
   {
     fault: 'an engine is ordered to take pieces that turned bad',
@@ -1230,8 +1230,8 @@
   {
     fault: 'the store’s answers do not tell how long they can have been under way',
     file: 'src/fleet/table-follower.ts',
-    find: 'this.#noteAnswer(storeTime, askedAt);',
-    replace: 'this.#noteAnswer(storeTime);',
+    find: 'this.#noteResponse(storeTime, requestedAt);',
+    replace: 'this.#noteResponse(storeTime);',
     test: 'test/fleet/store-sync.test.ts',
   },
   {
@@ -1252,7 +1252,7 @@
   {
     fault: 'a bad record is told of at each heartbeat',
     file: 'src/fleet/record-faults.ts',
-    find: 'if (told.get(key) === mark) return false;',
+    find: 'if (reported.get(key) === mark) return false;',
     replace: '',
     test: 'test/platform/foreign-rows.test.ts',
   },
@@ -1287,7 +1287,7 @@
   {
     fault: 'a long list of back ends is decoded in one turn',
     file: 'src/fleet/store-sync.ts',
-    find: 'if (index > 0 && index % ROWS_AT_A_TIME === 0) await nextTurn();',
+    find: 'if (index > 0 && index % DECODE_BATCH_SIZE === 0) await nextTurn();',
     replace: '',
     test: 'test/fleet/decoding-ahead.test.ts',
   },
