--- a/src/roles/direct-entry.ts
+++ b/src/roles/direct-entry.ts
@@ -30,15 +30,15 @@
 import { servedVersions, WeightsPlanner } from './weights-planner.js';
 
 const DRAIN_CHECK = 50;
-/** Parts that have not ended after this are left to the end of the process, in milliseconds: it must come before a kill. */
+/** Parts that have not stopped after this time are abandoned, in milliseconds: the process must exit before it is killed. */
 const STOP_LIMIT = 300;
-/** Changes of this time are told to peers and agents together, by who is told, in milliseconds. */
+/** Delay in which changes are batched before they are sent to peers and agents, by audience, in milliseconds. */
 const ANNOUNCE_DELAY = { all: 50, zone: 120 };
-/** Addresses in one answer to a caller. */
+/** Maximum number of addresses in one answer to a caller. */
 const MOST_ADDRESSES = 64;
 const MILLISECONDS = 1_000;
 
-/** A running entry. */
+/** An entry: accepts callers' requests and forwards them to back ends. */
 export class DirectEntry implements Startable {
   readonly #components: DirectEntryComponents;
   readonly #peers: EntryPeers;
@@ -142,7 +142,7 @@
       library,
       objects: components.objects,
       originAt: components.originAt,
-      // A version would wait for the pieces of an entry that is cut off, or for it to draw them.
+      // Unreachable entries are excluded: a version would wait for their pieces, or for them to draw pieces from the origin.
       peers: () => this.#peers.reached(),
       agents: () => [...this.#agents.rows.values()],
       servedVersions: () => servedVersions(fleet.routes?.configuration.services ?? [], backEnds),
@@ -201,7 +201,7 @@
     this.#addMetrics();
   }
 
-  /** True while callers may be sent here. */
+  /** Whether callers may be directed to this entry. */
   get isReady(): boolean {
     return !this.#drain.isUnderWay && this.#components.fleet.complete;
   }
@@ -213,8 +213,8 @@
   }
 
   /**
-   * Leaves the directory at once, serves those that hold the address, ends what is in progress, and stops.
-   * @param orderedAt - when the order to stop came, in milliseconds of the steady clock
+   * Leaves the directory at once, serves callers that have cached the address, finishes requests in progress, and stops.
+   * @param orderedAt - when the stop signal was received, in milliseconds of the monotonic clock
    */
   async leave(orderedAt = performance.now()): Promise<void> {
     const { log } = this.#components;
@@ -239,7 +239,7 @@
     await this.#components.backEnds.stop();
   }
 
-  /** Addresses of entries that take requests, for a caller of `zone`: those of its region where there are any. */
+  /** Addresses of ready entries for a caller of `zone`; those of its zone or region if there are at least two. */
   addresses(zone: string, region: string): string[] {
     const ready = [this.#report(), ...this.#peers.live()].filter(({ isReady }) => isReady);
     const ofRegion = ready.filter((entry) => entry.region === region);
@@ -269,7 +269,7 @@
     return this.#peers.live().length + 1;
   }
 
-  /** Whether this entry reads a table of the store, or another of its zone does and passes on what is new. */
+  /** Whether this entry reads a table of the store itself; otherwise another entry of its zone reads it and forwards the changes. */
   #reads(table: FollowedTable): boolean {
     const { identity, settings } = this.#components;
     const others = this.#peers.reached().filter(({ zone, isReady }) => zone === settings.zone && isReady);
@@ -280,7 +280,7 @@
     );
   }
 
-  /** This entry's place in the order that `key` gives all entries that live. */
+  /** Rank of this entry among all live entries by the rendezvous hash of `key`. */
   #placeAmongEntries(key: string): number {
     const { identity } = this.#components;
     return rendezvousOrder(key, [identity, ...this.#peers.live().map(({ id }) => id)]).indexOf(identity);
@@ -312,7 +312,7 @@
     };
   }
 
-  /** Tells what changed, once for all changes of a moment: an engine's service to all, what is held to this zone. */
+  /** Schedules an announcement that batches changes: a change of an engine's service goes to all, held pieces to this zone. */
   #announce(audience: 'all' | 'zone'): void {
     if (this.#announcement === undefined) setTimeout(() => this.#tellChanges(), ANNOUNCE_DELAY[audience]);
     if (this.#announcement !== 'all') this.#announcement = audience;
@@ -331,7 +331,7 @@
     for (const engine of report.engines) this.#takeEngineReport(engine);
   }
 
-  /** The start of an engine first: what is told of one that has started again must not go to its former start. */
+  /** Applies the reported start first, so that the state of a restarted engine is not attributed to its former start. */
   #takeEngineReport(report: EngineReport): void {
     const { fleet, backEnds } = this.#components;
     const news = engineNews(report);
@@ -341,8 +341,8 @@
   }
 
   /**
-   * Most connections that are kept to a back end of `service`: what it accepts is divided among all entries that are
-   * known, as those that are not heard keep theirs.
+   * Maximum number of connections kept open to a back end of `service`. The back end's limit is divided among all known
+   * entries, since entries that are not heard from keep their connections too.
    */
   #connectionsKept(service: string): number {
     const accepted = this.#components.fleet.routes?.service(service)?.maxConnections ?? 0;
@@ -396,7 +396,7 @@
 function engineNews(report: EngineReport): EngineNews {
   const { version, isReached, isSwitching, slotAddress, load, switchesIn } = report;
   const toldAt = performance.now();
-  // The codec carries no undefined in lists.
+  // The codec encodes undefined in lists as null.
   return {
     start: report.start ?? undefined,
     version,
@@ -409,7 +409,7 @@
   };
 }
 
-/** Names of the headers that callers may not set. */
+/** Names of the headers that callers must not set. */
 function headersSet(names: HeaderNames): ReadonlySet<string> {
   const { callerKey, tenant, expectedBackEnd, expectedVersion, urgency, timeLeft } = names;
   return new Set([
@@ -424,7 +424,7 @@
   ]);
 }
 
-/** Whether what requests may be sent to an engine depends on has changed; its load is told with the next report. */
+/** Whether a change affects which requests may be sent to the engine; a changed load waits for the next periodic report. */
 function hasChangedService(before: EngineReport, after: EngineReport): boolean {
   return (
     before.start !== after.start ||
