--- a/src/roles/direct-agent.ts
+++ b/src/roles/direct-agent.ts
@@ -1,4 +1,4 @@
-/** The role in the slot of an engine's machine where callers' requests do not pass through it: it loads weights. */
+/** Agent role on an engine's machine in deployments where callers' requests do not pass through the agent: it loads weights. */
 import { randomBytes } from 'node:crypto';
 import type { ListedObjectStore } from '../clients/object-store.js';
 import type { WatchedTables } from '../clients/watched-tables.js';
@@ -21,7 +21,7 @@
 import { StorePlan } from '../weights/store-plan.js';
 import type { DirectAgentSettings } from './settings.js';
 
-/** How a platform is met. */
+/** Platform adapters that the agent uses. */
 export interface DirectAgentContracts {
   objects: ListedObjectStore;
   originAt: PieceOriginFactory;
--- a/src/roles/direct-entry-components.ts
+++ b/src/roles/direct-entry-components.ts
@@ -1,4 +1,4 @@
-/** What an entry is composed of where back ends are called at their own address. */
+/** Composes an entry for deployments in which back ends are called at their own address. */
 import { randomBytes } from 'node:crypto';
 import type Router from '@koa/router';
 import { asFunction, asValue, createContainer, InjectionMode } from 'awilix';
@@ -23,23 +23,23 @@
 import { DirectEntry } from './direct-entry.js';
 import type { DirectEntrySettings } from './settings.js';
 
-/** How a platform is met. */
+/** Platform adapters that the entry uses. */
 export interface DirectEntryContracts {
   decoder: RecordDecoder;
   tables: WatchedTables;
   objects: ListedObjectStore;
   originAt: PieceOriginFactory;
   headers: HeaderNames;
-  /** Routes of the platform's checks and of callers that look for entries. */
+  /** Routes for the platform's readiness checks, and for callers that discover entries. */
   readyRoutes: (isReady: () => boolean) => Router;
   directoryRoutes: (addresses: (zone: string, region: string) => string[], lifetimeSeconds: number) => Router;
   metricsPath: string;
 }
 
-/** What an entry is composed of. */
+/** Components of an entry, by their names in the container. */
 export interface DirectEntryComponents extends DirectEntryContracts {
   settings: DirectEntrySettings;
-  /** Identity of this process. */
+  /** Identity of this process, unique for each start. */
   identity: string;
   random: Random;
   log: Log;
@@ -86,7 +86,7 @@
   return container.cradle.directEntry;
 }
 
-/** The container's own object cannot be spread: it resolves every part as it is read. */
+/** Selects the options by name: spreading the container's proxy would resolve every component. */
 function storeSyncOptions({ tables, decoder, fleet, random, log }: DirectEntryComponents): StoreSyncOptions {
   return { tables, decoder, fleet, random, log };
 }
--- a/src/roles/settings.ts
+++ b/src/roles/settings.ts
@@ -1,47 +1,47 @@
-/** Settings of the processes of deployments whose back ends are called at their own address. Durations in milliseconds. */
+/** Settings of processes in deployments whose back ends are called at their own address. Durations are in milliseconds. */
 
-/** Where a process runs and how others reach it. */
+/** Location of a process and the addresses at which others reach it. */
 export interface ProcessSettings {
   name: string;
   zone: string;
   region: string;
-  /** Region of each zone. */
+  /** Maps each zone to its region. */
   regions: Record<string, string>;
-  /** `host:port` for the system's own processes. */
+  /** `host:port` for connections from other processes of this system. */
   peers: string;
-  /** `host:port` for what entries and agents say of the slots of engines, by datagram. */
+  /** `host:port` for the datagrams in which entries and agents negotiate slots of engines. */
   slots: string;
   /** `host:port` for metrics. */
   metrics: string;
-  /** Addresses of entries that may be there. */
+  /** Seed addresses at which entries may be running. */
   seeds: string[];
-  /** Time in which a named version must serve everywhere. */
+  /** Time after its naming within which a version must be served everywhere. */
   versionBound: number;
 }
 
 /** Settings of an entry. */
 export interface DirectEntrySettings extends ProcessSettings {
-  /** Rate of the machine's link in Mbit/s; undefined where it is not told. */
+  /** Rate of the machine's link in Mbit/s; undefined if unknown. */
   linkRate?: number | undefined;
-  /** `host:port` of the interfaces for callers, for the platform's checks, and for callers that look for entries. */
+  /** `host:port` of the interfaces for callers, for the platform's readiness checks, and for callers that discover entries. */
   callers: string;
   ready: string;
   directory: string;
-  /** Time for which callers may keep what they were told, in seconds. */
+  /** Time for which callers may cache a resolved address, in seconds. */
   addressLifetimeSeconds: number;
-  /** Time from the order to stop until the process is killed. */
+  /** Time from the stop signal until the process is killed. */
   graceTime: number;
   retries: {
-    /** Repetitions that all entries together may make for each request. */
+    /** Retry budget of all entries together, as a share of the requests. */
     share: number;
-    /** Repetitions besides. */
+    /** Retries allowed in addition to that share. */
     slack: number;
-    /** Any span of this length is counted, in milliseconds. */
+    /** Length of the sliding window over which retries are counted, in milliseconds. */
     span: number;
   };
 }
 
-/** Settings of an agent beside an engine. */
+/** Settings of an agent that runs beside an engine. */
 export interface DirectAgentSettings extends ProcessSettings {
   /** `host:port` of the engine. */
   engine: string;
--- a/src/roles/weights-planner.ts
+++ b/src/roles/weights-planner.ts
@@ -1,4 +1,4 @@
-/** What an entry tells an agent: versions, who holds pieces, whom to connect to, and how the engine may switch. */
+/** Plans for agents: which versions to load, who holds their pieces, which entries to connect to, and how the engine may switch. */
 import type { BackEndService } from '../fleet/configuration.js';
 import type { FleetView } from '../fleet/fleet-view.js';
 import { type BackEndRow, type BackEndTable, loadOf, wholeVersion } from '../forwarding/back-end-table.js';
@@ -8,23 +8,23 @@
 import type { WeightsVersion } from '../weights/held-weights.js';
 import { canMoveRequests } from '../weights/request-moves.js';
 
-/** Entries that an agent is told of: holders and those to connect to, of its own zone and of others. */
+/** Number of entries of the agent's own zone and of other zones in a plan, as holders of pieces and as entries to connect to. */
 const NEAR_ENTRIES = 3;
 const FAR_ENTRIES = 2;
 
-/** What the planner works with. */
+/** Dependencies of the planner. */
 export interface WeightsPlannerOptions {
   fleet: FleetView;
   backEnds: BackEndTable;
-  /** Time in which a named version must serve everywhere, in milliseconds. */
+  /** Time after its naming within which a version must be served everywhere, in milliseconds. */
   versionBound: number;
-  /** The versions that matter. */
+  /** The versions that are to be distributed. */
   wanted: () => WeightsVersion[];
-  /** All entries that live, this one among them. */
+  /** Reports of all live entries, including this one. */
   entries: () => EntryReport[];
 }
 
-/** Makes the plans of agents. */
+/** Creates the plans of agents. */
 export class WeightsPlanner {
   readonly #options: WeightsPlannerOptions;
 
@@ -32,7 +32,7 @@
     this.#options = options;
   }
 
-  /** What the agent of `row` is to know now. */
+  /** The current plan for the agent of `row`. */
   planFor({ address, connection, report }: EngineAgentRow): WeightsPlan {
     const { fleet, versionBound } = this.#options;
     const { zone } = connection.remote.peer;
@@ -68,7 +68,7 @@
     });
   }
 
-  /** Number of the engine at `address` among those of its zone. */
+  /** Index of the engine at `address` among the engines of its zone. */
   #positionOf(address: string, zone: string): number {
     const rows = [...this.#options.backEnds.rows.values()];
     const addresses = rows
@@ -77,7 +77,7 @@
     return Math.max(0, addresses.sort().indexOf(address));
   }
 
-  /** Whether other engines can go on with the requests of the one at `address`. */
+  /** Whether other engines can continue the requests that run at `address`. */
   #canMoveRequests(address: string): boolean {
     const { fleet, backEnds } = this.#options;
     const own = [...backEnds.rows.values()].find(({ record }) => record.address === address);
@@ -101,13 +101,13 @@
   }
 }
 
-/** The entries in the order in which `agent` prefers them. */
+/** Orders the entries by the preference of `agent`. */
 function entriesFor(agent: string, entries: readonly EntryReport[]): EntryReport[] {
   const byAddress = new Map(entries.map((entry) => [entry.address, entry]));
   return rendezvousOrder(agent, [...byAddress.keys()]).map((address) => byAddress.get(address)!);
 }
 
-/** The version that most engines hold, of each model. */
+/** For each model, the version that most engines hold. */
 export function servedVersions(
   services: readonly BackEndService[],
   backEnds: BackEndTable,
