--- a/test/roles/deadly-content.test.ts
+++ b/test/roles/deadly-content.test.ts
@@ -1,7 +1,7 @@
 /**
- * What entries know of a content that ends back ends was kept by them alone, and told to those of the own zone that started later. All
- * entries killed at once learnt it anew with two back ends each time, without end: 10 ended within five such kills. Entries of a zone that
- * started again together were told nothing by those of other zones, who knew.
+ * Quarantined contents survive restarts of entries. When entries kept them only in memory and shared them only within their zone,
+ * entries that were all killed at once learnt each content again at the cost of two back ends: 10 crashed within five such kills.
+ * Entries of a zone that restarted together did not receive what entries of other zones knew.
  */
 import { afterEach, beforeEach, describe, expect, it } from 'vitest';
 import { MemoryStore } from '../../emulator/store/memory-store.js';
@@ -10,10 +10,10 @@
 import { type RunningEntry, send, startEntry, stopEntries } from './running-entry.js';
 
 const BACK_ENDS = 20;
-/** Ends that are allowed in all: three, and three more sends. */
+/** Maximum number of crashes: the three that quarantine the content, and three more sends. */
 const MOST_ENDED = 6;
 const NAMES = ['one', 'two'];
-/** Sends of the content to each entry between two kills. */
+/** Requests with the content to each entry between two kills. */
 const SENDS = 3;
 
 let store: MemoryStore;
@@ -33,7 +33,7 @@
 
 const statusAt = async (entry: RunningEntry, path: string) => (await send(entry, path)).status;
 
-/** Crashes that the entries have written to the store. */
+/** Number of back ends whose crash the entries have written to the store. */
 async function crashesStored(): Promise<number> {
   const read = await store.read('quarantine', 'quarantine', new AbortController().signal);
   const rows = read.ok ? read.value.rows.filter(({ key }) => key.startsWith('crashes/')) : [];
@@ -41,7 +41,7 @@
   return new Set(crashes.map(({ backEnd }) => backEnd)).size;
 }
 
-/** Starts entries that know nothing, and waits until they serve and know one another. */
+/** Starts entries without state, and waits until they serve and know each other. */
 async function startAll(): Promise<RunningEntry[]> {
   const entries: RunningEntry[] = [];
   for (const name of NAMES)
@@ -66,26 +66,26 @@
   }
 }
 
-describe('a content under which back ends crash, and entries that end', () => {
-  it('is sent at most three times more after the third by entries that are all killed at once, again and again', async () => {
+describe('a content that crashes back ends, with entries that restart', () => {
+  it('is sent at most three more times after the third crash, however often all entries are killed at once', async () => {
     for (let kill = 0; kill < 5; kill++) {
       const entries = await startAll();
       for (let sent = 0; sent < SENDS; sent++) for (const entry of entries) await statusAt(entry, DEADLY);
-      // What is written some milliseconds after a crash is lost only by a kill right then.
+      // Crashes are written within a few milliseconds; only a kill in that time loses one.
       await until(async () => (await crashesStored()) >= backEnds.ended, 'what the store keeps');
       await stopEntries();
     }
     expect(backEnds.ended).toBeLessThanOrEqual(MOST_ENDED);
   });
 
-  it('is refused by the entries of a zone that start again together, as those of another zone know it', async () => {
+  it('is refused by entries of a zone that restart together while an entry of another zone knows it', async () => {
     const regions = { regions: { 'zone-a': 'region-a', 'zone-b': 'region-a' } };
     const far = await startEntry('far', [], { ...regions, zone: 'zone-b' }, undefined, store);
     await until(async () => (await statusAt(far, HARMLESS)) === 200, 'service');
     for (let sent = 0; sent < SENDS; sent++) await statusAt(far, DEADLY);
     const before = backEnds.ended;
     const seeds = [far.settings.peers];
-    // Nothing but the other entries can tell.
+    // Only the other entry can supply the record.
     store.faults.down = true;
     const near = await startEntry('near', seeds, regions, undefined, store);
     await until(async () => (await statusAt(near, HARMLESS)) === 200, 'service');
--- a/test/roles/poison-request.test.ts
+++ b/test/roles/poison-request.test.ts
@@ -1,6 +1,6 @@
 /**
- * Entries tell one another which contents back ends crash under. Each by itself, they sent one content on twice more at every
- * entry: 11 engines of 16 ended by it with six entries on one day, 3 where they share what they see.
+ * Entries share which request contents crash back ends. When each entry learnt this by itself, every entry sent such a content
+ * two more times: with six entries, 11 of 16 engines crashed on one day, and 3 when the entries share their records.
  */
 import { afterEach, beforeEach, expect, it } from 'vitest';
 import { MemoryStore } from '../../emulator/store/memory-store.js';
@@ -40,7 +40,7 @@
 
 const statusAt = async (entry: RunningEntry, path = DEADLY) => (await send(entry, path)).status;
 
-it('a content that ended a back end at each of two entries is refused by all', async () => {
+it('a content that crashed a back end at each of two entries is refused by all entries', async () => {
   const [one, two, three] = entries;
   expect(await statusAt(one)).toBe(502);
   expect(await statusAt(two)).toBe(502);
@@ -50,7 +50,7 @@
   expect(await statusAt(three, HARMLESS)).toBe(200);
 });
 
-it('an entry that starts later refuses it, too', async () => {
+it('an entry that starts later refuses the content too', async () => {
   await statusAt(entries[0]);
   await statusAt(entries[1]);
   await until(async () => (await statusAt(entries[2])) === 503, 'the refusal');
@@ -60,7 +60,7 @@
   expect(backEnds.ended).toBe(before);
 });
 
-it('an entry that is started again at its address, before the others take it for gone, refuses it, too', async () => {
+it('an entry that restarts at its address before its peers have noticed refuses the content too', async () => {
   await statusAt(entries[0]);
   await statusAt(entries[1]);
   await until(async () => (await statusAt(entries[2])) === 503, 'the refusal');
@@ -76,7 +76,7 @@
   expect(backEnds.ended).toBe(before);
 });
 
-it('what is served at one entry is suspect at none', async () => {
+it('a content that one entry served successfully is not suspect at any entry', async () => {
   const [one, two, three] = entries;
   const answerAll = (script: Script) => {
     for (const backEnd of backEnds.all) backEnd.answer(script);
@@ -87,7 +87,7 @@
   for (const backEnd of backEnds.all) backEnd.answer(() => void backEnd.stop());
   expect(await statusAt(one)).toBe(502);
   answerAll(reply(200, 'done'));
-  // Two back ends ended under it, and it was served in between.
+  // Two back ends crashed on it, but it was served in between.
   await until(async () => (await statusAt(three)) !== 502, 'an answer');
   expect(await statusAt(three)).toBe(200);
 });
--- a/test/roles/rate-limit.test.ts
+++ b/test/roles/rate-limit.test.ts
@@ -1,4 +1,4 @@
-/** Entries that do not share a back end's rate limit each send at the whole rate, or at any rate. */
+/** Entries share a back end's rate limit. Otherwise each would send at the full rate, or without any limit. */
 import { afterEach, beforeEach, expect, it } from 'vitest';
 import { MemoryStore } from '../../emulator/store/memory-store.js';
 import { allowedInWindow, mostInWindow } from '../forwarding/rate-limit-audit.js';
@@ -8,11 +8,11 @@
 
 const RATE = 2;
 const PATH = '/1/limited';
-/** Requests at once to each entry, how often, and the time between, in milliseconds. */
+/** Concurrent requests to each entry, number of bursts, and the pause between them in milliseconds. */
 const BURST = 5;
 const ROUNDS = 15;
 const ROUND_PAUSE = 100;
-/** Limits bind from this long after an answer with them was passed on, in milliseconds. */
+/** A limit applies from this long after the answer that carried it was forwarded, in milliseconds. */
 const NOTICE_TIME = 500;
 
 let store: MemoryStore;
@@ -47,7 +47,7 @@
   await backEnd.stop();
 });
 
-it('a back end without an agent gets no more from all entries together than its rate limit allows', async () => {
+it('all entries together stay within the rate limit of a back end without an agent', async () => {
   await Promise.all(entries.map(statusAt));
   await pause(NOTICE_TIME);
   const before = arrivals.length;
--- a/test/roles/store-readers.test.ts
+++ b/test/roles/store-readers.test.ts
@@ -1,15 +1,15 @@
-/** Entries of one zone share the reading of the store. */
+/** One entry of each zone reads the store and forwards changes to the others, which take over if it fails. */
 import { afterEach, beforeEach, describe, expect, it } from 'vitest';
 import { MemoryStore } from '../../emulator/store/memory-store.js';
 import { reply, StandInBackEnd } from '../forwarding/stand-in-back-end.js';
 import { until } from '../support.js';
 import { type RunningEntry, send, startEntry, stopEntries, write } from './running-entry.js';
 
-/** Long enough for a reader to have passed on news, in milliseconds. */
+/** Time in which the reading entry has forwarded an update, in milliseconds. */
 const SETTLED = 1_500;
 const WATCHED = 2_000;
 
-/** A store that tells how often one entry has asked for changes. */
+/** A store that counts one entry's calls for changes. */
 class CountedStore extends MemoryStore {
   questions = 0;
   readonly #shared: MemoryStore;
@@ -44,7 +44,7 @@
   entries.push({ ...started, store });
 }
 
-/** Entries that ask the store, over a while. */
+/** The entries that call the store within `OBSERVATION_TIME`. */
 async function readers(): Promise<typeof entries> {
   const before = entries.map(({ store }) => store.questions);
   await pause(WATCHED);
@@ -71,13 +71,13 @@
 });
 
 describe('entries of one zone', () => {
-  it('have one of them read the store, and all take what it reads', async () => {
+  it('let one of them read the store, and all apply what it reads', async () => {
     expect(await readers()).toHaveLength(1);
     write(shared, 2, backEnd);
     for (const entry of entries) await until(serves(entry, 2), 'the next configuration');
   });
 
-  it('learn what is new though their reader stops', async () => {
+  it('receive changes after the reading entry has stopped', async () => {
     const [reader] = await readers();
     await reader.entry.stop();
     write(shared, 2, backEnd);
@@ -85,7 +85,7 @@
       await until(serves(entry, 2), 'the next configuration');
   });
 
-  it('learn what is new though the store turns their reader away', async () => {
+  it('receive changes after the store has become unavailable to the reading entry', async () => {
     const [reader] = await readers();
     reader.store.faults.down = true;
     await pause(SETTLED);
