--- a/test/roles/direct-entry-drain.test.ts
+++ b/test/roles/direct-entry-drain.test.ts
@@ -1,4 +1,4 @@
-/** An entry that is told to stop: what it takes it ends, and whoever it cannot serve is told at once. */
+/** Draining: an entry that is told to stop finishes the requests that it forwarded and refuses the others at once. */
 import { Agent } from 'node:http';
 import { connect, type Socket } from 'node:net';
 import { afterEach, beforeEach, describe, expect, it } from 'vitest';
@@ -14,7 +14,7 @@
 
 let backEnd: StandInBackEnd;
 
-/** Streams for as many milliseconds as the last part of the path says. */
+/** Streams events for the number of milliseconds in the last segment of the path. */
 const streamAsAsked: Script = (request, response) => {
   const lasts = Number((request.url ?? '').split('/').at(-1));
   const startedAt = performance.now();
@@ -32,13 +32,13 @@
   response.on('close', () => clearInterval(timer));
 };
 
-/** What became of one request. */
+/** The outcome of one request. */
 interface Outcome {
   id: string;
   received: Received | { error: string };
 }
 
-/** Sends `path` for good or bad; never rejects. */
+/** Sends a request and returns its outcome; never rejects. */
 async function outcomeOf(entry: RunningEntry, path: string, id: string, agent?: Agent): Promise<Outcome> {
   try {
     return { id, received: await send(entry, path, { requestId: id, agent }) };
@@ -74,15 +74,15 @@
   return entry;
 }
 
-describe('an entry that is told to stop', () => {
+describe('an entry that drains', () => {
   it.each([
     { history: 'that has just begun', warmUp: 500 },
     { history: 'that knows how long streams take', warmUp: 5_500 },
-  ])('$history cuts no stream that it passed on, and refuses the others at once', async ({ warmUp }) => {
+  ])('$history cuts no stream that it forwarded, and refuses the others at once', async ({ warmUp }) => {
     const SHORTEST = 150;
     const LONGEST = 4_500;
     const SEND_INTERVAL = 25;
-    // Each request that the entry reads leaves a line in its log.
+    // The entry logs each request that it reads.
     const seenByEntry = new Set<string>();
     const noteRequest = (_message: string, fields: object = {}) => {
       if ('request' in fields) seenByEntry.add(String(fields.request));
@@ -111,7 +111,7 @@
     const passedOn = new Set(backEnd.requests.map(({ headers }) => String(headers['x-request'])));
     const cut = outcomes.filter(({ id, received }) => passedOn.has(id) && !isServed(received));
     expect(cut).toEqual([]);
-    // A request that crosses the close of its connection is not read, and its caller knows that it was not.
+    // A request that arrives as its connection is closed is not read; its caller sees a connection error and may retry.
     const refused = outcomes.filter(({ received }) => isRefusal(received));
     const notAnswered = outcomes.filter(({ received }) => !isServed(received) && !isRefusal(received));
     expect(notAnswered.filter(({ id }) => seenByEntry.has(id))).toEqual([]);
@@ -122,7 +122,7 @@
       expect(Number('retryAfter' in received && received.retryAfter)).toBeLessThan(0.5);
   });
 
-  it('ends a kept connection whose answer began before the order, after that answer', async () => {
+  it('closes a keep-alive connection after the answer that was in progress when the drain began', async () => {
     const one = await startServing({ graceTime: 8_000, addressLifetimeSeconds: 0.2 });
     const early = new RawCaller(one.settings.callers);
     early.send('/stream/1800', 'early');
@@ -142,7 +142,7 @@
     expect(backEnd.requests.length).toBe(2);
   });
 
-  it('serves on a kept connection while it takes requests, and tells its caller to leave it', async () => {
+  it('serves a keep-alive connection while draining, with Connection: close', async () => {
     const one = await startServing({ graceTime: 8_000, addressLifetimeSeconds: 1 });
     backEnd.answer(reply(200, 'done'));
     const agent = new Agent({ keepAlive: true });
@@ -153,18 +153,18 @@
     agent.destroy();
   });
 
-  it('answers what waits at the last moment instead of closing its connection', async () => {
+  it('answers requests that still wait at the deadline instead of closing their connections', async () => {
     const one = await startServing({ graceTime: 1_500 });
     backEnd.answer(() => {});
     const waiting = outcomeOf(one, '/1/', 'waits');
     await until(() => backEnd.requests.length === 1, 'the request at its back end');
     await one.entry.leave();
-    // It may have run, so that its caller is not told the contrary.
+    // The request may have run, so the answer must not state that it did not.
     expect((await waiting).received).toMatchObject({ status: 504, close: true, whole: true });
   });
 });
 
-/** A caller that writes requests on one connection, whatever it is told. */
+/** A caller that writes requests to a single connection, whatever the answers say. */
 class RawCaller {
   text = '';
   isEnded = false;
--- a/test/roles/direct-entry.test.ts
+++ b/test/roles/direct-entry.test.ts
@@ -1,4 +1,4 @@
-/** Entries as whole processes would run, on a stand-in store and scripted back ends. */
+/** Complete entries with an in-memory store and scripted back ends. */
 import { afterEach, beforeEach, describe, expect, it } from 'vitest';
 import { connect } from '../../src/protocol/connection.js';
 import { reply, StandInBackEnd } from '../forwarding/stand-in-back-end.js';
@@ -6,10 +6,10 @@
 import { contextAt, until } from '../support.js';
 import { FEW_CONNECTIONS, type Received, send, startEntry, stopEntries, write } from './running-entry.js';
 
-/** What a caller has left that was refused before, in milliseconds. */
+/** Remaining time that a caller sends when it retries after a refusal, in milliseconds. */
 const COMES_AGAIN = 2_000;
 
-/** What an agent tells of an engine, but for where it is and which start it has. */
+/** A report of an engine, without its address and start. */
 const ENGINE_REPORT = {
   slotAddress: '',
   version: 0,
@@ -32,7 +32,7 @@
 });
 
 describe('an entry', () => {
-  it('answers 503 while it knows nothing, and serves as soon as it does', async () => {
+  it('answers 503 without a configuration, and serves as soon as it has one', async () => {
     const one = await startEntry('one', []);
     expect((await send(one, '/1/')).status).toBe(503);
     expect(one.entry.isReady).toBe(false);
@@ -42,7 +42,7 @@
     expect(one.entry.addresses('zone-a', 'region-a')).toEqual([one.settings.callers]);
   });
 
-  it('that the store turns away learns configuration and back ends from another', async () => {
+  it('gets the configuration and the back ends from a peer if the store is unavailable to it', async () => {
     const one = await startEntry('one', []);
     write(one.store, 1, backEnd);
     await until(() => one.entry.isReady, 'the configuration');
@@ -53,14 +53,14 @@
     write(one.store, 4, backEnd);
     await until(async () => (await send(two, '/4/')).status === 200, 'the next configuration');
     expect((await send(two, '/1/')).status).toBe(404);
-    // That the other is ready comes with its next report, whenever that is.
+    // The other entry's readiness arrives with its next periodic report.
     await until(() => one.entry.addresses('zone-a', 'region-a').length === 2, 'both in the directory');
     expect(one.entry.addresses('zone-a', 'region-a').sort()).toEqual(
       [one.settings.callers, two.settings.callers].sort(),
     );
   });
 
-  it('forgets what another had in flight when that one is gone', async () => {
+  it('drops the load that another entry reported once that entry is gone', async () => {
     const one = await startEntry('one', []);
     const two = await startEntry('two', [one.settings.peers]);
     for (const { store } of [one, two]) write(store, 1, backEnd, 1);
@@ -69,7 +69,7 @@
     const cut = send(one, '/1/').catch(() => {});
     await until(() => backEnd.requests.length === 1, 'the request of the other');
     backEnd.answer(reply(200, 'done'));
-    // One that comes again goes only where a slot is free.
+    // A retried request goes only to a back end with a free slot.
     const comeAgain = async () => (await send(two, '/stream/', { timeLeft: COMES_AGAIN })).status;
     await until(async () => (await comeAgain()) === 503, 'the load of the other');
     await one.entry.stop();
@@ -78,7 +78,7 @@
     expect(await comeAgain()).toBe(200);
   });
 
-  it('keeps its part of the connections that a back end accepts of all entries together', async () => {
+  it('keeps only its share of the connections that a back end accepts from all entries together', async () => {
     const proxy = await new SilentProxy(backEnd.address).start();
     const one = await startEntry('one', []);
     const two = await startEntry('two', [one.settings.peers]);
@@ -95,7 +95,7 @@
     const statuses = (await Promise.all(sent)).map(({ status }) => status);
     expect(statuses).toEqual([200, 200, 200, 200]);
     await until(() => proxy.open === FEW_CONNECTIONS, 'the end of the others');
-    // Those that are kept serve on.
+    // The connections that were kept still work.
     releases = [];
     const next = [one, two].map((entry) => send(entry, '/few/'));
     await until(() => releases.length === next.length, 'the next requests');
@@ -105,7 +105,7 @@
     await proxy.stop();
   });
 
-  it('learns of a restart from the report of an agent, passes it on, and passes over a late report of the former start', async () => {
+  it('learns of a restart from an agent, informs its peers, and ignores a delayed report of the former start', async () => {
     const proxy = await new SilentProxy(backEnd.address).start();
     const one = await startEntry('one', []);
     const two = await startEntry('two', [one.settings.peers]);
@@ -124,14 +124,14 @@
     await sendToBoth();
     expect(proxy.accepted).toBe(2);
     report(200);
-    // Connections to the former start are used no more; those that are in use do not end by being idle.
+    // Connections to the former start are not used again, but they are in use and so not closed as idle.
     await until(async () => {
       await sendToBoth();
       return proxy.accepted === 4;
     }, 'a new connection of both');
     report(100);
     report(200);
-    // Entries tell one another of what engines report several times a second.
+    // Entries exchange engine reports several times a second.
     await new Promise((resolve) => setTimeout(resolve, 700));
     await sendToBoth();
     expect(proxy.accepted).toBe(4);
@@ -139,7 +139,7 @@
     await proxy.stop();
   });
 
-  it('that leaves is told to callers no more, serves on, and ends what is in progress', async () => {
+  it('is removed from the directory when it drains, but serves on and finishes requests in progress', async () => {
     const one = await startEntry('one', []);
     const two = await startEntry('two', [one.settings.peers]);
     for (const { store } of [one, two]) write(store, 1, backEnd);
@@ -161,7 +161,7 @@
     await expect(send(one, '/1/')).rejects.toThrow();
   });
 
-  it('that leaves takes nothing that could not end before it stops', async () => {
+  it('accepts nothing while draining that could not finish before it stops', async () => {
     const LONG_ANSWER = 2_600;
     const one = await startEntry('one', []);
     write(one.store, 1, backEnd);
@@ -188,11 +188,11 @@
     );
     const served = taken.filter(({ status, whole }) => status === 200 && whole);
     expect(served.length).toBeGreaterThan(0);
-    // Whatever was passed on was served, and whoever was not was told so.
+    // Every forwarded request was served, and the callers of all others were refused with an answer.
     expect(backEnd.requests.length).toBe(served.length);
     const others = taken.filter((answer) => !served.includes(answer));
     expect(others.every(({ status, whole, close }) => status === 503 && whole && close)).toBe(true);
-    // Whoever came later got no connection, and knows that nothing was read.
+    // Later callers got no connection, so they know that nothing was read.
     expect(new Set(refused)).toEqual(new Set(['ECONNREFUSED']));
   });
 });
