--- a/test/roles/fragile-back-ends.ts
+++ b/test/roles/fragile-back-ends.ts
@@ -1,19 +1,18 @@
-/** Back ends in a store's list, each of which ends as it gets a certain request. */
+/** Listed back ends that stop when they receive a certain request, as if it crashed them. */
 import type { MemoryStore } from '../../emulator/store/memory-store.js';
 import { reply, StandInBackEnd } from '../forwarding/stand-in-back-end.js';
 
-/** Path of the request that ends them. */
+/** Path of the request that crashes a back end. */
 export const DEADLY = '/1/deadly';
-/** Path of one that is served. */
+/** Path of a request that is served. */
 export const HARMLESS = '/1/harmless';
 
-/** The back ends. */
 export class FragileBackEnds {
   all: StandInBackEnd[] = [];
-  /** Back ends that have ended under the request. */
+  /** Number of back ends that the request has crashed. */
   ended = 0;
 
-  /** Starts `count` of them and lists them. */
+  /** Starts `count` back ends and adds them to the store's list. */
   async start(count: number, store: MemoryStore): Promise<void> {
     this.all = await Promise.all(Array.from({ length: count }, () => this.#create().start()));
     this.all.forEach(({ address }, index) => {
--- a/test/roles/running-entry.ts
+++ b/test/roles/running-entry.ts
@@ -1,4 +1,4 @@
-/** An entry as a whole process would run, on a stand-in store, for tests of its role. */
+/** A complete entry with an in-memory store, for tests of the entry role. */
 import { type Agent, request as httpRequest } from 'node:http';
 import Router from '@koa/router';
 import { freeAddress } from '../../bench/processes/child.js';
@@ -15,10 +15,10 @@
 import { NAMES } from '../forwarding/forwarding-harness.js';
 import { routeNamed } from '../forwarding/routes.js';
 
-/** Connections that a back end of the service `few` accepts of all entries together. */
+/** Connections that a back end of the service `few` accepts from all entries together. */
 export const FEW_CONNECTIONS = 2;
 
-/** Requests that run at one back end at the most. */
+/** Route options for requests that are sent to at most one back end. */
 const ONCE = { repeatability: 'never', objective: 500, maxAttempts: 1 } as const;
 
 const configurationOf = (revision: number): FleetConfiguration => ({
@@ -42,7 +42,7 @@
   configuration: configurationOf(Number(document.toString())),
 });
 
-/** Rows hold JSON of the product's own records. */
+/** Rows contain this system's own records as JSON. */
 const decoder: RecordDecoder = {
   operatorTable: 'operator',
   backEndTable: 'backEnds',
@@ -61,17 +61,15 @@
   piece: async () => failure({ type: 'sourceFailed', reason: 'none' }),
 });
 
-/** One entry. */
 export interface RunningEntry {
   entry: DirectEntry;
   settings: DirectEntrySettings;
   store: MemoryStore;
 }
 
-/** Entries that run. */
 const running: RunningEntry[] = [];
 
-/** Starts an entry that knows nothing yet. */
+/** Starts an entry that has no configuration yet. */
 export async function startEntry(
   name: string,
   seeds: string[],
@@ -118,12 +116,12 @@
   return started;
 }
 
-/** Stops every entry that a test started. */
+/** Stops every entry that the test started. */
 export async function stopEntries(): Promise<void> {
   await Promise.all(running.splice(0).map(({ entry }) => entry.stop()));
 }
 
-/** Writes a configuration and a back end to an entry's store. */
+/** Writes a configuration and a back end to a store. */
 export function write(
   store: MemoryStore,
   revision: number,
@@ -137,25 +135,25 @@
   store.write('backEnds', 'one', JSON.stringify(record));
 }
 
-/** What a caller got. */
+/** The answer that a caller received. */
 export interface Received {
   status: number;
-  /** The caller is told to use its connection no more. */
+  /** The answer asks the caller to close its connection. */
   close: boolean;
   whole: boolean;
   retryAfter: string | undefined;
 }
 
-/** How a caller sends. */
+/** Options of a request. */
 export interface Sending {
   requestId?: string;
-  /** Keeps connections; without it each request has one of its own. */
+  /** Keeps connections alive; without an agent each request opens its own connection. */
   agent?: Agent;
-  /** What the caller waits, in milliseconds; not told where it is left out. */
+  /** Time that the caller waits, in milliseconds; the header is omitted if undefined. */
   timeLeft?: number;
 }
 
-/** Sends a request; rejects where its connection ends before the head of an answer. */
+/** Sends a request; rejects if its connection ends before the response head. */
 export function send(
   { settings }: RunningEntry,
   path: string,
