--- a/src/roles/direct-agent.ts
+++ b/src/roles/direct-agent.ts
@@ -22,7 +22,7 @@
 import type { DirectAgentSettings } from './settings.js';
 
 /** Platform adapters that the agent uses. */
-export interface DirectAgentContracts {
+export interface DirectAgentAdapters {
   objects: ListedObjectStore;
   originAt: PieceOriginFactory;
   engine: StagedEngine;
@@ -34,7 +34,7 @@
 /** Creates an agent from its settings. */
 export function createDirectAgent(
   settings: DirectAgentSettings,
-  { objects, originAt, engine, tables, decoder, metricsPath }: DirectAgentContracts,
+  { objects, originAt, engine, tables, decoder, metricsPath }: DirectAgentAdapters,
   log: Log,
 ): Startable {
   const id = `${settings.name}#${randomBytes(4).toString('hex')}`;
--- a/src/roles/direct-entry-components.ts
+++ b/src/roles/direct-entry-components.ts
@@ -24,7 +24,7 @@
 import type { DirectEntrySettings } from './settings.js';
 
 /** Platform adapters that the entry uses. */
-export interface DirectEntryContracts {
+export interface DirectEntryAdapters {
   decoder: RecordDecoder;
   tables: WatchedTables;
   objects: ListedObjectStore;
@@ -37,7 +37,7 @@
 }
 
 /** Components of an entry, by their names in the container. */
-export interface DirectEntryComponents extends DirectEntryContracts {
+export interface DirectEntryComponents extends DirectEntryAdapters {
   settings: DirectEntrySettings;
   /** Identity of this process, unique for each start. */
   identity: string;
@@ -56,7 +56,7 @@
 /** Creates an entry from its settings. */
 export function createDirectEntry(
   settings: DirectEntrySettings,
-  contracts: DirectEntryContracts,
+  adapters: DirectEntryAdapters,
   log: Log,
 ): DirectEntry {
   const identity = `${settings.name}#${randomBytes(4).toString('hex')}`;
@@ -64,7 +64,7 @@
     injectionMode: InjectionMode.PROXY,
     strict: true,
   });
-  for (const [name, value] of Object.entries(contracts)) container.register(name, asValue(value));
+  for (const [name, value] of Object.entries(adapters)) container.register(name, asValue(value));
   container.register({
     settings: asValue(settings),
     identity: asValue(identity),
--- a/src/roles/direct-entry.ts
+++ b/src/roles/direct-entry.ts
@@ -29,13 +29,13 @@
 import type { DirectEntryComponents } from './direct-entry-components.js';
 import { servedVersions, WeightsPlanner } from './weights-planner.js';
 
-const DRAIN_CHECK = 50;
+const DRAIN_CHECK_INTERVAL = 50;
 /** Parts that have not stopped after this time are abandoned, in milliseconds: the process must exit before it is killed. */
-const STOP_LIMIT = 300;
+const STOP_TIMEOUT = 300;
 /** Delay in which changes are batched before they are sent to peers and agents, by audience, in milliseconds. */
 const ANNOUNCE_DELAY = { all: 50, zone: 120 };
 /** Maximum number of addresses in one answer to a caller. */
-const MOST_ADDRESSES = 64;
+const MAX_ADDRESSES = 64;
 const MILLISECONDS = 1_000;
 
 /** An entry: accepts callers' requests and forwards them to back ends. */
@@ -52,7 +52,7 @@
   readonly #limits: BackEndLimits;
   readonly #permits: DirectPermits;
   readonly #parts: StartableGroup;
-  readonly #budgets = new Map<string, RetryWindow>();
+  readonly #retryBudgets = new Map<string, RetryWindow>();
   readonly #createdAt = performance.now();
   readonly #drain: DrainSchedule;
   #announcement: 'all' | 'zone' | undefined;
@@ -75,7 +75,7 @@
     this.#poison = new PoisonGuard({
       log,
       metrics,
-      placeOf: (content) => this.#placeAmongEntries(content),
+      placeOf: (content) => this.#rankAmongEntries(content),
       hasEnded: (row) => backEnds.hasEnded(row),
       records: quarantineRecords,
     });
@@ -121,19 +121,19 @@
       operator: new StoreReaders(settings.zone),
       backEnds: new StoreReaders(settings.zone),
     };
-    sync.isReader = (table) => this.#reads(table);
+    sync.isReader = (table) => this.#isReader(table);
     sync.onStoreRestored = () => {
       this.#collection.noteOlderCopy();
       quarantineRecords.noteOlderCopy();
       this.#permits.noteOlderCopy();
     };
     sync.onForward = (news) => this.#peers.passStoreNews(news);
-    backEnds.mostConnectionsKept = (service) => this.#connectionsKept(service);
+    backEnds.mostConnectionsKept = (service) => this.#maxKeptConnections(service);
     this.#agents = new EngineAgents(
       (row) => this.#planner.planFor(row),
       (report, before) => {
-        this.#takeEngineReport(report);
-        if (before === undefined || hasChangedService(before, report)) this.#announce('all');
+        this.#applyEngineReport(report);
+        if (before === undefined || affectsRouting(before, report)) this.#announce('all');
       },
     );
     this.#collection = new CollectionDuty({
@@ -163,7 +163,7 @@
       settings.callers,
       {
         names: components.headers,
-        headersSet: headersSet(components.headers),
+        headersSet: protectedHeaders(components.headers),
         fleet,
         backEnds,
         limits: this.#limits,
@@ -214,11 +214,11 @@
 
   /**
    * Leaves the directory at once, serves callers that have cached the address, finishes requests in progress, and stops.
-   * @param orderedAt - when the stop signal was received, in milliseconds of the monotonic clock
+   * @param signalledAt - when the stop signal was received, in milliseconds of the monotonic clock
    */
-  async leave(orderedAt = performance.now()): Promise<void> {
+  async leave(signalledAt = performance.now()): Promise<void> {
     const { log } = this.#components;
-    this.#drain.begin(orderedAt);
+    this.#drain.begin(signalledAt);
     this.#peers.announce('all');
     log.info('entry leaves', { inProgress: this.#forwarding.active });
     while (this.#drain.takesConnections(performance.now(), this.#forwarding.quietFor)) await pause();
@@ -226,11 +226,11 @@
     while (performance.now() < this.#drain.endsAt && !this.#forwarding.isSettled) await pause();
     log.info('entry stops', {
       inProgress: this.#forwarding.active,
-      tookMs: Math.round(performance.now() - orderedAt),
+      tookMs: Math.round(performance.now() - signalledAt),
       arrivals: this.#forwarding.arrivalsWhileDraining,
     });
-    if (!(await endsWithin(this.stop(), STOP_LIMIT)))
-      log.warn('parts have not stopped', { after: STOP_LIMIT });
+    if (!(await endsWithin(this.stop(), STOP_TIMEOUT)))
+      log.warn('parts have not stopped', { after: STOP_TIMEOUT });
   }
 
   async stop(): Promise<void> {
@@ -245,7 +245,7 @@
     const ofRegion = ready.filter((entry) => entry.region === region);
     const ofZone = ofRegion.filter((entry) => entry.zone === zone);
     const chosen = [ofZone, ofRegion, ready].find((entries) => entries.length >= 2) ?? ready;
-    return chosen.slice(0, MOST_ADDRESSES).map(({ callerAddress }) => callerAddress);
+    return chosen.slice(0, MAX_ADDRESSES).map(({ callerAddress }) => callerAddress);
   }
 
   #createSelector(): BackEndSelector {
@@ -270,7 +270,7 @@
   }
 
   /** Whether this entry reads a table of the store itself; otherwise another entry of its zone reads it and forwards the changes. */
-  #reads(table: FollowedTable): boolean {
+  #isReader(table: FollowedTable): boolean {
     const { identity, settings } = this.#components;
     const others = this.#peers.reached().filter(({ zone, isReady }) => zone === settings.zone && isReady);
     return this.#storeReaders[table].isReader(
@@ -281,7 +281,7 @@
   }
 
   /** Rank of this entry among all live entries by the rendezvous hash of `key`. */
-  #placeAmongEntries(key: string): number {
+  #rankAmongEntries(key: string): number {
     const { identity } = this.#components;
     return rendezvousOrder(key, [identity, ...this.#peers.live().map(({ id }) => id)]).indexOf(identity);
   }
@@ -314,11 +314,12 @@
 
   /** Schedules an announcement that batches changes: a change of an engine's service goes to all, held pieces to this zone. */
   #announce(audience: 'all' | 'zone'): void {
-    if (this.#announcement === undefined) setTimeout(() => this.#tellChanges(), ANNOUNCE_DELAY[audience]);
+    if (this.#announcement === undefined)
+      setTimeout(() => this.#sendAnnouncement(), ANNOUNCE_DELAY[audience]);
     if (this.#announcement !== 'all') this.#announcement = audience;
   }
 
-  #tellChanges(): void {
+  #sendAnnouncement(): void {
     const audience = this.#announcement ?? 'zone';
     this.#announcement = undefined;
     this.#peers.announce(audience);
@@ -328,13 +329,13 @@
   #onPeerReport(report: EntryReport): void {
     const { backEnds } = this.#components;
     backEnds.takeLoads(report.id, report.loads);
-    for (const engine of report.engines) this.#takeEngineReport(engine);
+    for (const engine of report.engines) this.#applyEngineReport(engine);
   }
 
   /** Applies the reported start first, so that the state of a restarted engine is not attributed to its former start. */
-  #takeEngineReport(report: EngineReport): void {
+  #applyEngineReport(report: EngineReport): void {
     const { fleet, backEnds } = this.#components;
-    const news = engineNews(report);
+    const news = engineStateOf(report);
     const row = backEnds.rowAt(report.address, news.start);
     if (row !== undefined) fleet.applyReportedStart({ id: row.record.id, start: news.start }, report.follows);
     backEnds.takeNews(report.address, news);
@@ -344,24 +345,24 @@
    * Maximum number of connections kept open to a back end of `service`. The back end's limit is divided among all known
    * entries, since entries that are not heard from keep their connections too.
    */
-  #connectionsKept(service: string): number {
+  #maxKeptConnections(service: string): number {
     const accepted = this.#components.fleet.routes?.service(service)?.maxConnections ?? 0;
     if (accepted === 0) return Number.POSITIVE_INFINITY;
     return Math.floor(accepted / this.#peers.known().known);
   }
 
   #budgetOf(service: string): RetryWindow {
-    const known = this.#budgets.get(service);
-    if (known !== undefined) return known;
+    const existing = this.#retryBudgets.get(service);
+    if (existing !== undefined) return existing;
     const { retries } = this.#components.settings;
     const budget = createEntryRetryWindow(retries, () => this.#peers.known(), this.#createdAt);
-    this.#budgets.set(service, budget);
+    this.#retryBudgets.set(service, budget);
     return budget;
   }
 
-  #repetitionCounts(): Record<string, number> {
+  #retryCounts(): Record<string, number> {
     const counts: Record<string, number> = {};
-    for (const [service, { granted, denied }] of this.#budgets) {
+    for (const [service, { granted, denied }] of this.#retryBudgets) {
       counts[`${service} granted`] = granted;
       counts[`${service} denied`] = denied;
     }
@@ -382,7 +383,7 @@
         name: 'repetitions',
         help: 'Repetitions that the budget was asked for since the start, by service and what came of them',
         label: 'kind',
-        read: () => this.#repetitionCounts(),
+        read: () => this.#retryCounts(),
       },
       { name: 'entries_known', help: 'Entries known since the start', read: () => this.#peers.known().known },
       { name: 'entries_live', help: 'Other entries that live', read: () => this.#peers.live().length },
@@ -393,7 +394,7 @@
   }
 }
 
-function engineNews(report: EngineReport): EngineNews {
+function engineStateOf(report: EngineReport): EngineNews {
   const { version, isReached, isSwitching, slotAddress, load, switchesIn } = report;
   const toldAt = performance.now();
   // The codec encodes undefined in lists as null.
@@ -410,7 +411,7 @@
 }
 
 /** Names of the headers that callers must not set. */
-function headersSet(names: HeaderNames): ReadonlySet<string> {
+function protectedHeaders(names: HeaderNames): ReadonlySet<string> {
   const { callerKey, tenant, expectedBackEnd, expectedVersion, urgency, timeLeft } = names;
   return new Set([
     callerKey,
@@ -425,7 +426,7 @@
 }
 
 /** Whether a change affects which requests may be sent to the engine; a changed load waits for the next periodic report. */
-function hasChangedService(before: EngineReport, after: EngineReport): boolean {
+function affectsRouting(before: EngineReport, after: EngineReport): boolean {
   return (
     before.start !== after.start ||
     before.version !== after.version ||
@@ -437,5 +438,5 @@
 }
 
 function pause(): Promise<void> {
-  return sleep(DRAIN_CHECK, new AbortController().signal);
+  return sleep(DRAIN_CHECK_INTERVAL, new AbortController().signal);
 }
--- a/src/roles/weights-planner.ts
+++ b/src/roles/weights-planner.ts
@@ -37,7 +37,7 @@
     const { fleet, versionBound } = this.#options;
     const { zone } = connection.remote.peer;
     const configuration = fleet.routes?.configuration;
-    const entries = entriesFor(address, this.#options.entries());
+    const entries = orderByPreference(address, this.#options.entries());
     const near = entries.filter((entry) => entry.zone === zone);
     const far = entries.filter((entry) => entry.zone !== zone);
     const isHolder = ({ held }: EntryReport) => held.length > 0;
@@ -80,12 +80,12 @@
   /** Whether other engines can continue the requests that run at `address`. */
   #canMoveRequests(address: string): boolean {
     const { fleet, backEnds } = this.#options;
-    const own = [...backEnds.rows.values()].find(({ record }) => record.address === address);
+    const ownRow = [...backEnds.rows.values()].find(({ record }) => record.address === address);
     const { routes } = fleet;
-    const layers = own && routes?.service(own.record.service)?.engine?.layers;
-    if (own === undefined || routes === undefined || layers === undefined) return false;
-    const leading = routes.configuration.routes.filter(({ targets }) =>
-      targets.some(({ service }) => service === own.record.service),
+    const layers = ownRow && routes?.service(ownRow.record.service)?.engine?.layers;
+    if (ownRow === undefined || routes === undefined || layers === undefined) return false;
+    const routesToService = routes.configuration.routes.filter(({ targets }) =>
+      targets.some(({ service }) => service === ownRow.record.service),
     );
     const engineOf = (row: BackEndRow) => ({
       version: wholeVersion(row, layers),
@@ -94,15 +94,15 @@
       slots: row.record.slots,
       load: loadOf(row),
     });
-    const others = [...backEnds.ofService(own.record.service)].filter(
-      (row) => row !== own && !row.record.leaving,
+    const others = [...backEnds.ofService(ownRow.record.service)].filter(
+      (row) => row !== ownRow && !row.record.leaving,
     );
-    return canMoveRequests(leading, engineOf(own), others.map(engineOf));
+    return canMoveRequests(routesToService, engineOf(ownRow), others.map(engineOf));
   }
 }
 
 /** Orders the entries by the preference of `agent`. */
-function entriesFor(agent: string, entries: readonly EntryReport[]): EntryReport[] {
+function orderByPreference(agent: string, entries: readonly EntryReport[]): EntryReport[] {
   const byAddress = new Map(entries.map((entry) => [entry.address, entry]));
   return rendezvousOrder(agent, [...byAddress.keys()]).map((address) => byAddress.get(address)!);
 }
--- a/test/roles/fragile-back-ends.ts
+++ b/test/roles/crashing-back-ends.ts
@@ -3,11 +3,11 @@
 import { reply, StandInBackEnd } from '../forwarding/stand-in-back-end.js';
 
 /** Path of the request that crashes a back end. */
-export const DEADLY = '/1/deadly';
+export const CRASHING_PATH = '/1/deadly';
 /** Path of a request that is served. */
-export const HARMLESS = '/1/harmless';
+export const HARMLESS_PATH = '/1/harmless';
 
-export class FragileBackEnds {
+export class CrashingBackEnds {
   all: StandInBackEnd[] = [];
   /** Number of back ends that the request has crashed. */
   ended = 0;
@@ -27,7 +27,7 @@
 
   #create(): StandInBackEnd {
     const backEnd: StandInBackEnd = new StandInBackEnd((request, response, body) => {
-      if (request.url !== DEADLY) return reply(200, 'done')(request, response, body);
+      if (request.url !== CRASHING_PATH) return reply(200, 'done')(request, response, body);
       this.ended++;
       void backEnd.stop();
     });
--- a/test/roles/direct-entry-drain.test.ts
+++ b/test/roles/direct-entry-drain.test.ts
@@ -7,7 +7,14 @@
 import type { DirectEntrySettings } from '../../src/roles/settings.js';
 import { reply, type Script, StandInBackEnd } from '../forwarding/stand-in-back-end.js';
 import { until } from '../support.js';
-import { type Received, type RunningEntry, send, startEntry, stopEntries, write } from './running-entry.js';
+import {
+  type Received,
+  type RunningEntry,
+  send,
+  startEntry,
+  stopEntries,
+  writeRecords,
+} from './running-entry.js';
 
 const EVENT_INTERVAL = 100;
 const SLOTS = 1_000;
@@ -15,8 +22,8 @@
 let backEnd: StandInBackEnd;
 
 /** Streams events for the number of milliseconds in the last segment of the path. */
-const streamAsAsked: Script = (request, response) => {
-  const lasts = Number((request.url ?? '').split('/').at(-1));
+const streamForRequestedTime: Script = (request, response) => {
+  const duration = Number((request.url ?? '').split('/').at(-1));
   const startedAt = performance.now();
   response.writeHead(200, {
     'x-request': String(request.headers['x-request']),
@@ -25,7 +32,7 @@
   let id = 0;
   const timer = setInterval(() => {
     response.write(`id: ${++id}\ndata: word ${id}\n\n`);
-    if (performance.now() - startedAt < lasts) return;
+    if (performance.now() - startedAt < duration) return;
     clearInterval(timer);
     response.end();
   }, EVENT_INTERVAL);
@@ -48,15 +55,15 @@
 }
 
 function isRefusal(received: Outcome['received']): boolean {
-  return 'status' in received && received.status === 503 && received.close && received.whole;
+  return 'status' in received && received.status === 503 && received.close && received.isComplete;
 }
 
 function isServed(received: Outcome['received']): boolean {
-  return 'status' in received && received.status === 200 && received.whole;
+  return 'status' in received && received.status === 200 && received.isComplete;
 }
 
 beforeEach(async () => {
-  backEnd = await new StandInBackEnd(streamAsAsked).start();
+  backEnd = await new StandInBackEnd(streamForRequestedTime).start();
 });
 
 afterEach(async () => {
@@ -69,7 +76,7 @@
   log: Log = silentLog,
 ): Promise<RunningEntry> {
   const entry = await startEntry('one', [], changes, log);
-  write(entry.store, 1, backEnd, SLOTS);
+  writeRecords(entry.store, 1, backEnd, SLOTS);
   await until(() => entry.entry.isReady, 'the configuration');
   return entry;
 }
@@ -84,18 +91,18 @@
     const SEND_INTERVAL = 25;
     // The entry logs each request that it reads.
     const seenByEntry = new Set<string>();
-    const noteRequest = (_message: string, fields: object = {}) => {
+    const recordRequest = (_message: string, fields: object = {}) => {
       if ('request' in fields) seenByEntry.add(String(fields.request));
     };
-    const one = await startServing({ graceTime: 6_000 }, { ...silentLog, info: noteRequest });
+    const one = await startServing({ graceTime: 6_000 }, { ...silentLog, info: recordRequest });
     const random = seededRandom(11);
     const kept = new Agent({ keepAlive: true });
     const sent: Array<Promise<Outcome>> = [];
     let isStopped = false;
     const sendOne = () => {
-      const lasts = Math.round(SHORTEST + random.fraction() ** 2 * (LONGEST - SHORTEST));
+      const duration = Math.round(SHORTEST + random.fraction() ** 2 * (LONGEST - SHORTEST));
       const agent = sent.length % 2 === 0 ? kept : undefined;
-      sent.push(outcomeOf(one, `/stream/${lasts}`, `s${sent.length}`, agent));
+      sent.push(outcomeOf(one, `/stream/${duration}`, `s${sent.length}`, agent));
     };
     const timer = setInterval(sendOne, SEND_INTERVAL);
     await new Promise((resolve) => setTimeout(resolve, warmUp));
@@ -108,16 +115,16 @@
     await left;
     const outcomes = await Promise.all(sent);
     kept.destroy();
-    const passedOn = new Set(backEnd.requests.map(({ headers }) => String(headers['x-request'])));
-    const cut = outcomes.filter(({ id, received }) => passedOn.has(id) && !isServed(received));
+    const forwardedIds = new Set(backEnd.requests.map(({ headers }) => String(headers['x-request'])));
+    const cut = outcomes.filter(({ id, received }) => forwardedIds.has(id) && !isServed(received));
     expect(cut).toEqual([]);
     // A request that arrives as its connection is closed is not read; its caller sees a connection error and may retry.
     const refused = outcomes.filter(({ received }) => isRefusal(received));
     const notAnswered = outcomes.filter(({ received }) => !isServed(received) && !isRefusal(received));
     expect(notAnswered.filter(({ id }) => seenByEntry.has(id))).toEqual([]);
     expect(notAnswered.filter(({ received }) => !('error' in received))).toEqual([]);
-    const takenWhileLeaving = outcomes.slice(sentBefore).filter(({ received }) => isServed(received));
-    expect(takenWhileLeaving.length).toBeGreaterThan(0);
+    const servedWhileDraining = outcomes.slice(sentBefore).filter(({ received }) => isServed(received));
+    expect(servedWhileDraining.length).toBeGreaterThan(0);
     for (const { received } of refused)
       expect(Number('retryAfter' in received && received.retryAfter)).toBeLessThan(0.5);
   });
@@ -137,7 +144,7 @@
     await until(() => early.text.endsWith('0\r\n\r\n'), 'the end of the answer');
     await until(() => early.isEnded, 'the end of the connection');
     expect(isOtherOver).toBe(false);
-    expect((await other).received).toMatchObject({ status: 200, whole: true });
+    expect((await other).received).toMatchObject({ status: 200, isComplete: true });
     await left;
     expect(backEnd.requests.length).toBe(2);
   });
@@ -160,7 +167,7 @@
     await until(() => backEnd.requests.length === 1, 'the request at its back end');
     await one.entry.leave();
     // The request may have run, so the answer must not state that it did not.
-    expect((await waiting).received).toMatchObject({ status: 504, close: true, whole: true });
+    expect((await waiting).received).toMatchObject({ status: 504, close: true, isComplete: true });
   });
 });
 
--- a/test/roles/direct-entry.test.ts
+++ b/test/roles/direct-entry.test.ts
@@ -4,10 +4,17 @@
 import { reply, StandInBackEnd } from '../forwarding/stand-in-back-end.js';
 import { SilentProxy } from '../silent-proxy.js';
 import { contextAt, until } from '../support.js';
-import { FEW_CONNECTIONS, type Received, send, startEntry, stopEntries, write } from './running-entry.js';
+import {
+  FEW_CONNECTIONS,
+  type Received,
+  send,
+  startEntry,
+  stopEntries,
+  writeRecords,
+} from './running-entry.js';
 
 /** Remaining time that a caller sends when it retries after a refusal, in milliseconds. */
-const COMES_AGAIN = 2_000;
+const RETRY_TIME_LEFT = 2_000;
 
 /** A report of an engine, without its address and start. */
 const ENGINE_REPORT = {
@@ -36,7 +43,7 @@
     const one = await startEntry('one', []);
     expect((await send(one, '/1/')).status).toBe(503);
     expect(one.entry.isReady).toBe(false);
-    write(one.store, 1, backEnd);
+    writeRecords(one.store, 1, backEnd);
     await until(() => one.entry.isReady, 'the configuration');
     expect((await send(one, '/1/')).status).toBe(200);
     expect(one.entry.addresses('zone-a', 'region-a')).toEqual([one.settings.callers]);
@@ -44,13 +51,13 @@
 
   it('gets the configuration and the back ends from a peer if the store is unavailable to it', async () => {
     const one = await startEntry('one', []);
-    write(one.store, 1, backEnd);
+    writeRecords(one.store, 1, backEnd);
     await until(() => one.entry.isReady, 'the configuration');
     const two = await startEntry('two', [one.settings.peers]);
     two.store.faults.down = true;
     await until(() => two.entry.isReady, 'what the other knows');
     expect((await send(two, '/1/')).status).toBe(200);
-    write(one.store, 4, backEnd);
+    writeRecords(one.store, 4, backEnd);
     await until(async () => (await send(two, '/4/')).status === 200, 'the next configuration');
     expect((await send(two, '/1/')).status).toBe(404);
     // The other entry's readiness arrives with its next periodic report.
@@ -63,26 +70,26 @@
   it('drops the load that another entry reported once that entry is gone', async () => {
     const one = await startEntry('one', []);
     const two = await startEntry('two', [one.settings.peers]);
-    for (const { store } of [one, two]) write(store, 1, backEnd, 1);
+    for (const { store } of [one, two]) writeRecords(store, 1, backEnd, 1);
     await until(() => one.entry.addresses('zone-a', 'region-a').length === 2, 'both entries');
     backEnd.answer(() => {});
     const cut = send(one, '/1/').catch(() => {});
     await until(() => backEnd.requests.length === 1, 'the request of the other');
     backEnd.answer(reply(200, 'done'));
     // A retried request goes only to a back end with a free slot.
-    const comeAgain = async () => (await send(two, '/stream/', { timeLeft: COMES_AGAIN })).status;
-    await until(async () => (await comeAgain()) === 503, 'the load of the other');
+    const retryStatus = async () => (await send(two, '/stream/', { timeLeft: RETRY_TIME_LEFT })).status;
+    await until(async () => (await retryStatus()) === 503, 'the load of the other');
     await one.entry.stop();
     await cut;
     await until(() => two.entry.addresses('zone-a', 'region-a').length === 1, 'the other is gone');
-    expect(await comeAgain()).toBe(200);
+    expect(await retryStatus()).toBe(200);
   });
 
   it('keeps only its share of the connections that a back end accepts from all entries together', async () => {
     const proxy = await new SilentProxy(backEnd.address).start();
     const one = await startEntry('one', []);
     const two = await startEntry('two', [one.settings.peers]);
-    for (const { store } of [one, two]) write(store, 1, proxy, 4, 'few');
+    for (const { store } of [one, two]) writeRecords(store, 1, proxy, 4, 'few');
     await until(() => one.entry.addresses('zone-a', 'region-a').length === 2, 'the other, to the first');
     await until(() => two.entry.addresses('zone-a', 'region-a').length === 2, 'the other, to the second');
     let releases: Array<() => void> = [];
@@ -109,7 +116,7 @@
     const proxy = await new SilentProxy(backEnd.address).start();
     const one = await startEntry('one', []);
     const two = await startEntry('two', [one.settings.peers]);
-    for (const { store } of [one, two]) write(store, 1, proxy, 4, 'billing', 100);
+    for (const { store } of [one, two]) writeRecords(store, 1, proxy, 4, 'billing', 100);
     await until(() => one.entry.addresses('zone-a', 'region-a').length === 2, 'the other, to the first');
     await until(() => two.entry.addresses('zone-a', 'region-a').length === 2, 'the other, to the second');
     const { context } = await contextAt('agent');
@@ -142,7 +149,7 @@
   it('is removed from the directory when it drains, but serves on and finishes requests in progress', async () => {
     const one = await startEntry('one', []);
     const two = await startEntry('two', [one.settings.peers]);
-    for (const { store } of [one, two]) write(store, 1, backEnd);
+    for (const { store } of [one, two]) writeRecords(store, 1, backEnd);
     await until(() => one.entry.addresses('zone-a', 'region-a').length === 2, 'both entries');
     let release: () => void = () => {};
     backEnd.answer((request, response, body) => {
@@ -156,7 +163,7 @@
     backEnd.answer(reply(200, 'done'));
     expect(await send(one, '/1/')).toMatchObject({ status: 200, close: true });
     release();
-    expect(await slow).toMatchObject({ status: 200, whole: true });
+    expect(await slow).toMatchObject({ status: 200, isComplete: true });
     await left;
     await expect(send(one, '/1/')).rejects.toThrow();
   });
@@ -164,7 +171,7 @@
   it('accepts nothing while draining that could not finish before it stops', async () => {
     const LONG_ANSWER = 2_600;
     const one = await startEntry('one', []);
-    write(one.store, 1, backEnd);
+    writeRecords(one.store, 1, backEnd);
     await until(() => one.entry.isReady, 'the configuration');
     backEnd.answer((request, response, body) => {
       setTimeout(() => reply(200, 'long')(request, response, body), LONG_ANSWER);
@@ -186,12 +193,12 @@
     const refused = outcomes.flatMap((outcome) =>
       outcome.status === 'rejected' ? [outcome.reason.code] : [],
     );
-    const served = taken.filter(({ status, whole }) => status === 200 && whole);
+    const served = taken.filter(({ status, isComplete }) => status === 200 && isComplete);
     expect(served.length).toBeGreaterThan(0);
     // Every forwarded request was served, and the callers of all others were refused with an answer.
     expect(backEnd.requests.length).toBe(served.length);
     const others = taken.filter((answer) => !served.includes(answer));
-    expect(others.every(({ status, whole, close }) => status === 503 && whole && close)).toBe(true);
+    expect(others.every(({ status, isComplete, close }) => status === 503 && isComplete && close)).toBe(true);
     // Later callers got no connection, so they know that nothing was read.
     expect(new Set(refused)).toEqual(new Set(['ECONNREFUSED']));
   });
--- a/test/roles/poison-request.test.ts
+++ b/test/roles/poison-request.test.ts
@@ -6,19 +6,19 @@
 import { MemoryStore } from '../../emulator/store/memory-store.js';
 import { reply, type Script } from '../forwarding/stand-in-back-end.js';
 import { until } from '../support.js';
-import { DEADLY, FragileBackEnds, HARMLESS } from './fragile-back-ends.js';
+import { CRASHING_PATH, CrashingBackEnds, HARMLESS_PATH } from './crashing-back-ends.js';
 import { type RunningEntry, send, startEntry, stopEntries } from './running-entry.js';
 
 const BACK_ENDS = 6;
 
 let store: MemoryStore;
-let backEnds: FragileBackEnds;
+let backEnds: CrashingBackEnds;
 let entries: RunningEntry[];
 
 beforeEach(async () => {
   store = new MemoryStore();
   store.write('operator', 'configuration', '1');
-  backEnds = new FragileBackEnds();
+  backEnds = new CrashingBackEnds();
   await backEnds.start(BACK_ENDS, store);
   entries = [];
   for (const name of ['one', 'two', 'three']) await start(name);
@@ -38,7 +38,7 @@
   return entry;
 }
 
-const statusAt = async (entry: RunningEntry, path = DEADLY) => (await send(entry, path)).status;
+const statusAt = async (entry: RunningEntry, path = CRASHING_PATH) => (await send(entry, path)).status;
 
 it('a content that crashed a back end at each of two entries is refused by all entries', async () => {
   const [one, two, three] = entries;
@@ -47,7 +47,7 @@
   await until(async () => (await statusAt(three)) === 503, 'the refusal');
   for (const entry of entries) expect(await statusAt(entry)).toBe(503);
   expect(backEnds.ended).toBeLessThanOrEqual(3);
-  expect(await statusAt(three, HARMLESS)).toBe(200);
+  expect(await statusAt(three, HARMLESS_PATH)).toBe(200);
 });
 
 it('an entry that starts later refuses the content too', async () => {
@@ -70,7 +70,7 @@
   const seeds = entries.map(({ settings }) => settings.peers);
   const next = await startEntry('three', seeds, { peers: former.settings.peers }, undefined, store);
   entries.push(next);
-  await until(async () => (await statusAt(next, HARMLESS)) === 200, 'its start');
+  await until(async () => (await statusAt(next, HARMLESS_PATH)) === 200, 'its start');
   await until(() => next.entry.addresses('zone-a', 'region-a').length === 3, 'the other entries');
   expect(await statusAt(next)).toBe(503);
   expect(backEnds.ended).toBe(before);
--- a/test/roles/rate-limit.test.ts
+++ b/test/roles/rate-limit.test.ts
@@ -4,7 +4,7 @@
 import { allowedInWindow, mostInWindow } from '../forwarding/rate-limit-audit.js';
 import { reply, StandInBackEnd } from '../forwarding/stand-in-back-end.js';
 import { until } from '../support.js';
-import { type RunningEntry, send, startEntry, stopEntries, write } from './running-entry.js';
+import { type RunningEntry, send, startEntry, stopEntries, writeRecords } from './running-entry.js';
 
 const RATE = 2;
 const PATH = '/1/limited';
@@ -30,7 +30,7 @@
     arrivals.push(performance.now());
     reply(200, 'done', { 'x-rate-limit': String(RATE) })(request, response, body);
   }).start();
-  write(store, 1, backEnd, 16);
+  writeRecords(store, 1, backEnd, 16);
   entries = [];
   for (const name of ['one', 'two', 'three']) {
     const seeds = entries.map(({ settings }) => settings.peers);
--- a/test/roles/running-entry.ts
+++ b/test/roles/running-entry.ts
@@ -122,7 +122,7 @@
 }
 
 /** Writes a configuration and a back end to a store. */
-export function write(
+export function writeRecords(
   store: MemoryStore,
   revision: number,
   backEnd: { readonly address: string },
@@ -140,12 +140,12 @@
   status: number;
   /** The answer asks the caller to close its connection. */
   close: boolean;
-  whole: boolean;
+  isComplete: boolean;
   retryAfter: string | undefined;
 }
 
 /** Options of a request. */
-export interface Sending {
+export interface SendOptions {
   requestId?: string;
   /** Keeps connections alive; without an agent each request opens its own connection. */
   agent?: Agent;
@@ -157,18 +157,18 @@
 export function send(
   { settings }: RunningEntry,
   path: string,
-  { requestId = 'r1', agent, timeLeft }: Sending = {},
+  { requestId = 'r1', agent, timeLeft }: SendOptions = {},
 ): Promise<Received> {
   const [host, port] = settings.callers.split(':');
   return new Promise((resolve, reject) => {
-    const waits = timeLeft === undefined ? {} : { 'x-time-left': String(timeLeft) };
-    const headers = { host: 'api.example', 'x-request': requestId, ...waits };
+    const timeLeftHeader = timeLeft === undefined ? {} : { 'x-time-left': String(timeLeft) };
+    const headers = { host: 'api.example', 'x-request': requestId, ...timeLeftHeader };
     const sent = httpRequest({ host, port, path, headers, agent }, (response) => {
       const end = () =>
         resolve({
           status: response.statusCode ?? 0,
           close: response.headers.connection === 'close',
-          whole: response.complete,
+          isComplete: response.complete,
           retryAfter: response.headers['retry-after'],
         });
       response.resume();
--- a/test/roles/store-readers.test.ts
+++ b/test/roles/store-readers.test.ts
@@ -3,15 +3,15 @@
 import { MemoryStore } from '../../emulator/store/memory-store.js';
 import { reply, StandInBackEnd } from '../forwarding/stand-in-back-end.js';
 import { until } from '../support.js';
-import { type RunningEntry, send, startEntry, stopEntries, write } from './running-entry.js';
+import { type RunningEntry, send, startEntry, stopEntries, writeRecords } from './running-entry.js';
 
 /** Time in which the reading entry has forwarded an update, in milliseconds. */
-const SETTLED = 1_500;
-const WATCHED = 2_000;
+const SETTLE_TIME = 1_500;
+const OBSERVATION_TIME = 2_000;
 
 /** A store that counts one entry's calls for changes. */
-class CountedStore extends MemoryStore {
-  questions = 0;
+class CountingStore extends MemoryStore {
+  changeCalls = 0;
   readonly #shared: MemoryStore;
 
   constructor(shared: MemoryStore) {
@@ -24,21 +24,21 @@
   }
 
   override changes(...call: Parameters<MemoryStore['changes']>): ReturnType<MemoryStore['changes']> {
-    this.questions++;
+    this.changeCalls++;
     return this.faults.down ? super.changes(...call) : this.#shared.changes(...call);
   }
 }
 
 let shared: MemoryStore;
 let backEnd: StandInBackEnd;
-let entries: Array<RunningEntry & { store: CountedStore }>;
+let entries: Array<RunningEntry & { store: CountingStore }>;
 
 function pause(milliseconds: number): Promise<void> {
   return new Promise((resolve) => setTimeout(resolve, milliseconds));
 }
 
 async function start(name: string): Promise<void> {
-  const store = new CountedStore(shared);
+  const store = new CountingStore(shared);
   const seeds = entries.map(({ settings }) => settings.peers);
   const started = await startEntry(name, seeds, {}, undefined, store);
   entries.push({ ...started, store });
@@ -46,9 +46,9 @@
 
 /** The entries that call the store within `OBSERVATION_TIME`. */
 async function readers(): Promise<typeof entries> {
-  const before = entries.map(({ store }) => store.questions);
-  await pause(WATCHED);
-  return entries.filter(({ store }, index) => store.questions > before[index]);
+  const before = entries.map(({ store }) => store.changeCalls);
+  await pause(OBSERVATION_TIME);
+  return entries.filter(({ store }, index) => store.changeCalls > before[index]);
 }
 
 const serves = (entry: RunningEntry, revision: number) => async () =>
@@ -57,12 +57,12 @@
 beforeEach(async () => {
   shared = new MemoryStore();
   backEnd = await new StandInBackEnd(reply(200, 'done')).start();
-  write(shared, 1, backEnd);
+  writeRecords(shared, 1, backEnd);
   entries = [];
   for (const name of ['one', 'two', 'three']) await start(name);
   for (const { entry } of entries)
     await until(() => entry.addresses('zone-a', 'region-a').length === 3, 'all three entries');
-  await pause(SETTLED);
+  await pause(SETTLE_TIME);
 });
 
 afterEach(async () => {
@@ -73,14 +73,14 @@
 describe('entries of one zone', () => {
   it('let one of them read the store, and all apply what it reads', async () => {
     expect(await readers()).toHaveLength(1);
-    write(shared, 2, backEnd);
+    writeRecords(shared, 2, backEnd);
     for (const entry of entries) await until(serves(entry, 2), 'the next configuration');
   });
 
   it('receive changes after the reading entry has stopped', async () => {
     const [reader] = await readers();
     await reader.entry.stop();
-    write(shared, 2, backEnd);
+    writeRecords(shared, 2, backEnd);
     for (const entry of entries.filter((one) => one !== reader))
       await until(serves(entry, 2), 'the next configuration');
   });
@@ -88,8 +88,8 @@
   it('receive changes after the store has become unavailable to the reading entry', async () => {
     const [reader] = await readers();
     reader.store.faults.down = true;
-    await pause(SETTLED);
-    write(shared, 2, backEnd);
+    await pause(SETTLE_TIME);
+    writeRecords(shared, 2, backEnd);
     for (const entry of entries) await until(serves(entry, 2), 'the next configuration');
     shared.write('backEnds', 'one', undefined);
     for (const entry of entries) await until(async () => !(await serves(entry, 2)()), 'the removal');
