--- a/src/model/standstills.ts
+++ b/src/model/standstills.ts
@@ -1,23 +1,23 @@
 /**
- * When this process itself got no processor. A process that judges others by their silence must not count the time in
- * which it could not have heard them: after a standstill its timers fire before what waits in its sockets is read, and
- * all others would seem to be dead at once.
+ * Detects stalls: times in which this process was not scheduled. A process that treats silent peers as failed must not count the
+ * time in which it could not have received their messages. After a stall its timers fire before its sockets are read, so all
+ * peers would appear to have failed at once.
  *
  * ```ts
- * const standstills = new Standstills(1_000, performance.now());
+ * const stalls = new StallDetector(1_000, performance.now());
  * setInterval(() => {
- *   standstills.tick(performance.now());
- *   if (standstills.runningTime(heardAt, performance.now()) > limit) leave();
+ *   stalls.tick(performance.now());
+ *   if (stalls.runningTime(heardAt, performance.now()) > limit) leave();
  * }, 1_000);
  * ```
  */
 
 /**
- * A tick that is late by more than this tells of a standstill, in milliseconds: timers of a busy event loop are late by
- * the length of one turn, which is some tens of milliseconds.
+ * A tick later than this indicates a stall, in milliseconds. Timers of a busy event loop are late by the length of one turn,
+ * some tens of milliseconds.
  */
 const USUAL_LATENESS = 100;
-/** Standstills are kept for this long, in milliseconds: longer than any silence that is judged here. */
+/** Retention time of detected stalls, in milliseconds; longer than any silence that is evaluated. */
 const KEPT_TIME = 60_000;
 
 interface Standstill {
@@ -25,24 +25,24 @@
   to: number;
 }
 
-/** The standstills of this process, as seen by a tick at a regular interval. Times are in milliseconds. */
+/** The stalls of this process, detected by ticks at a regular interval. Times are in milliseconds. */
 export class Standstills {
   readonly #interval: number;
   #tickedAt: number;
   #known: Standstill[] = [];
 
-  /** @param interval - time between two ticks, in milliseconds */
+  /** @param interval - interval of the ticks, in milliseconds */
   constructor(interval: number, now: number) {
     this.#interval = interval;
     this.#tickedAt = now;
   }
 
-  /** Ticks begin, after a time without: that time is no standstill. */
+  /** Restarts the ticks after a time without them, which does not count as a stall. */
   begin(now: number): void {
     this.#tickedAt = now;
   }
 
-  /** The tick that was due has come; returns for how long this process stood still before it, in milliseconds. */
+  /** Handles a tick; returns the length of the stall that preceded it, in milliseconds. */
   tick(now: number): number {
     const current = this.#current(now);
     if (current !== undefined) this.#known.push(current);
@@ -51,7 +51,7 @@
     return current === undefined ? 0 : current.to - current.from;
   }
 
-  /** Time since `since` in which this process ran. */
+  /** Time since `since` in which this process was running. */
   runningTime(since: number, now: number): number {
     const current = this.#current(now);
     const all = current === undefined ? this.#known : [...this.#known, current];
@@ -59,7 +59,7 @@
     return now - since - stoodStill;
   }
 
-  /** The standstill that no tick has told of yet. */
+  /** A stall that is in progress: the next tick is overdue. */
   #current(now: number): Standstill | undefined {
     const dueAt = this.#tickedAt + this.#interval;
     return now - dueAt > USUAL_LATENESS ? { from: dueAt, to: now } : undefined;
--- a/src/model/ticker.ts
+++ b/src/model/ticker.ts
@@ -1,37 +1,37 @@
 /**
- * One timer for many that want to be called at the same interval: each timer of its own would wake an idle process at
- * a time of its own, and a wake-up costs more than what is done in it.
+ * A timer shared by callbacks with the same interval. With separate timers an idle process would wake up once for each of them,
+ * and a wake-up costs more than the work done in it.
  *
  * ```ts
  * const heartbeats = new Ticker(1_000);
  * const stop = heartbeats.add(() => beat());
  * ```
  *
- * Ticks that are late tell when this process stood still.
+ * Late ticks reveal that this process was stalled.
  */
 import { Standstills } from './standstills.js';
 
-/** The timer. */
+/** The shared timer. */
 export class Ticker {
   readonly #interval: number;
   readonly #callbacks = new Set<() => void>();
   readonly #standstills: Standstills;
   #timer: NodeJS.Timeout | undefined;
 
-  /** Calls everyone every `interval` milliseconds, as long as there is anyone. */
+  /** Calls all callbacks every `interval` milliseconds; the timer runs only while there are any. */
   constructor(interval: number) {
     this.#interval = interval;
     this.#standstills = new Standstills(interval, performance.now());
   }
 
-  /** Calls `callback` from now on; returns the end of it. The first call may come early. */
+  /** Adds a callback; returns a function that removes it. The first call may come before a full interval. */
   add(callback: () => void): () => void {
     this.#callbacks.add(callback);
     if (this.#timer === undefined) this.#begin();
     return () => this.#remove(callback);
   }
 
-  /** Time since `since` in which this process ran, in milliseconds; known only while there is anyone to call. */
+  /** Time since `since` in which this process was running, in milliseconds; known only while there are callbacks. */
   runningTime(since: number, now: number): number {
     return this.#standstills.runningTime(since, now);
   }
--- a/src/model/time-limit.ts
+++ b/src/model/time-limit.ts
@@ -1,27 +1,27 @@
-/** Time limits of asynchronous calls. */
+/** Time limits for asynchronous calls. */
 import { setMaxListeners } from 'node:events';
 
 /**
- * A timer that is late by more than this tells that this process got no processor, in milliseconds: a turn of a busy event
- * loop takes some tens of milliseconds.
+ * A timer later than this means that the process was stalled, in milliseconds; one turn of a busy event loop takes some tens of
+ * milliseconds.
  */
 const USUAL_LATENESS = 100;
 /**
- * Time that a limit which passed while this process stood still is given again, in milliseconds, or the whole limit where
- * that is shorter. What came meanwhile waits in the sockets and is read in the next turn; the other side may have stood
- * still too and answers then.
+ * Extension of a limit that expired while this process was stalled, in milliseconds; no longer than the limit itself. Data that
+ * arrived during the stall is in the socket buffers and is read in the next turn of the event loop. The peer may have been
+ * stalled too and answer only then.
  */
 const TIME_AFTER_STANDSTILL = 500;
 
-/** Something that ends when its time is over. */
+/** A running time limit. */
 export interface RunningLimit {
-  /** Ends the limit: it does not pass any more. */
+  /** Stops the limit; its callback is not called any more. */
   cancel(): void;
 }
 
 /**
- * Calls `onPassed` after `milliseconds`. Where this process stood still as they passed, what it waits for may have come:
- * the limit is prolonged once, so that a process that wakes does not give up whatever it was about to read.
+ * Calls `onPassed` after `milliseconds`. If this process was stalled when the limit expired, the limit is extended once, so that
+ * a process that resumes does not abort calls whose responses it is about to read.
  */
 export function startLimit(milliseconds: number, onPassed: () => void): RunningLimit {
   const dueAt = performance.now() + milliseconds;
@@ -32,14 +32,14 @@
     timer.unref();
   };
   let timer = setTimeout(onTimer, milliseconds);
-  // As with `AbortSignal.timeout`, a limit keeps no process alive.
+  // As with `AbortSignal.timeout`, the timer does not keep the process alive.
   timer.unref();
   return { cancel: () => clearTimeout(timer) };
 }
 
 /**
- * A signal that is aborted with `signal`, or after `milliseconds` in which this process ran. It is held by its timer until then: what
- * `AbortSignal.any` joins is held weakly, so that a limit could vanish with the next collection of memory.
+ * Returns a signal that is aborted with `signal`, or after `milliseconds` of running time. The timer holds a strong reference to
+ * it: `AbortSignal.any` holds its sources weakly, so a limit could be lost in a garbage collection.
  */
 export function withLimit(signal: AbortSignal, milliseconds: number): AbortSignal {
   const limited = new AbortController();
@@ -56,21 +56,21 @@
     limited.abort(new DOMException('the limit of the call has passed', 'TimeoutError'));
   };
   const limit = startLimit(milliseconds, endAtLimit);
-  // As many as there are calls within their limits: they end with these.
+  // One listener per pending call, removed when the call ends.
   setMaxListeners(0, signal);
   signal.addEventListener('abort', endWithSignal, { once: true });
   return limited.signal;
 }
 
-/** The times that an answer may take, in milliseconds. */
+/** Time limits of a response, in milliseconds. */
 export interface AnswerTimes {
-  /** Until its first part. */
+  /** Until the first part. */
   first: number;
-  /** From one part to the next. */
+  /** Between two parts. */
   next: number;
 }
 
-/** The limit of a call whose answer comes in parts: it begins anew with each, so that a slow answer is read to its end. */
+/** Limits the time of a call whose response arrives in parts. It restarts with each part, so that slow responses are read to the end. */
 export class AnswerLimit {
   readonly #next: number;
   readonly #limited = new AbortController();
@@ -93,18 +93,18 @@
     signal.addEventListener('abort', this.#onAborted, { once: true });
   }
 
-  /** Aborted when the limit has passed, and with the signal that was given. */
+  /** Aborted when the limit expires, or with the given signal. */
   get signal(): AbortSignal {
     return this.#limited.signal;
   }
 
-  /** A part of the answer has come. */
+  /** Restarts the limit: a part of the response has arrived. */
   notePart(): void {
     if (this.signal.aborted) return;
     this.#limit.cancel();
     this.#limit = startLimit(this.#next, this.#onPassed);
   }
-
+  /** Ends the limit: the call has ended. */
   /** The call has ended. */
   end(): void {
     this.#limit.cancel();
@@ -112,7 +112,7 @@
   }
 }
 
-/** Whether `work` ends within `milliseconds`; rejects as it does. What takes longer goes on unobserved. */
+/** Whether `work` settles within `milliseconds`; rejects if `work` does in that time. Work that takes longer is not cancelled. */
 export async function endsWithin(work: Promise<unknown>, milliseconds: number): Promise<boolean> {
   let timer: NodeJS.Timeout | undefined;
   const limit = new Promise<false>((resolve) => {
