--- a/src/model/back-end-identity.ts
+++ b/src/model/back-end-identity.ts
@@ -1,20 +1,20 @@
 /**
- * Who a back end is: its id and its start. One that starts again under its id holds and knows nothing of before, so what
- * is remembered of a back end is remembered of one start.
+ * Identity of a back end: its id and its start. A back end that restarts under the same id keeps no state, so anything that is
+ * recorded about a back end applies to a single start.
  */
 
-/** One start of a back end. */
+/** Identifies one start of a back end. */
 export interface BackEndIdentity {
   readonly id: string;
   /**
-   * Names this start among those of the same id, by the back end's own clock in milliseconds: it is compared with that of
-   * another start of the same id alone, never with the time here. Undefined where the back end does not tell it.
+   * Start time by the back end's own clock, in milliseconds. It is compared only with other starts of the same id, never with
+   * this process's time. Undefined if the back end does not report it.
    */
   readonly start?: number | undefined;
 }
 
-/** Whether two starts of one id are the same, as far as can be told: one that is not told is taken for any. */
+/** Whether two starts of one id are the same; an unknown start matches any. */
 export function isSameStart(one: number | undefined, other: number | undefined): boolean {
-  // Messages carry no undefined.
+  // Decoded messages contain null instead of undefined.
   return one == null || other == null || one === other;
 }
--- a/src/model/startable.ts
+++ b/src/model/startable.ts
@@ -1,12 +1,12 @@
-/** The life cycle of every part that holds connections, timers or listening sockets. */
+/** Life cycle of components that hold connections, timers or listening sockets. */
 export interface Startable {
-  /** Returns once the part serves. */
+  /** Resolves when the component is in service. */
   start(): Promise<void>;
-  /** Releases everything; safe to call twice. */
+  /** Releases all resources; may be called more than once. */
   stop(): Promise<void>;
 }
 
-/** Starts parts in order and stops them in reverse order. */
+/** Starts components in order and stops them in reverse order. */
 export class StartableGroup implements Startable {
   readonly #parts: readonly Startable[];
   #started: Startable[] = [];
--- a/src/model/stop-order.ts
+++ b/src/model/stop-order.ts
@@ -1,24 +1,24 @@
 /**
- * The order to stop a process. It is heard for the whole life of the process: a signal that nobody listens to ends the
- * process at once, and with it every answer in progress.
+ * The signal to stop a process. Listeners stay registered for the whole life of the process: a signal without a listener
+ * terminates it at once and cuts off every answer in progress.
  */
 import type { Startable } from './startable.js';
 import { endsWithin } from './time-limit.js';
 
-/** After the order a start that is under way is given this long to end, in milliseconds; what it began is stopped then. */
+/** Time that a start in progress is given to finish after the stop signal, in milliseconds; its parts are then stopped as usual. */
 const START_LIMIT = 1_000;
 
-/** Where signals come from: the process, or a test. */
+/** Source of signals: the process, or an emitter in tests. */
 export interface SignalSource {
   on(signal: NodeJS.Signals, listener: () => void): unknown;
 }
 
-/** The order, by the first of some signals; those that follow change nothing. */
+/** Waits for the first of several signals; later ones have no effect. */
 export class StopOrder {
-  /** Resolves with the time of the order, in milliseconds of the steady clock. */
+  /** Resolves with the time of the first signal, in milliseconds of the monotonic clock. */
   readonly given: Promise<number>;
 
-  /** @param signals - those that order a stop; to be created before anything is started */
+  /** @param signals - signals that stop the process; create the object before anything is started */
   constructor(signals: readonly NodeJS.Signals[], source: SignalSource = process) {
     this.given = new Promise((resolve) => {
       for (const signal of signals) source.on(signal, () => resolve(performance.now()));
@@ -26,7 +26,7 @@
   }
 }
 
-/** Starts `part`; resolves with the time of the order to stop, which may come while the start is under way. */
+/** Starts `part`; resolves with the time of the stop signal, which may arrive during the start. */
 export async function startUntilOrdered(part: Pick<Startable, 'start'>, order: StopOrder): Promise<number> {
   const started = part.start();
   const orderedAt = await Promise.race([started.then(() => order.given), order.given]);
