--- a/src/model/chunk-set.ts
+++ b/src/model/chunk-set.ts
@@ -19,7 +19,7 @@
     this.words = new Uint32Array(Math.ceil(capacity / 32));
   }
 
-  /** Rebuilds a set from the bytes made by {@link toBytes}; bits past `capacity` are ignored. */
+  /** Creates a set from the bytes of {@link toBytes}; bits beyond `capacity` are ignored. */
   static fromBytes(capacity: number, bytes: Uint8Array): ChunkSet {
     const set = new ChunkSet(capacity);
     for (let chunk = 0; chunk < capacity; chunk++) {
@@ -41,7 +41,7 @@
     return ((this.words[chunk >>> 5] >>> (chunk & 31)) & 1) === 1;
   }
 
-  /** Adds a chunk; returns false when it was there already or lies outside the version. */
+  /** Adds a chunk; returns false if it is already present or its index is out of range. */
   add(chunk: number): boolean {
     if (chunk < 0 || chunk >= this.capacity || this.has(chunk)) return false;
     this.words[chunk >>> 5] |= 1 << (chunk & 31);
@@ -49,7 +49,7 @@
     return true;
   }
 
-  /** One bit a chunk, lowest bit first: the form sent between processes. */
+  /** The bitmap sent between processes: one bit per chunk, least significant bit first. */
   toBytes(): Uint8Array {
     const bytes = new Uint8Array(Math.ceil(this.capacity / 8));
     for (let chunk = 0; chunk < this.capacity; chunk++) {
--- a/src/model/hybrid-clock.ts
+++ b/src/model/hybrid-clock.ts
@@ -1,12 +1,12 @@
 /**
- * A hybrid logical clock: stamps follow the machine's clock, and a stamp made after a message came is always
- * greater than the message's. It orders events of all processes by cause; it proves nothing about time.
+ * Hybrid logical clock: stamps follow the machine's clock, and a stamp created after a message was received is greater than the
+ * message's stamp. Stamps order events of all processes causally; they are no proof of when an event happened.
  */
 
-/** Stamps a millisecond; a stamp is the time in milliseconds times this, plus a counter. */
+/** Resolution of stamps: a stamp is the time in milliseconds times this, plus a counter. */
 const STAMPS_PER_MILLISECOND = 1_000;
 
-/** A point in the causal order. */
+/** A point in the causal order of events. */
 export type Stamp = number;
 
 /** The clock of one process. */
@@ -18,19 +18,19 @@
     this.#wallClock = wallClock;
   }
 
-  /** A stamp greater than all before it. */
+  /** Returns a stamp greater than all previous ones. */
   next(): Stamp {
     this.#last = Math.max(this.#last + 1, this.#wallClock() * STAMPS_PER_MILLISECOND);
     return this.#last;
   }
 
-  /** Takes in the stamp of a message from another process. */
+  /** Merges the stamp of a received message. */
   observe(stamp: Stamp): void {
     if (stamp > this.#last) this.#last = stamp;
   }
 }
 
-/** The wall-clock time that a stamp was near, in milliseconds since 1970. */
+/** The approximate wall-clock time of a stamp, in milliseconds since the Unix epoch. */
 export function stampTime(stamp: Stamp): number {
   return Math.floor(stamp / STAMPS_PER_MILLISECOND);
 }
--- a/src/model/manifest.ts
+++ b/src/model/manifest.ts
@@ -1,6 +1,6 @@
 /**
- * The manifest of a weight version: the ordered digests and sizes of its chunks. The version's identity is
- * the digest of the manifest, so two versions are the same exactly when all their bytes are.
+ * Manifest of a weight version: the ordered digests and sizes of its chunks. A version is identified by the digest of its
+ * manifest, so two versions are equal exactly if all their bytes are.
  */
 import { createHash } from 'node:crypto';
 
@@ -14,7 +14,7 @@
   bytes: number;
 }
 
-/** The ordered list of a version's chunks. */
+/** The chunks of a version, in order. */
 export interface Manifest {
   chunks: ManifestChunk[];
 }
@@ -24,7 +24,7 @@
   return createHash('sha256').update(data).digest('hex');
 }
 
-/** The identity of the version that `manifest` describes. */
+/** The identifier of the version that `manifest` describes. */
 export function versionOf(manifest: Manifest): Digest {
   const canonical = manifest.chunks.map((chunk) => `${chunk.digest}:${chunk.bytes}`).join('\n');
   return digestOf(canonical);
@@ -45,7 +45,7 @@
   return { chunks };
 }
 
-/** True when `manifest` is the one that `version` names. */
+/** Whether `manifest` describes `version`. */
 export function isManifestOf(manifest: Manifest, version: Digest): boolean {
   return versionOf(manifest) === version;
 }
--- a/src/model/pacer.ts
+++ b/src/model/pacer.ts
@@ -1,12 +1,12 @@
 /**
- * Paces bytes to a rate: each taker waits for its turn and for its bytes' time on the link. Used for the
- * chunk traffic of an agent and for the links of the stand-ins.
+ * Limits a byte stream to a rate: each caller waits for the callers before it and for the transfer time of its own bytes. Used
+ * for the chunk traffic of agents and for emulated links.
  */
 
-/** Time that may be caught up after a late timer, in milliseconds. */
+/** Unused link time that may be made up for after a late timer, in milliseconds. */
 const CATCH_UP = 50;
 
-/** A link of a fixed rate. */
+/** A link with a fixed rate. */
 export class Pacer {
   readonly #bytesPerMillisecond: number;
   readonly #clock: () => number;
@@ -17,7 +17,7 @@
     this.#clock = clock;
   }
 
-  /** Returns when `bytes` have passed, one taker after another. Aborting does not give the time back. */
+  /** Resolves when `bytes` have been transferred; callers are served in order. Aborting does not return the reserved time. */
   async take(bytes: number, signal: AbortSignal): Promise<void> {
     const wait = this.reserve(bytes);
     if (wait <= 0) return;
@@ -32,7 +32,7 @@
     });
   }
 
-  /** Reserves the time for `bytes`; returns the milliseconds until they have passed. */
+  /** Reserves transfer time for `bytes`; returns the milliseconds until they have been transferred. */
   reserve(bytes: number): number {
     const now = this.#clock();
     this.#freeAt = Math.max(this.#freeAt, now - CATCH_UP) + bytes / this.#bytesPerMillisecond;
--- a/src/model/place.ts
+++ b/src/model/place.ts
@@ -1,9 +1,9 @@
-/** Where a process runs, as its settings say. */
+/** Location of a process, from its settings. */
 export interface Location {
-  /** Place in the sense of declarations: what the data's rules are about. */
+  /** Place to which placement rules of declarations refer: where data may be processed. */
   place: string;
-  /** Places of one region are near one another; between regions links are costly. */
+  /** Links within a region are short; links between regions are expensive. */
   region: string;
-  /** Unit of failure and of aggregation inside a region. */
+  /** Failure domain and unit of aggregation within a region. */
   zone: string;
 }
--- a/src/model/random.ts
+++ b/src/model/random.ts
@@ -1,11 +1,11 @@
-/** Seeded randomness for the decision systems: the same seed gives the same decisions. */
+/** Seeded random numbers, so that decisions can be reproduced from a seed. */
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
 
-/** A generator of pseudo-random numbers. */
+/** A pseudo-random number generator. */
 export interface Random {
-  /** A whole number in `0 .. bound - 1`. */
+  /** An integer in `0 .. bound - 1`. */
   below(bound: number): number;
-  /** A fraction in `[0, 1)`. */
+  /** A number in `[0, 1)`. */
   fraction(): number;
 }
 
@@ -29,7 +29,7 @@
   return (hash ^ (hash >>> 16)) >>> 0;
 }
 
-/** The candidates ordered by rendezvous (highest random weight) hash of `key`; the first is the owner. */
+/** Orders the candidates by the rendezvous (highest random weight) hash of `key`; the first one is the owner. */
 export function rendezvousOrder(key: string, candidates: readonly string[]): string[] {
   const weight = new Map(candidates.map((candidate) => [candidate, hash32(`${key}|${candidate}`)]));
   return [...candidates].sort((a, b) => weight.get(b)! - weight.get(a)! || (a < b ? -1 : 1));
