--- a/test/model/standstills.test.ts
+++ b/test/model/standstills.test.ts
@@ -3,14 +3,14 @@
 
 const INTERVAL = 1_000;
 
-describe('Standstills', () => {
-  it('counts all time while ticks come when they are due', () => {
+describe('StallDetector', () => {
+  it('counts all time if ticks are on time', () => {
     const standstills = new Standstills(INTERVAL, 0);
     for (let now = INTERVAL; now <= 10_000; now += INTERVAL) standstills.tick(now + 20);
     expect(standstills.runningTime(500, 10_100)).toBe(9_600);
   });
 
-  it('leaves out the time by which a tick was late', () => {
+  it('excludes the time by which a tick was late', () => {
     const standstills = new Standstills(INTERVAL, 0);
     standstills.tick(1_000);
     standstills.tick(6_000);
@@ -19,27 +19,27 @@
     expect(standstills.runningTime(500, 7_000)).toBe(2_500);
   });
 
-  it('knows of a standstill before the tick that tells of it', () => {
+  it('detects a stall before the tick that ends it', () => {
     const standstills = new Standstills(INTERVAL, 0);
     standstills.tick(1_000);
     expect(standstills.runningTime(1_000, 6_000)).toBe(1_000);
   });
 
-  it('counts only what is since the given time', () => {
+  it('counts only the time after the given one', () => {
     const standstills = new Standstills(INTERVAL, 0);
     standstills.tick(5_000);
     expect(standstills.runningTime(4_000, 5_000)).toBe(0);
     expect(standstills.runningTime(5_000, 5_900)).toBe(900);
   });
 
-  it('sums several standstills', () => {
+  it('adds up several stalls', () => {
     const standstills = new Standstills(INTERVAL, 0);
     standstills.tick(3_000);
     standstills.tick(6_000);
     expect(standstills.runningTime(0, 6_000)).toBe(2_000);
   });
 
-  it('does not take a time without ticks for a standstill', () => {
+  it('does not count a time without ticks as a stall', () => {
     const standstills = new Standstills(INTERVAL, 0);
     standstills.tick(1_000);
     standstills.begin(9_000);
--- a/test/model/stop-order.test.ts
+++ b/test/model/stop-order.test.ts
@@ -1,20 +1,19 @@
-/** The order to stop a process, at whatever time it comes. */
 import { EventEmitter } from 'node:events';
 import { expect, it, vi } from 'vitest';
 import { StopOrder, startUntilOrdered } from '../../src/model/stop-order.js';
 
-it('is the first signal; later ones are heard and change nothing', async () => {
+it('resolves with the first signal; later ones are caught without effect', async () => {
   const signals = new EventEmitter();
   const order = new StopOrder(['SIGTERM', 'SIGINT'], signals);
   expect(signals.emit('SIGTERM')).toBe(true);
   const orderedAt = await order.given;
-  // `emit` returns whether anybody listens: a signal without a listener ends a process.
+  // `emit` returns whether there is a listener: a signal without one terminates a process.
   expect(signals.emit('SIGTERM')).toBe(true);
   expect(signals.emit('SIGINT')).toBe(true);
   expect(await order.given).toBe(orderedAt);
 });
 
-it('that comes during a start lets the start end', async () => {
+it('lets a start in progress finish', async () => {
   const signals = new EventEmitter();
   const order = new StopOrder(['SIGTERM'], signals);
   let endStart: () => void = () => {};
@@ -46,7 +45,7 @@
   }
 });
 
-it('does not hide that a start failed', async () => {
+it('does not hide a failed start', async () => {
   const order = new StopOrder(['SIGTERM'], new EventEmitter());
   const part = { start: () => Promise.reject(new Error('address in use')) };
   await expect(startUntilOrdered(part, order)).rejects.toThrow('address in use');
--- a/test/model/time-limit.test.ts
+++ b/test/model/time-limit.test.ts
@@ -1,4 +1,3 @@
-/** Limits of calls. */
 import { getEventListeners } from 'node:events';
 import { createServer } from 'node:http';
 import type { AddressInfo } from 'node:net';
@@ -10,21 +9,21 @@
 import { withLimit } from '../../src/model/time-limit.js';
 import { standStill } from '../support.js';
 
-it('a limit that is no whole number is taken, and ends the call', async () => {
+it('a limit may be a fraction of a millisecond', async () => {
   const limited = withLimit(new AbortController().signal, 12.5);
   expect(limited.aborted).toBe(false);
   await new Promise((resolve) => limited.addEventListener('abort', resolve));
   expect(limited.reason).toMatchObject({ name: 'TimeoutError' });
 });
 
-it('a call ends with its signal before its limit', () => {
+it('a call is aborted with its signal before its limit', () => {
   const controller = new AbortController();
   const limited = withLimit(controller.signal, 60_000);
   controller.abort();
   expect(limited.aborted).toBe(true);
 });
 
-it('a call that is never answered ends at its limit, though memory is collected meanwhile', async () => {
+it('a call without a response is aborted at its limit, even after garbage collections', async () => {
   setFlagsFromString('--expose-gc');
   const collect = runInNewContext('gc') as () => void;
   const silent = createServer(() => {});
@@ -45,21 +44,21 @@
   expect(ended).toEqual(calls.map(() => 'TimeoutError'));
 });
 
-it('a signal that has ended its calls keeps nothing of them', async () => {
+it('a signal keeps no listeners of calls that have ended', async () => {
   const stopped = new AbortController();
   const limited = Array.from({ length: 50 }, () => withLimit(stopped.signal, 5));
   await Promise.all(limited.map((one) => new Promise((resolve) => one.addEventListener('abort', resolve))));
   expect(getEventListeners(stopped.signal, 'abort')).toEqual([]);
 });
 
-it('a call whose signal has ended before it ends at once', () => {
+it('a call is aborted at once if its signal already is', () => {
   const stopped = AbortSignal.abort('stopped');
   expect(withLimit(stopped, 60_000)).toMatchObject({ aborted: true, reason: 'stopped' });
 });
 
-it('a limit that passes while this process stands still leaves time to read what came meanwhile', async () => {
+it('a limit that expires during a stall leaves time to read a response that arrived meanwhile', async () => {
   const server = createServer((_request, response) => {
-    // The answer is sent after the limit, and the limit's timer fires before this process reads it.
+    // The response is sent after the limit, and the timer of the limit fires before this process reads it.
     standStill(1_500);
     response.end('done');
   });
@@ -71,7 +70,7 @@
   server.close();
 });
 
-it('a limit that passed in a standstill ends the call soon after it', async () => {
+it('a limit that expired during a stall aborts the call soon after it', async () => {
   const limited = withLimit(new AbortController().signal, 50);
   standStill(400);
   await new Promise((resolve) => limited.addEventListener('abort', resolve));
