--- a/src/fleet/record-faults.ts
+++ b/src/fleet/record-faults.ts
@@ -1,28 +1,27 @@
 /**
- * Tells the operator of records that cannot be used: a log line when one turns bad, and a count by what is wrong. A record
- * that is written again with the same fault, as a back end's is at each heartbeat, is not told of again.
+ * Reports records that cannot be used to the operator: one log line when a record becomes invalid, and a counter by kind of
+ * fault. A record that is written again with the same fault, as a back end's record is at each heartbeat, is not reported again.
  */
 import type { StoredRow } from '../clients/watched-tables.js';
 import type { Log } from '../observability/log.js';
 import type { MetricSource } from '../observability/metrics.js';
 import type { RecordFault, RecordFaultKind } from './record-decoder.js';
 
-/** Where a record lies. */
-export type RecordPlace = Pick<StoredRow, 'table' | 'key' | 'revision'>;
+/** Identifies a revision of a record. */
+export type RecordLocation = Pick<StoredRow, 'table' | 'key' | 'revision'>;
 
-/** The records of some tables that cannot be used. */
+/** Tracks the invalid records of several tables. */
 export class RecordFaults {
-  /** Records and entries of records told of since the start. */
+  /** Invalid records, and invalid entries of records, reported since the process started. */
   readonly counts: Record<RecordFaultKind, number> = { unreadable: 0, missing: 0, type: 0, value: 0 };
   readonly #log: Log;
-  /** What was told last of each bad record, by table and key. */
-  readonly #told = new Map<string, Map<string, string>>();
+  /** What was last reported about each invalid record, by table and key. */
+  readonly #reported = new Map<string, Map<string, string>>();
 
   constructor(log: Log) {
     this.#log = log;
   }
 
-  /** The counts as a metric. */
   get metric(): MetricSource {
     return {
       name: 'records_left_out',
@@ -32,43 +31,43 @@
     };
   }
 
-  /** Notes a record that is written again at every heartbeat: told of when its fault changes. */
-  noteRepeated(place: RecordPlace, fault: RecordFault): void {
-    if (this.#isNews(place, fault.reason)) this.#tell(place, fault);
+  /** Handles a record that is written again at each heartbeat: reported only when its fault changes. */
+  noteRepeated(place: RecordLocation, fault: RecordFault): void {
+    if (this.#markReported(place, fault.reason)) this.#report(place, fault);
   }
 
-  /** Notes a record that is written when it changes: told of at each revision. */
-  noteRevision(place: RecordPlace, fault: RecordFault): void {
-    if (this.#isNews(place, String(place.revision))) this.#tell(place, fault);
+  /** Handles a record that is written only when it changes: reported at each revision. */
+  noteRevision(place: RecordLocation, fault: RecordFault): void {
+    if (this.#markReported(place, String(place.revision))) this.#report(place, fault);
   }
 
-  /** Notes the entries that are left out of a record which holds but for them. */
-  noteLeftOut(place: RecordPlace, faults: readonly RecordFault[]): void {
-    if (faults.length === 0) return this.noteGood(place);
-    if (!this.#isNews(place, String(place.revision))) return;
-    for (const fault of faults) this.#tell(place, fault, 'entry of a record left out');
+  /** Handles a valid record some of whose entries were skipped. */
+  noteSkippedEntries(place: RecordLocation, faults: readonly RecordFault[]): void {
+    if (faults.length === 0) return this.noteValid(place);
+    if (!this.#markReported(place, String(place.revision))) return;
+    for (const fault of faults) this.#report(place, fault, 'entry of a record left out');
   }
 
-  /** Notes a record that can be used, or is gone. */
-  noteGood({ table, key }: Pick<RecordPlace, 'table' | 'key'>): void {
-    this.#told.get(table)?.delete(key);
+  /** Handles a record that is valid or was deleted. */
+  noteValid({ table, key }: Pick<RecordLocation, 'table' | 'key'>): void {
+    this.#reported.get(table)?.delete(key);
   }
 
-  /** Forgets the records of `table` that are not among `keys`. */
-  keepOnly(table: string, keys: ReadonlySet<string>): void {
-    const told = this.#told.get(table);
-    for (const key of told?.keys() ?? []) if (!keys.has(key)) told!.delete(key);
+  /** Forgets the records of `table` whose keys are not in `keys`. */
+  retainOnly(table: string, keys: ReadonlySet<string>): void {
+    const reported = this.#reported.get(table);
+    for (const key of reported?.keys() ?? []) if (!keys.has(key)) reported!.delete(key);
   }
 
-  #isNews({ table, key }: RecordPlace, mark: string): boolean {
-    const told = this.#told.get(table) ?? new Map<string, string>();
-    this.#told.set(table, told);
-    if (told.get(key) === mark) return false;
-    told.set(key, mark);
+  #markReported({ table, key }: RecordLocation, mark: string): boolean {
+    const reported = this.#reported.get(table) ?? new Map<string, string>();
+    this.#reported.set(table, reported);
+    if (reported.get(key) === mark) return false;
+    reported.set(key, mark);
     return true;
   }
 
-  #tell({ table, key, revision }: RecordPlace, fault: RecordFault, message = 'record left out'): void {
+  #report({ table, key, revision }: RecordLocation, fault: RecordFault, message = 'record left out'): void {
     this.counts[fault.kind]++;
     this.#log.warn(message, { table, key, revision, kind: fault.kind, reason: fault.reason });
   }
--- a/src/peers/entry-peers.ts
+++ b/src/peers/entry-peers.ts
@@ -373,8 +373,8 @@
     // A process that restarts before the report of the previous one expires is not a newcomer, but has no
     // news.
     if (row.newsSentOn !== connection) this.#sendAllNews(row, connection);
-    fleet.clock.note(report.storeTime, now);
-    for (const named of report.versions) fleet.takeNamedVersion(named);
+    fleet.clock.addSample(report.storeTime, now);
+    for (const named of report.versions) fleet.applyNamedVersion(named);
     this.#requestNewer(connection, report, now);
     this.#options.onReport(report);
   }
@@ -390,7 +390,7 @@
 
   #requestNewer(connection: Connection, report: EntryReport, now: number): void {
     const { fleet, isStoreConnected } = this.#options;
-    fleet.noteConfigurationElsewhere(report.configurationRevision);
+    fleet.noteRemoteConfigurationRevision(report.configurationRevision);
     const isNewer = report.configurationRevision > fleet.configurationRevision;
     const isListNewer = !isStoreConnected() && report.backEndsRevision > fleet.backEnds.revision;
     const isNear = report.zone === this.#options.zone;
@@ -448,7 +448,7 @@
     const decoded = decoder.configuration(document);
     if (!decoded.ok)
       return log.warn('configuration of a peer left out', { from: row.address, ...decoded.error });
-    if (!fleet.takeConfiguration(decoded.value)) return;
+    if (!fleet.applyConfiguration(decoded.value)) return;
     log.info('configuration taken', { revision: fleet.configurationRevision, from: row.address });
   }
 
@@ -461,7 +461,7 @@
       start: record.start ?? undefined,
       layers: record.layers ?? undefined,
     }));
-    this.#options.fleet.takeBackEnds({ revision, records: decoded });
+    this.#options.fleet.applyBackEndList({ revision, records: decoded });
   }
 }
 
--- a/src/roles/direct-agent.ts
+++ b/src/roles/direct-agent.ts
@@ -1,4 +1,4 @@
-/** The role in the slot of an engine's machine where callers' requests do not pass through it: it loads weights. */
+/** Agent role on an engine's machine in deployments where callers' requests do not pass through the agent: it loads weights. */
 import { randomBytes } from 'node:crypto';
 import type { ListedObjectStore } from '../clients/object-store.js';
 import type { WatchedTables } from '../clients/watched-tables.js';
@@ -21,8 +21,8 @@
 import { StorePlanReader } from '../weights/store-plan-reader.js';
 import type { DirectAgentSettings } from './settings.js';
 
-/** How a platform is met. */
-export interface DirectAgentContracts {
+/** Platform adapters that the agent uses. */
+export interface DirectAgentAdapters {
   objects: ListedObjectStore;
   originAt: PieceOriginFactory;
   engine: StagedEngine;
@@ -34,7 +34,7 @@
 /** Creates an agent from its settings. */
 export function createDirectAgent(
   settings: DirectAgentSettings,
-  { objects, originAt, engine, tables, decoder, metricsPath }: DirectAgentContracts,
+  { objects, originAt, engine, tables, decoder, metricsPath }: DirectAgentAdapters,
   log: Log,
 ): Startable {
   const id = `${settings.name}#${randomBytes(4).toString('hex')}`;
--- a/src/roles/direct-entry-components.ts
+++ b/src/roles/direct-entry-components.ts
@@ -1,4 +1,4 @@
-/** What an entry is composed of where back ends are called at their own address. */
+/** Composes an entry for deployments in which back ends are called at their own address. */
 import { randomBytes } from 'node:crypto';
 import type Router from '@koa/router';
 import { asFunction, asValue, createContainer, InjectionMode } from 'awilix';
@@ -23,23 +23,23 @@
 import { DirectEntry } from './direct-entry.js';
 import type { DirectEntrySettings } from './settings.js';
 
-/** How a platform is met. */
-export interface DirectEntryContracts {
+/** Platform adapters that the entry uses. */
+export interface DirectEntryAdapters {
   decoder: RecordDecoder;
   tables: WatchedTables;
   objects: ListedObjectStore;
   originAt: PieceOriginFactory;
   headers: HeaderNames;
-  /** Routes of the platform's checks and of callers that look for entries. */
+  /** Routes for the platform's readiness checks, and for callers that discover entries. */
   readyRoutes: (isReady: () => boolean) => Router;
   directoryRoutes: (addresses: (zone: string, region: string) => string[], lifetimeSeconds: number) => Router;
   metricsPath: string;
 }
 
-/** What an entry is composed of. */
-export interface DirectEntryComponents extends DirectEntryContracts {
+/** Components of an entry, by their names in the container. */
+export interface DirectEntryComponents extends DirectEntryAdapters {
   settings: DirectEntrySettings;
-  /** Identity of this process. */
+  /** Identity of this process, unique for each start. */
   identity: string;
   random: Random;
   log: Log;
@@ -56,7 +56,7 @@
 /** Creates an entry from its settings. */
 export function createDirectEntry(
   settings: DirectEntrySettings,
-  contracts: DirectEntryContracts,
+  adapters: DirectEntryAdapters,
   log: Log,
 ): DirectEntry {
   const identity = `${settings.name}#${randomBytes(4).toString('hex')}`;
@@ -64,7 +64,7 @@
     injectionMode: InjectionMode.PROXY,
     strict: true,
   });
-  for (const [name, value] of Object.entries(contracts)) container.register(name, asValue(value));
+  for (const [name, value] of Object.entries(adapters)) container.register(name, asValue(value));
   container.register({
     settings: asValue(settings),
     identity: asValue(identity),
@@ -86,7 +86,7 @@
   return container.cradle.directEntry;
 }
 
-/** The container's own object cannot be spread: it resolves every part as it is read. */
+/** Selects the options by name: spreading the container's proxy would resolve every component. */
 function storeSyncOptions({ tables, decoder, fleet, random, log }: DirectEntryComponents): StoreSyncOptions {
   return { tables, decoder, fleet, random, log };
 }
--- a/src/roles/direct-entry.ts
+++ b/src/roles/direct-entry.ts
@@ -29,16 +29,16 @@
 import type { DirectEntryComponents } from './direct-entry-components.js';
 import { servedVersions, WeightsPlanner } from './weights-planner.js';
 
-const DRAIN_CHECK = 50;
-/** Parts that have not ended after this are left to the end of the process, in milliseconds: it must come before a kill. */
-const STOP_LIMIT = 300;
-/** Changes of this time are told to peers and agents together, by who is told, in milliseconds. */
+const DRAIN_CHECK_INTERVAL = 50;
+/** Parts that have not stopped after this time are abandoned, in milliseconds: the process must exit before it is killed. */
+const STOP_TIMEOUT = 300;
+/** Delay in which changes are batched before they are sent to peers and agents, by audience, in milliseconds. */
 const ANNOUNCE_DELAY = { all: 50, zone: 120 };
-/** Addresses in one answer to a caller. */
-const MOST_ADDRESSES = 64;
+/** Maximum number of addresses in one answer to a caller. */
+const MAX_ADDRESSES = 64;
 const MILLISECONDS = 1_000;
 
-/** A running entry. */
+/** An entry: accepts callers' requests and forwards them to back ends. */
 export class DirectEntry implements Startable {
   readonly #components: DirectEntryComponents;
   readonly #peers: EntryPeers;
@@ -52,7 +52,7 @@
   readonly #limits: BackEndLimits;
   readonly #permits: DirectPermits;
   readonly #parts: StartableGroup;
-  readonly #budgets = new Map<string, RetryWindow>();
+  readonly #retryBudgets = new Map<string, RetryWindow>();
   readonly #createdAt = performance.now();
   readonly #drain: DrainSchedule;
   #announcement: 'all' | 'zone' | undefined;
@@ -75,7 +75,7 @@
     this.#poison = new PoisonGuard({
       log,
       metrics,
-      placeOf: (content) => this.#placeAmongEntries(content),
+      placeOf: (content) => this.#rankAmongEntries(content),
       hasEnded: (row) => backEnds.hasEnded(row),
       records: quarantineRecords,
     });
@@ -109,7 +109,7 @@
       news: new PeerNews(this.#poison, this.#limits),
       onStoreNews: (news, id) => {
         this.#storeReaders[news.table].noteNews(id, performance.now());
-        sync.take(news);
+        sync.applyForwarded(news);
       },
       onExpired: ({ id }) => {
         for (const readers of Object.values(this.#storeReaders)) readers.forget(id);
@@ -121,19 +121,19 @@
       operator: new StoreReaders(settings.zone),
       backEnds: new StoreReaders(settings.zone),
     };
-    sync.isReader = (table) => this.#reads(table);
-    sync.onOlderCopy = () => {
+    sync.isReader = (table) => this.#isReader(table);
+    sync.onStoreRestored = () => {
       this.#collection.noteOlderCopy();
       quarantineRecords.noteOlderCopy();
       this.#permits.noteOlderCopy();
     };
-    sync.onNews = (news) => this.#peers.forwardStoreNews(news);
-    backEnds.maxKeptConnections = (service) => this.#connectionsKept(service);
+    sync.onForward = (news) => this.#peers.forwardStoreNews(news);
+    backEnds.maxKeptConnections = (service) => this.#maxKeptConnections(service);
     this.#agents = new EngineAgents(
       (row) => this.#planner.planFor(row),
       (report, before) => {
-        this.#takeEngineReport(report);
-        if (before === undefined || hasChangedService(before, report)) this.#announce('all');
+        this.#applyEngineReport(report);
+        if (before === undefined || affectsRouting(before, report)) this.#announce('all');
       },
     );
     this.#collection = new VersionCollector({
@@ -142,7 +142,7 @@
       library,
       objects: components.objects,
       originAt: components.originAt,
-      // A version would wait for the pieces of an entry that is cut off, or for it to draw them.
+      // Unreachable entries are excluded: a version would wait for their pieces, or for them to draw pieces from the origin.
       peers: () => this.#peers.reached(),
       agents: () => [...this.#agents.rows.values()],
       servedVersions: () => servedVersions(fleet.routes?.configuration.services ?? [], backEnds),
@@ -163,7 +163,7 @@
       settings.callers,
       {
         names: components.headers,
-        reservedHeaders: headersSet(components.headers),
+        reservedHeaders: protectedHeaders(components.headers),
         fleet,
         backEnds,
         limits: this.#limits,
@@ -201,7 +201,7 @@
     this.#addMetrics();
   }
 
-  /** True while callers may be sent here. */
+  /** Whether callers may be directed to this entry. */
   get isReady(): boolean {
     return !this.#drain.isUnderWay && this.#components.fleet.complete;
   }
@@ -213,12 +213,12 @@
   }
 
   /**
-   * Leaves the directory at once, serves those that hold the address, ends what is in progress, and stops.
-   * @param orderedAt - when the order to stop came, in milliseconds of the steady clock
+   * Leaves the directory at once, serves callers that have cached the address, finishes requests in progress, and stops.
+   * @param signalledAt - when the stop signal was received, in milliseconds of the monotonic clock
    */
-  async leave(orderedAt = performance.now()): Promise<void> {
+  async leave(signalledAt = performance.now()): Promise<void> {
     const { log } = this.#components;
-    this.#drain.begin(orderedAt);
+    this.#drain.begin(signalledAt);
     this.#peers.announce('all');
     log.info('entry leaves', { inProgress: this.#forwarding.active });
     while (this.#drain.takesConnections(performance.now(), this.#forwarding.timeSinceLastRequest))
@@ -227,11 +227,11 @@
     while (performance.now() < this.#drain.endsAt && !this.#forwarding.isDrained) await pause();
     log.info('entry stops', {
       inProgress: this.#forwarding.active,
-      tookMs: Math.round(performance.now() - orderedAt),
+      tookMs: Math.round(performance.now() - signalledAt),
       arrivals: this.#forwarding.arrivalsWhileDraining,
     });
-    if (!(await endsWithin(this.stop(), STOP_LIMIT)))
-      log.warn('parts have not stopped', { after: STOP_LIMIT });
+    if (!(await endsWithin(this.stop(), STOP_TIMEOUT)))
+      log.warn('parts have not stopped', { after: STOP_TIMEOUT });
   }
 
   async stop(): Promise<void> {
@@ -240,13 +240,13 @@
     await this.#components.backEnds.stop();
   }
 
-  /** Addresses of entries that take requests, for a caller of `zone`: those of its region where there are any. */
+  /** Addresses of ready entries for a caller of `zone`; those of its zone or region if there are at least two. */
   addresses(zone: string, region: string): string[] {
     const ready = [this.#report(), ...this.#peers.live()].filter(({ isReady }) => isReady);
     const ofRegion = ready.filter((entry) => entry.region === region);
     const ofZone = ofRegion.filter((entry) => entry.zone === zone);
     const chosen = [ofZone, ofRegion, ready].find((entries) => entries.length >= 2) ?? ready;
-    return chosen.slice(0, MOST_ADDRESSES).map(({ callerAddress }) => callerAddress);
+    return chosen.slice(0, MAX_ADDRESSES).map(({ callerAddress }) => callerAddress);
   }
 
   #createSelector(): BackEndSelector {
@@ -270,8 +270,8 @@
     return this.#peers.live().length + 1;
   }
 
-  /** Whether this entry reads a table of the store, or another of its zone does and passes on what is new. */
-  #reads(table: FollowedTable): boolean {
+  /** Whether this entry reads a table of the store itself; otherwise another entry of its zone reads it and forwards the changes. */
+  #isReader(table: FollowedTable): boolean {
     const { identity, settings } = this.#components;
     const others = this.#peers.reached().filter(({ zone, isReady }) => zone === settings.zone && isReady);
     return this.#storeReaders[table].isReader(
@@ -281,8 +281,8 @@
     );
   }
 
-  /** This entry's place in the order that `key` gives all entries that live. */
-  #placeAmongEntries(key: string): number {
+  /** Rank of this entry among all live entries by the rendezvous hash of `key`. */
+  #rankAmongEntries(key: string): number {
     const { identity } = this.#components;
     return rendezvousOrder(key, [identity, ...this.#peers.live().map(({ id }) => id)]).indexOf(identity);
   }
@@ -313,13 +313,14 @@
     };
   }
 
-  /** Tells what changed, once for all changes of a moment: an engine's service to all, what is held to this zone. */
+  /** Schedules an announcement that batches changes: a change of an engine's service goes to all, held pieces to this zone. */
   #announce(audience: 'all' | 'zone'): void {
-    if (this.#announcement === undefined) setTimeout(() => this.#tellChanges(), ANNOUNCE_DELAY[audience]);
+    if (this.#announcement === undefined)
+      setTimeout(() => this.#sendAnnouncement(), ANNOUNCE_DELAY[audience]);
     if (this.#announcement !== 'all') this.#announcement = audience;
   }
 
-  #tellChanges(): void {
+  #sendAnnouncement(): void {
     const audience = this.#announcement ?? 'zone';
     this.#announcement = undefined;
     this.#peers.announce(audience);
@@ -329,40 +330,40 @@
   #onPeerReport(report: EntryReport): void {
     const { backEnds } = this.#components;
     backEnds.applyLoads(report.id, report.loads);
-    for (const engine of report.engines) this.#takeEngineReport(engine);
+    for (const engine of report.engines) this.#applyEngineReport(engine);
   }
 
-  /** The start of an engine first: what is told of one that has started again must not go to its former start. */
-  #takeEngineReport(report: EngineReport): void {
+  /** Applies the reported start first, so that the state of a restarted engine is not attributed to its former start. */
+  #applyEngineReport(report: EngineReport): void {
     const { fleet, backEnds } = this.#components;
-    const news = engineNews(report);
+    const news = engineStateOf(report);
     const row = backEnds.rowAt(report.address, news.start);
-    if (row !== undefined) fleet.takeStart({ id: row.record.id, start: news.start }, report.follows);
+    if (row !== undefined) fleet.applyReportedStart({ id: row.record.id, start: news.start }, report.follows);
     backEnds.applyReport(report.address, news);
   }
 
   /**
-   * Most connections that are kept to a back end of `service`: what it accepts is divided among all entries that are
-   * known, as those that are not heard keep theirs.
+   * Maximum number of connections kept open to a back end of `service`. The back end's limit is divided among all known
+   * entries, since entries that are not heard from keep their connections too.
    */
-  #connectionsKept(service: string): number {
+  #maxKeptConnections(service: string): number {
     const accepted = this.#components.fleet.routes?.service(service)?.maxConnections ?? 0;
     if (accepted === 0) return Number.POSITIVE_INFINITY;
     return Math.floor(accepted / this.#peers.known().known);
   }
 
   #budgetOf(service: string): RetryWindow {
-    const known = this.#budgets.get(service);
-    if (known !== undefined) return known;
+    const existing = this.#retryBudgets.get(service);
+    if (existing !== undefined) return existing;
     const { retries } = this.#components.settings;
     const budget = createEntryRetryWindow(retries, () => this.#peers.known(), this.#createdAt);
-    this.#budgets.set(service, budget);
+    this.#retryBudgets.set(service, budget);
     return budget;
   }
 
-  #repetitionCounts(): Record<string, number> {
+  #retryCounts(): Record<string, number> {
     const counts: Record<string, number> = {};
-    for (const [service, { granted, denied }] of this.#budgets) {
+    for (const [service, { granted, denied }] of this.#retryBudgets) {
       counts[`${service} granted`] = granted;
       counts[`${service} denied`] = denied;
     }
@@ -383,7 +384,7 @@
         name: 'repetitions',
         help: 'Repetitions that the budget was asked for since the start, by service and what came of them',
         label: 'kind',
-        read: () => this.#repetitionCounts(),
+        read: () => this.#retryCounts(),
       },
       { name: 'entries_known', help: 'Entries known since the start', read: () => this.#peers.known().known },
       { name: 'entries_live', help: 'Other entries that live', read: () => this.#peers.live().length },
@@ -394,10 +395,10 @@
   }
 }
 
-function engineNews(report: EngineReport): EngineNews {
+function engineStateOf(report: EngineReport): EngineNews {
   const { version, isReached, isSwitching, slotAddress, load, switchesIn } = report;
   const reportedAt = performance.now();
-  // The codec carries no undefined in lists.
+  // The codec encodes undefined in lists as null.
   return {
     start: report.start ?? undefined,
     version,
@@ -410,8 +411,8 @@
   };
 }
 
-/** Names of the headers that callers may not set. */
-function headersSet(names: HeaderNames): ReadonlySet<string> {
+/** Names of the headers that callers must not set. */
+function protectedHeaders(names: HeaderNames): ReadonlySet<string> {
   const { callerKey, tenant, expectedBackEnd, expectedVersion, urgency, timeLeft } = names;
   return new Set([
     callerKey,
@@ -425,8 +426,8 @@
   ]);
 }
 
-/** Whether what requests may be sent to an engine depends on has changed; its load is told with the next report. */
-function hasChangedService(before: EngineReport, after: EngineReport): boolean {
+/** Whether a change affects which requests may be sent to the engine; a changed load waits for the next periodic report. */
+function affectsRouting(before: EngineReport, after: EngineReport): boolean {
   return (
     before.start !== after.start ||
     before.version !== after.version ||
@@ -438,5 +439,5 @@
 }
 
 function pause(): Promise<void> {
-  return sleep(DRAIN_CHECK, new AbortController().signal);
+  return sleep(DRAIN_CHECK_INTERVAL, new AbortController().signal);
 }
--- a/src/weights/engine-loader.ts
+++ b/src/weights/engine-loader.ts
@@ -147,9 +147,9 @@
       received.versions.length === 0 ? { ...received, versions: this.#plan?.versions ?? [] } : received;
     this.#plan = plan;
     const now = performance.now();
-    this.#clock.note(plan.storeTime, now);
+    this.#clock.addSample(plan.storeTime, now);
     for (const named of plan.versions) {
-      if (!this.#versions.note(named)) continue;
+      if (!this.#versions.add(named)) continue;
       const ageMs = Math.round(now - this.#versions.namedAt(named));
       this.#options.log.info('plan names a new version', {
         model: named.model,
--- a/src/weights/engine-starts.ts
+++ b/src/weights/engine-starts.ts
@@ -3,7 +3,7 @@
  * an earlier start may arrive after one from the next; and the engine's clock may have stepped back, so the
  * next start may look older.
  */
-import type { StartNews } from '../fleet/back-end-starts.js';
+import type { StartOrder } from '../fleet/back-end-starts.js';
 import type { BackEndIdentity } from '../model/back-end-identity.js';
 
 /** The current and the previous start of one engine. */
@@ -28,7 +28,7 @@
    * overlapping calls, the greater start is the later one.
    * @param askedAt - when the call began, in milliseconds of the monotonic clock, as `now`
    */
-  noteAnswer(start: BackEndIdentity['start'], askedAt: number, now: number): StartNews {
+  noteAnswer(start: BackEndIdentity['start'], askedAt: number, now: number): StartOrder {
     const isSame = start === undefined || this.#current === undefined || start === this.#current;
     const overlaps = askedAt < this.#lastAnswerAt;
     if (!isSame && overlaps && (start === this.#previous || start < this.#current!)) return 'older';
--- a/test/fleet/decoding-ahead.test.ts
+++ b/test/fleet/decoding-ahead.test.ts
@@ -1,4 +1,4 @@
-/** A long list of back ends is decoded in parts: the process does other work in between. */
+/** A long list of back ends is decoded in batches, so that the event loop is not blocked. */
 import { afterEach, expect, it } from 'vitest';
 import { MemoryStore } from '../../emulator/store/memory-store.js';
 import { FleetView } from '../../src/fleet/fleet-view.js';
@@ -7,17 +7,17 @@
 import { seededRandom } from '../../src/model/random.js';
 import { silentLog } from '../../src/observability/log.js';
 import { until } from '../support.js';
-import { textRecords } from './text-records.js';
+import { textRecordDecoder } from './text-records.js';
 
 const ROWS = 2_300;
-/** Rows that may be decoded with nothing else in between: a twentieth of the list. */
-const MOST_AT_A_TIME = ROWS / 20;
+/** Maximum number of rows decoded in one turn of the event loop: a twentieth of the list. */
+const MAX_ROWS_PER_TURN = ROWS / 20;
 
 let sync: StoreSync | undefined;
 
 afterEach(() => sync?.stop());
 
-it('no more than a part of the rows is decoded in one turn, and each row once', async () => {
+it('decodes only a batch of rows per turn, and each row once', async () => {
   let inTurn = 0;
   let mostInTurn = 0;
   let decoded = 0;
@@ -25,13 +25,13 @@
     inTurn = 0;
   };
   const decoder: RecordDecoder = {
-    ...textRecords,
+    ...textRecordDecoder,
     backEnd(row) {
       decoded++;
       inTurn++;
       mostInTurn = Math.max(mostInTurn, inTurn);
       if (inTurn === 1) setImmediate(endTurn);
-      return textRecords.backEnd(row);
+      return textRecordDecoder.backEnd(row);
     },
   };
   const store = new MemoryStore();
@@ -47,5 +47,5 @@
   store.writeAll('backEnds', rows('leaving'));
   await until(() => fleet.backEnds.records.get('i-0')?.leaving === true, 'the changes');
   expect(decoded).toBe(2 * ROWS);
-  expect(mostInTurn).toBeLessThanOrEqual(MOST_AT_A_TIME);
+  expect(mostInTurn).toBeLessThanOrEqual(MAX_ROWS_PER_TURN);
 });
--- a/test/forwarding/deadly-content.test.ts
+++ b/test/forwarding/deadly-content.test.ts
@@ -146,7 +146,7 @@
           services: SERVICES,
           tenants,
         };
-        forwarding.fleet.takeConfiguration({ document: Buffer.from(''), configuration });
+        forwarding.fleet.applyConfiguration({ document: Buffer.from(''), configuration });
         forwarding.list([`b${index}`, backEnd]);
         await forwarding.send('/once/', { method: 'POST', body: 'deadly', headers: { 'x-key': key } });
         await pause(2 * WAVE_TIME);
--- a/test/forwarding/forwarding.test.ts
+++ b/test/forwarding/forwarding.test.ts
@@ -80,7 +80,7 @@
   });
 
   it('gets 503 with Retry-After, and not 404, while no back end is known', async () => {
-    forwarding.fleet.takeConfiguration({
+    forwarding.fleet.applyConfiguration({
       document: Buffer.from(''),
       configuration: { ...CONFIGURATION, revision: 2 },
     });
--- a/test/forwarding/restart-order.test.ts
+++ b/test/forwarding/restart-order.test.ts
@@ -6,7 +6,7 @@
 import { describe, expect, it } from 'vitest';
 import { BackEndSet } from '../../src/fleet/back-end-identity.js';
 import { BackEndList } from '../../src/fleet/back-end-list.js';
-import { ENTRIES_TO_BELIEVE } from '../../src/fleet/back-end-starts.js';
+import { RECORDS_TO_CONFIRM } from '../../src/fleet/back-end-starts.js';
 import { FleetView } from '../../src/fleet/fleet-view.js';
 import { BackEndLimits } from '../../src/forwarding/back-end-limits.js';
 import { BackEndSelector, type Requirements } from '../../src/forwarding/back-end-selector.js';
@@ -27,7 +27,7 @@
 const ADDRESS = '127.0.0.1:1';
 const FIRST_START = 1_000_000;
 /** Number of records and reports of the present start after which the state must be correct. */
-const SETTLING_ROUNDS = ENTRIES_TO_BELIEVE + 1;
+const SETTLING_ROUNDS = RECORDS_TO_CONFIRM + 1;
 
 /** One step of a run; `pick` chooses among the available items. */
 type Step =
@@ -69,7 +69,7 @@
 
   constructor() {
     this.fleet.listen({ onBackEnds: (changes) => this.table.apply(changes) });
-    this.fleet.takeConfiguration({ document: Buffer.from(''), configuration: ENGINE_CONFIGURATION });
+    this.fleet.applyConfiguration({ document: Buffer.from(''), configuration: ENGINE_CONFIGURATION });
     this.selector = new BackEndSelector({
       fleet: this.fleet,
       table: this.table,
@@ -119,19 +119,19 @@
     if (news.type === 'entry') {
       const { record } = news;
       if (this.#isLost(record)) return;
-      this.fleet.takeBackEndChanges([{ type: 'changed', record }], record.revision);
+      this.fleet.applyBackEndChanges([{ type: 'changed', record }], record.revision);
       this.#noteReported(record.start!);
     } else if (news.type === 'report') {
       const isListed = this.row !== undefined;
       const row = this.table.rowAt(ADDRESS, news.start);
-      if (row !== undefined) this.fleet.takeStart({ id: ID, start: news.start }, news.follows);
+      if (row !== undefined) this.fleet.applyReportedStart({ id: ID, start: news.start }, news.follows);
       this.table.applyReport(ADDRESS, this.#engineNews(news.start));
       // A report has no effect while no record has assigned its address to a back end.
       if (isListed) this.#noteReported(news.start);
     } else if (news.type === 'load') this.table.applyLoads('peer', [news.load]);
     else {
       if (news.state.records.some((record) => this.#isLost(record))) return;
-      this.fleet.takeBackEnds(news.state);
+      this.fleet.applyBackEndList(news.state);
       for (const { start } of news.state.records) this.#noteReported(start!);
     }
   }
@@ -167,7 +167,7 @@
     if (this.#placeOf(start!) >= this.newestReported) return false;
     const late = this.#late.get(start!) ?? new Set();
     this.#late.set(start!, late.add(revision));
-    return late.size >= ENTRIES_TO_BELIEVE;
+    return late.size >= RECORDS_TO_CONFIRM;
   }
 
   #nextStart(clockStep: number): number {
--- a/test/forwarding/slots.test.ts
+++ b/test/forwarding/slots.test.ts
@@ -158,7 +158,7 @@
   // engines may be silent.
   const routes = CONFIGURATION.routes.map((route) => ({ ...route, objective: 1_200 }));
   const configuration = { ...CONFIGURATION, revision: 2, routes };
-  forwarding.fleet.takeConfiguration({ document: Buffer.from(''), configuration });
+  forwarding.fleet.applyConfiguration({ document: Buffer.from(''), configuration });
   const taken = Array.from({ length: 2 * SLOTS }, () => forwarding.send('/write/a'));
   await until(() => requests() === 2 * SLOTS, 'all slots to be taken');
   let asked = 0;
@@ -229,7 +229,7 @@
   // With this objective it waits for 0.2 s; the engines, which do not answer here, are not considered silent before 0.8 s.
   const routes = CONFIGURATION.routes.map((route) => ({ ...route, objective: 400 }));
   const configuration = { ...CONFIGURATION, revision: 2, routes };
-  forwarding.fleet.takeConfiguration({ document: Buffer.from(''), configuration });
+  forwarding.fleet.applyConfiguration({ document: Buffer.from(''), configuration });
   const taken = Array.from({ length: 2 * SLOTS }, () => forwarding.send('/write/a'));
   await until(() => requests() === 2 * SLOTS, 'all slots to be taken');
   const refused = await forwarding.send('/write/a');
--- a/test/forwarding/version-expiry.test.ts
+++ b/test/forwarding/version-expiry.test.ts
@@ -21,7 +21,7 @@
 /** Applies a newer configuration with `changes`. */
 function configure(changes: Partial<FleetConfiguration>): void {
   const configuration = { ...ENGINE_CONFIGURATION, revision: 2, ...changes };
-  forwarding.fleet.takeConfiguration({ document: Buffer.from(''), configuration });
+  forwarding.fleet.applyConfiguration({ document: Buffer.from(''), configuration });
 }
 
 beforeEach(async () => {
--- a/test/roles/fragile-back-ends.ts
+++ b/test/roles/crashing-back-ends.ts
@@ -1,19 +1,18 @@
-/** Back ends in a store's list, each of which ends as it gets a certain request. */
+/** Listed back ends that stop when they receive a certain request, as if it crashed them. */
 import type { MemoryStore } from '../../emulator/store/memory-store.js';
 import { reply, StandInBackEnd } from '../forwarding/stand-in-back-end.js';
 
-/** Path of the request that ends them. */
-export const DEADLY = '/1/deadly';
-/** Path of one that is served. */
-export const HARMLESS = '/1/harmless';
+/** Path of the request that crashes a back end. */
+export const CRASHING_PATH = '/1/deadly';
+/** Path of a request that is served. */
+export const HARMLESS_PATH = '/1/harmless';
 
-/** The back ends. */
-export class FragileBackEnds {
+export class CrashingBackEnds {
   all: StandInBackEnd[] = [];
-  /** Back ends that have ended under the request. */
+  /** Number of back ends that the request has crashed. */
   ended = 0;
 
-  /** Starts `count` of them and lists them. */
+  /** Starts `count` back ends and adds them to the store's list. */
   async start(count: number, store: MemoryStore): Promise<void> {
     this.all = await Promise.all(Array.from({ length: count }, () => this.#create().start()));
     this.all.forEach(({ address }, index) => {
@@ -28,7 +27,7 @@
 
   #create(): StandInBackEnd {
     const backEnd: StandInBackEnd = new StandInBackEnd((request, response, body) => {
-      if (request.url !== DEADLY) return reply(200, 'done')(request, response, body);
+      if (request.url !== CRASHING_PATH) return reply(200, 'done')(request, response, body);
       this.ended++;
       void backEnd.stop();
     });
--- a/test/roles/direct-entry-drain.test.ts
+++ b/test/roles/direct-entry-drain.test.ts
@@ -1,4 +1,4 @@
-/** An entry that is told to stop: what it takes it ends, and whoever it cannot serve is told at once. */
+/** Draining: an entry that is told to stop finishes the requests that it forwarded and refuses the others at once. */
 import { Agent } from 'node:http';
 import { connect, type Socket } from 'node:net';
 import { afterEach, beforeEach, describe, expect, it } from 'vitest';
@@ -7,16 +7,23 @@
 import type { DirectEntrySettings } from '../../src/roles/settings.js';
 import { reply, type Script, StandInBackEnd } from '../forwarding/stand-in-back-end.js';
 import { until } from '../support.js';
-import { type Received, type RunningEntry, send, startEntry, stopEntries, write } from './running-entry.js';
+import {
+  type Received,
+  type RunningEntry,
+  send,
+  startEntry,
+  stopEntries,
+  writeRecords,
+} from './running-entry.js';
 
 const EVENT_INTERVAL = 100;
 const SLOTS = 1_000;
 
 let backEnd: StandInBackEnd;
 
-/** Streams for as many milliseconds as the last part of the path says. */
-const streamAsAsked: Script = (request, response) => {
-  const lasts = Number((request.url ?? '').split('/').at(-1));
+/** Streams events for the number of milliseconds in the last segment of the path. */
+const streamForRequestedTime: Script = (request, response) => {
+  const duration = Number((request.url ?? '').split('/').at(-1));
   const startedAt = performance.now();
   response.writeHead(200, {
     'x-request': String(request.headers['x-request']),
@@ -25,20 +32,20 @@
   let id = 0;
   const timer = setInterval(() => {
     response.write(`id: ${++id}\ndata: word ${id}\n\n`);
-    if (performance.now() - startedAt < lasts) return;
+    if (performance.now() - startedAt < duration) return;
     clearInterval(timer);
     response.end();
   }, EVENT_INTERVAL);
   response.on('close', () => clearInterval(timer));
 };
 
-/** What became of one request. */
+/** The outcome of one request. */
 interface Outcome {
   id: string;
   received: Received | { error: string };
 }
 
-/** Sends `path` for good or bad; never rejects. */
+/** Sends a request and returns its outcome; never rejects. */
 async function outcomeOf(entry: RunningEntry, path: string, id: string, agent?: Agent): Promise<Outcome> {
   try {
     return { id, received: await send(entry, path, { requestId: id, agent }) };
@@ -48,15 +55,15 @@
 }
 
 function isRefusal(received: Outcome['received']): boolean {
-  return 'status' in received && received.status === 503 && received.close && received.whole;
+  return 'status' in received && received.status === 503 && received.close && received.isComplete;
 }
 
 function isServed(received: Outcome['received']): boolean {
-  return 'status' in received && received.status === 200 && received.whole;
+  return 'status' in received && received.status === 200 && received.isComplete;
 }
 
 beforeEach(async () => {
-  backEnd = await new StandInBackEnd(streamAsAsked).start();
+  backEnd = await new StandInBackEnd(streamForRequestedTime).start();
 });
 
 afterEach(async () => {
@@ -69,33 +76,33 @@
   log: Log = silentLog,
 ): Promise<RunningEntry> {
   const entry = await startEntry('one', [], changes, log);
-  write(entry.store, 1, backEnd, SLOTS);
+  writeRecords(entry.store, 1, backEnd, SLOTS);
   await until(() => entry.entry.isReady, 'the configuration');
   return entry;
 }
 
-describe('an entry that is told to stop', () => {
+describe('an entry that drains', () => {
   it.each([
     { history: 'that has just begun', warmUp: 500 },
     { history: 'that knows how long streams take', warmUp: 5_500 },
-  ])('$history cuts no stream that it passed on, and refuses the others at once', async ({ warmUp }) => {
+  ])('$history cuts no stream that it forwarded, and refuses the others at once', async ({ warmUp }) => {
     const SHORTEST = 150;
     const LONGEST = 4_500;
     const SEND_INTERVAL = 25;
-    // Each request that the entry reads leaves a line in its log.
+    // The entry logs each request that it reads.
     const seenByEntry = new Set<string>();
-    const noteRequest = (_message: string, fields: object = {}) => {
+    const recordRequest = (_message: string, fields: object = {}) => {
       if ('request' in fields) seenByEntry.add(String(fields.request));
     };
-    const one = await startServing({ graceTime: 6_000 }, { ...silentLog, info: noteRequest });
+    const one = await startServing({ graceTime: 6_000 }, { ...silentLog, info: recordRequest });
     const random = seededRandom(11);
     const kept = new Agent({ keepAlive: true });
     const sent: Array<Promise<Outcome>> = [];
     let isStopped = false;
     const sendOne = () => {
-      const lasts = Math.round(SHORTEST + random.fraction() ** 2 * (LONGEST - SHORTEST));
+      const duration = Math.round(SHORTEST + random.fraction() ** 2 * (LONGEST - SHORTEST));
       const agent = sent.length % 2 === 0 ? kept : undefined;
-      sent.push(outcomeOf(one, `/stream/${lasts}`, `s${sent.length}`, agent));
+      sent.push(outcomeOf(one, `/stream/${duration}`, `s${sent.length}`, agent));
     };
     const timer = setInterval(sendOne, SEND_INTERVAL);
     await new Promise((resolve) => setTimeout(resolve, warmUp));
@@ -108,21 +115,21 @@
     await left;
     const outcomes = await Promise.all(sent);
     kept.destroy();
-    const passedOn = new Set(backEnd.requests.map(({ headers }) => String(headers['x-request'])));
-    const cut = outcomes.filter(({ id, received }) => passedOn.has(id) && !isServed(received));
+    const forwardedIds = new Set(backEnd.requests.map(({ headers }) => String(headers['x-request'])));
+    const cut = outcomes.filter(({ id, received }) => forwardedIds.has(id) && !isServed(received));
     expect(cut).toEqual([]);
-    // A request that crosses the close of its connection is not read, and its caller knows that it was not.
+    // A request that arrives as its connection is closed is not read; its caller sees a connection error and may retry.
     const refused = outcomes.filter(({ received }) => isRefusal(received));
     const notAnswered = outcomes.filter(({ received }) => !isServed(received) && !isRefusal(received));
     expect(notAnswered.filter(({ id }) => seenByEntry.has(id))).toEqual([]);
     expect(notAnswered.filter(({ received }) => !('error' in received))).toEqual([]);
-    const takenWhileLeaving = outcomes.slice(sentBefore).filter(({ received }) => isServed(received));
-    expect(takenWhileLeaving.length).toBeGreaterThan(0);
+    const servedWhileDraining = outcomes.slice(sentBefore).filter(({ received }) => isServed(received));
+    expect(servedWhileDraining.length).toBeGreaterThan(0);
     for (const { received } of refused)
       expect(Number('retryAfter' in received && received.retryAfter)).toBeLessThan(0.5);
   });
 
-  it('ends a kept connection whose answer began before the order, after that answer', async () => {
+  it('closes a keep-alive connection after the answer that was in progress when the drain began', async () => {
     const one = await startServing({ graceTime: 8_000, addressLifetimeSeconds: 0.2 });
     const early = new RawCaller(one.settings.callers);
     early.send('/stream/1800', 'early');
@@ -137,12 +144,12 @@
     await until(() => early.text.endsWith('0\r\n\r\n'), 'the end of the answer');
     await until(() => early.isEnded, 'the end of the connection');
     expect(isOtherOver).toBe(false);
-    expect((await other).received).toMatchObject({ status: 200, whole: true });
+    expect((await other).received).toMatchObject({ status: 200, isComplete: true });
     await left;
     expect(backEnd.requests.length).toBe(2);
   });
 
-  it('serves on a kept connection while it takes requests, and tells its caller to leave it', async () => {
+  it('serves a keep-alive connection while draining, with Connection: close', async () => {
     const one = await startServing({ graceTime: 8_000, addressLifetimeSeconds: 1 });
     backEnd.answer(reply(200, 'done'));
     const agent = new Agent({ keepAlive: true });
@@ -153,18 +160,18 @@
     agent.destroy();
   });
 
-  it('answers what waits at the last moment instead of closing its connection', async () => {
+  it('answers requests that still wait at the deadline instead of closing their connections', async () => {
     const one = await startServing({ graceTime: 1_500 });
     backEnd.answer(() => {});
     const waiting = outcomeOf(one, '/1/', 'waits');
     await until(() => backEnd.requests.length === 1, 'the request at its back end');
     await one.entry.leave();
-    // It may have run, so that its caller is not told the contrary.
-    expect((await waiting).received).toMatchObject({ status: 504, close: true, whole: true });
+    // The request may have run, so the answer must not state that it did not.
+    expect((await waiting).received).toMatchObject({ status: 504, close: true, isComplete: true });
   });
 });
 
-/** A caller that writes requests on one connection, whatever it is told. */
+/** A caller that writes requests to a single connection, whatever the answers say. */
 class RawCaller {
   text = '';
   isEnded = false;
--- a/test/roles/poison-request.test.ts
+++ b/test/roles/poison-request.test.ts
@@ -1,24 +1,24 @@
 /**
- * Entries tell one another which contents back ends crash under. Each by itself, they sent one content on twice more at every
- * entry: 11 engines of 16 ended by it with six entries on one day, 3 where they share what they see.
+ * Entries share which request contents crash back ends. When each entry learnt this by itself, every entry sent such a content
+ * two more times: with six entries, 11 of 16 engines crashed on one day, and 3 when the entries share their records.
  */
 import { afterEach, beforeEach, expect, it } from 'vitest';
 import { MemoryStore } from '../../emulator/store/memory-store.js';
 import { reply, type Script } from '../forwarding/stand-in-back-end.js';
 import { until } from '../support.js';
-import { DEADLY, FragileBackEnds, HARMLESS } from './fragile-back-ends.js';
+import { CRASHING_PATH, CrashingBackEnds, HARMLESS_PATH } from './crashing-back-ends.js';
 import { type RunningEntry, send, startEntry, stopEntries } from './running-entry.js';
 
 const BACK_ENDS = 6;
 
 let store: MemoryStore;
-let backEnds: FragileBackEnds;
+let backEnds: CrashingBackEnds;
 let entries: RunningEntry[];
 
 beforeEach(async () => {
   store = new MemoryStore();
   store.write('operator', 'configuration', '1');
-  backEnds = new FragileBackEnds();
+  backEnds = new CrashingBackEnds();
   await backEnds.start(BACK_ENDS, store);
   entries = [];
   for (const name of ['one', 'two', 'three']) await start(name);
@@ -38,19 +38,19 @@
   return entry;
 }
 
-const statusAt = async (entry: RunningEntry, path = DEADLY) => (await send(entry, path)).status;
+const statusAt = async (entry: RunningEntry, path = CRASHING_PATH) => (await send(entry, path)).status;
 
-it('a content that ended a back end at each of two entries is refused by all', async () => {
+it('a content that crashed a back end at each of two entries is refused by all entries', async () => {
   const [one, two, three] = entries;
   expect(await statusAt(one)).toBe(502);
   expect(await statusAt(two)).toBe(502);
   await until(async () => (await statusAt(three)) === 503, 'the refusal');
   for (const entry of entries) expect(await statusAt(entry)).toBe(503);
   expect(backEnds.ended).toBeLessThanOrEqual(3);
-  expect(await statusAt(three, HARMLESS)).toBe(200);
+  expect(await statusAt(three, HARMLESS_PATH)).toBe(200);
 });
 
-it('an entry that starts later refuses it, too', async () => {
+it('an entry that starts later refuses the content too', async () => {
   await statusAt(entries[0]);
   await statusAt(entries[1]);
   await until(async () => (await statusAt(entries[2])) === 503, 'the refusal');
@@ -60,7 +60,7 @@
   expect(backEnds.ended).toBe(before);
 });
 
-it('an entry that is started again at its address, before the others take it for gone, refuses it, too', async () => {
+it('an entry that restarts at its address before its peers have noticed refuses the content too', async () => {
   await statusAt(entries[0]);
   await statusAt(entries[1]);
   await until(async () => (await statusAt(entries[2])) === 503, 'the refusal');
@@ -70,13 +70,13 @@
   const seeds = entries.map(({ settings }) => settings.peers);
   const next = await startEntry('three', seeds, { peers: former.settings.peers }, undefined, store);
   entries.push(next);
-  await until(async () => (await statusAt(next, HARMLESS)) === 200, 'its start');
+  await until(async () => (await statusAt(next, HARMLESS_PATH)) === 200, 'its start');
   await until(() => next.entry.addresses('zone-a', 'region-a').length === 3, 'the other entries');
   expect(await statusAt(next)).toBe(503);
   expect(backEnds.ended).toBe(before);
 });
 
-it('what is served at one entry is suspect at none', async () => {
+it('a content that one entry served successfully is not suspect at any entry', async () => {
   const [one, two, three] = entries;
   const answerAll = (script: Script) => {
     for (const backEnd of backEnds.all) backEnd.answer(script);
@@ -87,7 +87,7 @@
   for (const backEnd of backEnds.all) backEnd.answer(() => void backEnd.stop());
   expect(await statusAt(one)).toBe(502);
   answerAll(reply(200, 'done'));
-  // Two back ends ended under it, and it was served in between.
+  // Two back ends crashed on it, but it was served in between.
   await until(async () => (await statusAt(three)) !== 502, 'an answer');
   expect(await statusAt(three)).toBe(200);
 });
