--- a/src/agent/exchange.ts
+++ b/src/agent/exchange.ts
@@ -297,7 +297,7 @@
     const entry = this.manifest(version)?.chunks[chunk];
     if (entry === undefined) return;
     const drawn = await this.#components.origin.chunk(entry.digest, AbortSignal.timeout(DRAW_TIMEOUT));
-    if (!drawn.ok) return this.#act(() => this.node.onDrawFailed(version, chunk));
+    if (!drawn.ok) return this.#act(() => this.node.onOriginFetchFailed(version, chunk));
     this.counters.chunksFromOrigin++;
     await this.#incoming.take(drawn.value.byteLength, this.#stopping.signal);
     this.#receive(version, chunk, undefined, drawn.value, 0);
--- a/src/systems/distribution/announcing.ts
+++ b/src/systems/distribution/announcing.ts
@@ -4,8 +4,8 @@
 import type { Transfer } from './transfer.js';
 
 /** Most starving chunks named in one report. */
-const STARVING_IN_REPORT = 16;
-const ANNOUNCE_SHARE_OF_ANSWER_TIME = 0.5;
+const MAX_STARVING_IN_REPORT = 16;
+const ANNOUNCE_SHARE_OF_RESPONSE_TIME = 0.5;
 
 /** Announces the chunks that came since the last announcement to the neighbours that lack some. */
 export function announceChunks(
@@ -28,7 +28,7 @@
 
 /** Chunks that come slowly are announced slowly, so that control bytes follow the rate of the transfer. */
 function announceInterval(transfer: Transfer, limits: DistributionLimits): number {
-  const wanted = transfer.usualAnswerTime * ANNOUNCE_SHARE_OF_ANSWER_TIME;
+  const wanted = transfer.smoothedResponseTime * ANNOUNCE_SHARE_OF_RESPONSE_TIME;
   return Math.min(limits.announceInterval, Math.max(limits.announceIntervalFloor, wanted));
 }
 
@@ -51,7 +51,7 @@
 function starvingChunks(transfer: Transfer, now: number, limits: DistributionLimits): number[] {
   const starving: number[] = [];
   for (let chunk = 0; chunk < transfer.have.capacity; chunk++) {
-    if (starving.length === STARVING_IN_REPORT) break;
+    if (starving.length === MAX_STARVING_IN_REPORT) break;
     if (transfer.availability[chunk] > 0 || transfer.have.has(chunk)) continue;
     if (transfer.requests.has(chunk)) continue;
     if (now - transfer.unavailableSince[chunk] >= limits.starvationTime) starving.push(chunk);
--- a/src/systems/distribution/coordinator-tables.ts
+++ b/src/systems/distribution/coordinator-tables.ts
@@ -16,7 +16,7 @@
   /** Grants that it holds. */
   grants: number;
   /** Grants in all, so that the entries into a region are spread over its machines. */
-  grantsEver: number;
+  totalGrants: number;
   /** Grants that use it as the source. */
   serving: number;
 }
--- a/src/systems/distribution/coordinator.ts
+++ b/src/systems/distribution/coordinator.ts
@@ -21,7 +21,7 @@
   /** Neighbours that a joining machine is told of. */
   neighbourDegree: number;
   /** Draws from the origin that are open at the same time, over all machines. */
-  originDraws: number;
+  maxOriginFetches: number;
   /** Grants that one machine holds at the same time. */
   grantsPerMember: number;
   /** Grants that use one machine as their source at the same time. */
@@ -30,7 +30,7 @@
    * With more machines than this, `fastest` draws each chunk once, too: four copies instead of one shorten the
    * bound by less than 1 in 100 there.
    */
-  furtherDrawsUpTo: number;
+  extraFetchMemberLimit: number;
   /** A grant that has not ended by then is given to another machine. */
   grantTimeout: number;
   /** After a failed draw the origin is tried again after this time, doubled with each further failure. */
@@ -42,10 +42,10 @@
 /** Defaults, measured with `thistleway bench burst`; see docs/design/distribution.md. */
 export const DEFAULT_COORDINATOR_LIMITS: CoordinatorLimits = {
   neighbourDegree: 6,
-  originDraws: 16,
+  maxOriginFetches: 16,
   grantsPerMember: 8,
   servingPerMember: 2,
-  furtherDrawsUpTo: 300,
+  extraFetchMemberLimit: 300,
   grantTimeout: 25_000,
   originBackoff: 500,
   originBackoffCeiling: 15_000,
@@ -71,16 +71,16 @@
   readonly #regions = new Map<string, RegionRow>();
   readonly #grants = new Map<number, GrantRow>();
   /** Chunks that no machine is known to have, in the order in which they are drawn. */
-  #undrawn: number[];
+  #unfetched: number[];
   /** Entries into regions that wait for a source or a machine with room. */
-  #crossings: Array<{ region: RegionRow; chunk: number }> = [];
+  #pendingRegionSeeds: Array<{ region: RegionRow; chunk: number }> = [];
   /** For each chunk, the members known to have it. */
   readonly #holders: PeerId[][];
-  #originDrawsOpen = 0;
+  #openOriginFetches = 0;
   /** Draws that failed since the last one that succeeded. */
   #originFailures = 0;
   #originRetryAt = 0;
-  #joined = 0;
+  #joinCount = 0;
   #nextGrantId = 1;
   #now = 0;
   #commands: CoordinatorCommand[] = [];
@@ -88,8 +88,8 @@
 
   constructor(init: BurstCoordinatorInit) {
     this.#init = init;
-    this.#undrawn = Array.from({ length: init.chunkCount }, (_, chunk) => chunk);
-    this.#holders = this.#undrawn.map(() => []);
+    this.#unfetched = Array.from({ length: init.chunkCount }, (_, chunk) => chunk);
+    this.#holders = this.#unfetched.map(() => []);
   }
 
   /** A machine joins with the chunks that it has, at first or after its coordinator changed. */
@@ -97,12 +97,12 @@
     if (this.members.has(info.id)) this.onLeave(info.id);
     const member: MemberRow = {
       info,
-      joinIndex: this.#joined++,
+      joinIndex: this.#joinCount++,
       known: have,
       have: have.size,
       degree: 0,
       grants: 0,
-      grantsEver: 0,
+      totalGrants: 0,
       serving: 0,
     };
     const { strategy, limits, random } = this.#init;
@@ -134,14 +134,14 @@
     if (member === undefined) return;
     member.have = have;
     if (this.#init.strategy !== 'swarm') return;
-    for (const chunk of starving) this.#relieve(member, chunk);
+    for (const chunk of starving) this.#grantStarvingChunk(member, chunk);
   }
 
   /** A grant has ended. `chunk` tells which one was taken where the machine could choose. */
   onGrantEnded(id: PeerId, grantId: number, chunk: number | undefined, succeeded: boolean): void {
     const grant = this.#grants.get(grantId);
     if (grant === undefined || grant.member !== id) return;
-    if (grant.source.type === 'origin') this.#noteDraw(succeeded);
+    if (grant.source.type === 'origin') this.#recordOriginFetch(succeeded);
     this.#endGrant(grant, succeeded, chunk);
   }
 
@@ -164,15 +164,15 @@
     for (const grant of [...this.#grants.values()]) {
       if (grant.deadline <= now) this.#expireGrant(grant);
     }
-    if (this.#init.strategy === 'swarm') this.#grantCrossings();
-    this.#grantDraws();
+    if (this.#init.strategy === 'swarm') this.#grantRegionSeeds();
+    this.#grantOriginFetches();
     const commands = this.#commands;
     this.#commands = [];
     return commands;
   }
 
   #expireGrant(grant: GrantRow): void {
-    if (grant.source.type === 'origin') this.#noteDraw(false);
+    if (grant.source.type === 'origin') this.#recordOriginFetch(false);
     this.#endGrant(grant, false);
   }
 
@@ -181,15 +181,15 @@
     if (region === undefined) {
       region = { region: name, members: new Set(), seeds: new Uint8Array(this.#init.chunkCount) };
       this.#regions.set(name, region);
-      this.#queueKnownChunks(region);
+      this.#queueSeedsForNewRegion(region);
     }
     return region;
   }
 
-  #queueKnownChunks(region: RegionRow): void {
+  #queueSeedsForNewRegion(region: RegionRow): void {
     for (let chunk = 0; chunk < this.#init.chunkCount; chunk++) {
       const elsewhere = [...this.#regions.values()].some((other) => other.seeds[chunk] === SeedState.Present);
-      if (elsewhere) this.#crossings.push({ region, chunk });
+      if (elsewhere) this.#pendingRegionSeeds.push({ region, chunk });
     }
   }
 
@@ -198,43 +198,43 @@
     if (region.seeds[chunk] === SeedState.Present) return;
     region.seeds[chunk] = SeedState.Present;
     for (const other of this.#regions.values()) {
-      if (other.seeds[chunk] === SeedState.Missing) this.#crossings.push({ region: other, chunk });
+      if (other.seeds[chunk] === SeedState.Missing) this.#pendingRegionSeeds.push({ region: other, chunk });
     }
   }
 
-  #grantCrossings(): void {
-    const waiting = this.#crossings;
-    this.#crossings = [];
-    for (const crossing of waiting) {
-      const { region, chunk } = crossing;
+  #grantRegionSeeds(): void {
+    const waiting = this.#pendingRegionSeeds;
+    this.#pendingRegionSeeds = [];
+    for (const pending of waiting) {
+      const { region, chunk } = pending;
       if (region.seeds[chunk] !== SeedState.Missing || region.members.size === 0) continue;
-      if (!this.#grantCrossing(region, chunk)) this.#crossings.push(crossing);
+      if (!this.#grantRegionSeed(region, chunk)) this.#pendingRegionSeeds.push(pending);
     }
   }
 
-  #grantCrossing(region: RegionRow, chunk: number): boolean {
+  #grantRegionSeed(region: RegionRow, chunk: number): boolean {
     const source = this.#bestSource(this.#liveHolders(chunk));
-    const member = this.#leastGranted(region);
+    const member = this.#leastGrantedMember(region);
     if (source === undefined || member === undefined) return false;
     region.seeds[chunk] = SeedState.Granted;
     this.#grant(member, chunk, { type: 'peer', peer: source.info });
     return true;
   }
 
-  #grantDraws(): void {
-    while (this.#originDrawsOpen < this.#drawsAllowed()) {
-      const granted = this.#grantFirstDraw() || this.#grantFurtherDraw();
+  #grantOriginFetches(): void {
+    while (this.#openOriginFetches < this.#allowedOriginFetches()) {
+      const granted = this.#grantFirstOriginFetch() || this.#grantExtraOriginFetch();
       if (!granted) return;
     }
   }
 
   /** An origin that fails is tried with one draw at a time, less and less often. */
-  #drawsAllowed(): number {
-    if (this.#originFailures === 0) return this.#init.limits.originDraws;
+  #allowedOriginFetches(): number {
+    if (this.#originFailures === 0) return this.#init.limits.maxOriginFetches;
     return this.#now < this.#originRetryAt ? 0 : 1;
   }
 
-  #noteDraw(succeeded: boolean): void {
+  #recordOriginFetch(succeeded: boolean): void {
     if (succeeded) {
       this.#originFailures = 0;
       return;
@@ -246,15 +246,15 @@
   }
 
   /** Draws a chunk that no machine has. */
-  #grantFirstDraw(): boolean {
+  #grantFirstOriginFetch(): boolean {
     if (this.#init.strategy !== 'swarm') return false;
-    const chunk = this.#undrawn.shift();
+    const chunk = this.#unfetched.shift();
     if (chunk === undefined) return false;
-    if (this.#isPresentAnywhere(chunk)) return this.#grantFirstDraw();
-    const region = this.#leastSeededRegion();
-    const member = region === undefined ? undefined : this.#leastGranted(region);
+    if (this.#isPresentAnywhere(chunk)) return this.#grantFirstOriginFetch();
+    const region = this.#leastGrantedRegion();
+    const member = region === undefined ? undefined : this.#leastGrantedMember(region);
     if (region === undefined || member === undefined) {
-      this.#undrawn.unshift(chunk);
+      this.#unfetched.unshift(chunk);
       return false;
     }
     region.seeds[chunk] = SeedState.Granted;
@@ -263,11 +263,12 @@
   }
 
   /** Lets the machine that lags most draw a chunk of its choice, where the objective allows it. */
-  #grantFurtherDraw(): boolean {
+  #grantExtraOriginFetch(): boolean {
     const { objective, strategy, random } = this.#init;
     // A machine that waits for a failing origin does not ask its peers for that chunk.
     if (this.#originFailures > 0 && strategy === 'swarm') return false;
-    const isWorthwhile = objective === 'fastest' && this.members.size <= this.#init.limits.furtherDrawsUpTo;
+    const isWorthwhile =
+      objective === 'fastest' && this.members.size <= this.#init.limits.extraFetchMemberLimit;
     if (strategy === 'swarm' && !isWorthwhile) return false;
     let best: MemberRow | undefined;
     let ties = 0;
@@ -291,15 +292,15 @@
     const deadline = this.#now + this.#init.limits.grantTimeout;
     this.#grants.set(grantId, { grantId, member: member.info.id, chunk, source, deadline });
     member.grants++;
-    member.grantsEver++;
-    if (source.type === 'origin') this.#originDrawsOpen++;
+    member.totalGrants++;
+    if (source.type === 'origin') this.#openOriginFetches++;
     else this.#sourceRow(source, (row) => row.serving++);
     this.#commands.push({ type: 'grant', member: member.info.id, grant: { grantId, chunk, source } });
   }
 
   #endGrant(grant: GrantRow, succeeded: boolean, taken = grant.chunk): void {
     this.#grants.delete(grant.grantId);
-    if (grant.source.type === 'origin') this.#originDrawsOpen--;
+    if (grant.source.type === 'origin') this.#openOriginFetches--;
     else this.#sourceRow(grant.source, (row) => row.serving--);
     const member = this.members.get(grant.member);
     if (member !== undefined) member.grants--;
@@ -308,16 +309,16 @@
       this.#markPresent(this.#regionOf(member.info.region), taken, member.info.id);
       return;
     }
-    if (grant.chunk !== undefined) this.#retrySeed(grant.chunk);
+    if (grant.chunk !== undefined) this.#requeueSeed(grant.chunk);
   }
 
   /** Returns a chunk whose grant failed to the queue that it came from. */
-  #retrySeed(chunk: number): void {
+  #requeueSeed(chunk: number): void {
     for (const region of this.#regions.values()) {
       if (region.seeds[chunk] !== SeedState.Granted || this.#hasOpenGrant(region, chunk)) continue;
       region.seeds[chunk] = SeedState.Missing;
-      if (this.#isPresentAnywhere(chunk)) this.#crossings.push({ region, chunk });
-      else this.#undrawn.push(chunk);
+      if (this.#isPresentAnywhere(chunk)) this.#pendingRegionSeeds.push({ region, chunk });
+      else this.#unfetched.push(chunk);
     }
   }
 
@@ -332,7 +333,7 @@
    * Helps a machine whose neighbours all lack a chunk that has entered its region, or seemed to. A holder in
    * the region is the only source as long as one lives; it is not bypassed when it has no room.
    */
-  #relieve(member: MemberRow, chunk: number): void {
+  #grantStarvingChunk(member: MemberRow, chunk: number): void {
     const region = this.#regionOf(member.info.region);
     if (region.seeds[chunk] !== SeedState.Present) return;
     if (member.grants >= this.#init.limits.grantsPerMember) return;
@@ -373,27 +374,27 @@
     return false;
   }
 
-  #leastSeededRegion(): RegionRow | undefined {
+  #leastGrantedRegion(): RegionRow | undefined {
     let best: RegionRow | undefined;
-    let bestSeeds = Number.POSITIVE_INFINITY;
+    let fewestGrants = Number.POSITIVE_INFINITY;
     for (const region of this.#regions.values()) {
       if (region.members.size === 0) continue;
       let grants = 0;
-      for (const id of region.members) grants += this.members.get(id)!.grantsEver;
+      for (const id of region.members) grants += this.members.get(id)!.totalGrants;
       const seeds = grants / region.members.size;
-      if (seeds >= bestSeeds) continue;
+      if (seeds >= fewestGrants) continue;
       best = region;
-      bestSeeds = seeds;
+      fewestGrants = seeds;
     }
     return best;
   }
 
-  #leastGranted(region: RegionRow): MemberRow | undefined {
+  #leastGrantedMember(region: RegionRow): MemberRow | undefined {
     let best: MemberRow | undefined;
     for (const id of region.members) {
       const member = this.members.get(id)!;
       if (member.grants >= this.#init.limits.grantsPerMember) continue;
-      if (best === undefined || member.grantsEver < best.grantsEver) best = member;
+      if (best === undefined || member.totalGrants < best.totalGrants) best = member;
     }
     return best;
   }
--- a/src/systems/distribution/limits.ts
+++ b/src/systems/distribution/limits.ts
@@ -15,7 +15,7 @@
   /** A request is given up after this many times the usual answer time. */
   requestTimeoutFactor: number;
   /** Time for one draw from the origin. */
-  drawTimeout: number;
+  originFetchTimeout: number;
   /** A request older than this, and than the usual answer time, may be moved to another peer at the end. */
   overdueTimeFloor: number;
   /** Time for which a peer that refused as busy is not asked again. */
@@ -23,7 +23,7 @@
   /** Time for which a peer that let a request time out is not asked again; doubles with each strike. */
   stallBackoff: number;
   /** Corrupt chunks after which a peer is not asked again in this transfer. */
-  corruptLimit: number;
+  maxCorruptChunks: number;
   /** Longest time between two announcements of new chunks to neighbours. */
   announceInterval: number;
   /** Shortest time between two announcements; in between, half of the usual answer time. */
@@ -43,11 +43,11 @@
   firstRequestTimeout: 10_000,
   requestTimeoutFloor: 2_000,
   requestTimeoutFactor: 4,
-  drawTimeout: 20_000,
+  originFetchTimeout: 20_000,
   overdueTimeFloor: 500,
   busyBackoff: 250,
   stallBackoff: 1_000,
-  corruptLimit: 2,
+  maxCorruptChunks: 2,
   announceInterval: 500,
   announceIntervalFloor: 20,
   reportInterval: 5_000,
--- a/src/systems/distribution/node.ts
+++ b/src/systems/distribution/node.ts
@@ -17,7 +17,7 @@
 import type { DistributionCommand, RefusalReason } from './commands.js';
 import type { DistributionLimits } from './limits.js';
 import { expireRequests } from './request-expiry.js';
-import { forgetRequest, type RequestContext, selectRequests, useGrants } from './request-selection.js';
+import { applyGrants, type RequestContext, removeRequest, selectRequests } from './request-selection.js';
 import {
   createNeighbour,
   createTransfer,
@@ -33,7 +33,7 @@
 import { selectUploads, type UploadTable } from './upload-selection.js';
 
 /** Weight of the newest answer time in the smoothed one. */
-const ANSWER_TIME_WEIGHT = 0.1;
+const RESPONSE_TIME_WEIGHT = 0.1;
 
 /** What a node is created from. */
 export interface DistributionNodeInit {
@@ -69,7 +69,7 @@
     if (running !== undefined) {
       running.priority = init.priority;
       running.allowedPlaces = init.allowedPlaces;
-      this.#dropForbiddenNeighbours(running, now);
+      this.#dropDisallowedNeighbours(running, now);
       return running;
     }
     const transfer = createTransfer(init, now);
@@ -181,7 +181,7 @@
       neighbour.stalls = 0;
     }
     const request = transfer.requests.get(chunk);
-    if (request !== undefined) this.#answerRequest(transfer, request, peer, now);
+    if (request !== undefined) this.#completeRequest(transfer, request, peer, now);
     if (!transfer.have.add(chunk)) return false;
     transfer.unannounced.push(chunk);
     return true;
@@ -197,12 +197,12 @@
     if (neighbour === undefined) return;
     neighbour.corruptChunks++;
     neighbour.suspendedUntil = now + this.#limits.stallBackoff;
-    if (neighbour.corruptChunks >= this.#limits.corruptLimit)
+    if (neighbour.corruptChunks >= this.#limits.maxCorruptChunks)
       removeNeighbour(transfer, neighbour.info.id, now);
   }
 
   /** A draw from the origin failed. */
-  onDrawFailed(version: Digest, chunk: number): void {
+  onOriginFetchFailed(version: Digest, chunk: number): void {
     const transfer = this.transfers.get(version);
     const request = transfer?.requests.get(chunk);
     if (transfer === undefined || request === undefined || request.peer !== undefined) return;
@@ -212,7 +212,7 @@
   /** The coordinator lets this machine fetch a chunk from outside its region or from the origin. */
   onGrant(version: Digest, grant: Grant): void {
     const transfer = this.transfers.get(version);
-    if (transfer !== undefined && this.#mayUse(transfer, grant)) {
+    if (transfer !== undefined && this.#isAllowedSource(transfer, grant)) {
       transfer.grants.push(grant);
       return;
     }
@@ -249,7 +249,7 @@
     };
     for (const transfer of this.#byPriority()) {
       expireRequests(transfer, context);
-      useGrants(transfer, context);
+      applyGrants(transfer, context);
       if (!transfer.have.complete) selectRequests(transfer, context);
       announceChunks(transfer, now, this.#limits, this.uploads.queued.length, commands);
       reportProgress(transfer, now, this.#limits, commands);
@@ -258,7 +258,7 @@
     return commands;
   }
 
-  #mayUse(transfer: Transfer, grant: Grant): boolean {
+  #isAllowedSource(transfer: Transfer, grant: Grant): boolean {
     return grant.source.type === 'origin' || transfer.allowedPlaces.has(grant.source.peer.place);
   }
 
@@ -277,11 +277,11 @@
     return count;
   }
 
-  #answerRequest(transfer: Transfer, request: RequestRow, peer: PeerId | undefined, now: number): void {
+  #completeRequest(transfer: Transfer, request: RequestRow, peer: PeerId | undefined, now: number): void {
     if (request.peer === peer && request.grantId === undefined) {
-      const answerTime = now - request.requestedAt;
-      const usual = transfer.usualAnswerTime === 0 ? answerTime : transfer.usualAnswerTime;
-      transfer.usualAnswerTime = usual + ANSWER_TIME_WEIGHT * (answerTime - usual);
+      const responseTime = now - request.requestedAt;
+      const usual = transfer.smoothedResponseTime === 0 ? responseTime : transfer.smoothedResponseTime;
+      transfer.smoothedResponseTime = usual + RESPONSE_TIME_WEIGHT * (responseTime - usual);
     }
     if (request.peer !== undefined && request.peer !== peer) {
       this.#commands.push({
@@ -295,13 +295,13 @@
   }
 
   #endRequest(transfer: Transfer, request: RequestRow, succeeded: boolean): void {
-    forgetRequest(transfer, request);
+    removeRequest(transfer, request);
     const { chunk, grantId } = request;
     if (grantId === undefined) return;
     this.#commands.push({ type: 'grantEnded', version: transfer.version, grantId, chunk, succeeded });
   }
 
-  #dropForbiddenNeighbours(transfer: Transfer, now: number): void {
+  #dropDisallowedNeighbours(transfer: Transfer, now: number): void {
     for (const { info } of [...transfer.neighbours.values()]) {
       if (!transfer.allowedPlaces.has(info.place)) removeNeighbour(transfer, info.id, now);
     }
--- a/src/systems/distribution/request-selection.ts
+++ b/src/systems/distribution/request-selection.ts
@@ -18,11 +18,11 @@
 }
 
 /** Turns grants into requests, before any other request. */
-export function useGrants(transfer: Transfer, context: RequestContext): void {
-  for (const grant of transfer.grants.splice(0)) useGrant(transfer, grant, context);
+export function applyGrants(transfer: Transfer, context: RequestContext): void {
+  for (const grant of transfer.grants.splice(0)) applyGrant(transfer, grant, context);
 }
 
-function useGrant(transfer: Transfer, grant: Grant, context: RequestContext): void {
+function applyGrant(transfer: Transfer, grant: Grant, context: RequestContext): void {
   const chunk = grant.chunk ?? rarestMissing(transfer, context.random);
   const { grantId } = grant;
   if (chunk === undefined || transfer.have.has(chunk)) {
@@ -44,7 +44,7 @@
 export function selectRequests(transfer: Transfer, context: RequestContext): void {
   while (context.inFlight < context.limits.requestsInFlight) {
     const chunk = rarestOffered(transfer, context);
-    if (chunk === undefined) return moveOverdueRequests(transfer, context);
+    if (chunk === undefined) return reassignOverdueRequests(transfer, context);
     const neighbour = leastBusyHolder(transfer, chunk, context);
     if (neighbour === undefined) return;
     requestFrom(transfer, chunk, neighbour.info, undefined, context);
@@ -52,10 +52,10 @@
 }
 
 /** Asks others for chunks that were asked for long ago, once every missing chunk has been asked for. */
-function moveOverdueRequests(transfer: Transfer, context: RequestContext): void {
+function reassignOverdueRequests(transfer: Transfer, context: RequestContext): void {
   const { now, limits } = context;
   if (transfer.have.size + transfer.requests.size < transfer.have.capacity) return;
-  const overdueTime = Math.max(limits.overdueTimeFloor, transfer.usualAnswerTime);
+  const overdueTime = Math.max(limits.overdueTimeFloor, transfer.smoothedResponseTime);
   for (const request of [...transfer.requests.values()]) {
     if (context.inFlight >= limits.requestsInFlight) return;
     if (now - request.requestedAt < overdueTime) continue;
@@ -92,7 +92,7 @@
   context: RequestContext,
 ): void {
   const { now, limits } = context;
-  const patience = patienceFor(transfer, peer, grantId, limits);
+  const patience = timeoutFor(transfer, peer, grantId, limits);
   transfer.requests.set(chunk, { chunk, peer, requestedAt: now, deadline: now + patience, grantId });
   const neighbour = peer === undefined ? undefined : transfer.neighbours.get(peer);
   if (neighbour !== undefined) neighbour.outstanding++;
@@ -100,20 +100,20 @@
 }
 
 /** How long to wait for a chunk; what only one machine may fetch is waited for longer. */
-function patienceFor(
+function timeoutFor(
   transfer: Transfer,
   peer: string | undefined,
   grantId: number | undefined,
   limits: DistributionLimits,
 ): number {
-  if (peer === undefined) return limits.drawTimeout;
-  if (grantId !== undefined || transfer.usualAnswerTime === 0) return limits.firstRequestTimeout;
-  return Math.max(limits.requestTimeoutFloor, transfer.usualAnswerTime * limits.requestTimeoutFactor);
+  if (peer === undefined) return limits.originFetchTimeout;
+  if (grantId !== undefined || transfer.smoothedResponseTime === 0) return limits.firstRequestTimeout;
+  return Math.max(limits.requestTimeoutFloor, transfer.smoothedResponseTime * limits.requestTimeoutFactor);
 }
 
 /** Gives an open request up and tells the peer, if one was asked. */
 export function closeRequest(transfer: Transfer, request: RequestRow, context: RequestContext): void {
-  forgetRequest(transfer, request);
+  removeRequest(transfer, request);
   if (request.grantId === undefined) context.inFlight--;
   if (request.peer === undefined) return;
   const { chunk, peer } = request;
@@ -129,7 +129,7 @@
 }
 
 /** Removes an open request from the tables. */
-export function forgetRequest(transfer: Transfer, request: RequestRow): void {
+export function removeRequest(transfer: Transfer, request: RequestRow): void {
   transfer.requests.delete(request.chunk);
   const neighbour = request.peer === undefined ? undefined : transfer.neighbours.get(request.peer);
   if (neighbour !== undefined) neighbour.outstanding--;
--- a/src/systems/distribution/transfer.ts
+++ b/src/systems/distribution/transfer.ts
@@ -87,7 +87,7 @@
   reportedAt: number;
   reportedComplete: boolean;
   /** Smoothed time from request to chunk, in milliseconds; 0 before the first. */
-  usualAnswerTime: number;
+  smoothedResponseTime: number;
 }
 
 /** Creates the tables of a transfer at time `now`. */
@@ -106,7 +106,7 @@
     announcedAt: now,
     reportedAt: now,
     reportedComplete: false,
-    usualAnswerTime: 0,
+    smoothedResponseTime: 0,
   };
 }
 
--- a/src/systems/distribution/upload-selection.ts
+++ b/src/systems/distribution/upload-selection.ts
@@ -32,22 +32,22 @@
   commands: DistributionCommand[],
 ): void {
   while (table.active < limits.uploadsActive && table.queued.length > 0) {
-    const next = takeFirst(table.queued);
+    const next = takeNext(table.queued);
     table.active++;
     const { version, chunk, peer } = next;
     commands.push({ type: 'send', version, chunk, peer, queueLength: table.queued.length });
   }
 }
 
-function takeFirst(queued: UploadRow[]): UploadRow {
-  let first = 0;
+function takeNext(queued: UploadRow[]): UploadRow {
+  let best = 0;
   for (let index = 1; index < queued.length; index++) {
-    if (goesBefore(queued[index], queued[first])) first = index;
+    if (precedes(queued[index], queued[best])) best = index;
   }
-  return queued.splice(first, 1)[0];
+  return queued.splice(best, 1)[0];
 }
 
-function goesBefore(a: UploadRow, b: UploadRow): boolean {
+function precedes(a: UploadRow, b: UploadRow): boolean {
   if (a.urgent !== b.urgent) return a.urgent;
   if (a.priority !== b.priority) return a.priority > b.priority;
   if (a.peerHave !== b.peerHave) return a.peerHave < b.peerHave;
--- a/test/systems/burst-coordinator.test.ts
+++ b/test/systems/burst-coordinator.test.ts
@@ -94,11 +94,11 @@
 
 describe('fastest', () => {
   it('goes on drawing for machines that lag, up to a size of the burst', () => {
-    for (const [furtherDrawsUpTo, expected] of [
+    for (const [extraFetchMemberLimit, expected] of [
       [2, true],
       [1, false],
     ] as const) {
-      const coordinator = coordinatorFor('fastest', { furtherDrawsUpTo });
+      const coordinator = coordinatorFor('fastest', { extraFetchMemberLimit });
       join(coordinator, 'first');
       join(coordinator, 'second');
       const free = runToEnd(coordinator).filter(({ grant }) => grant.chunk === undefined);
@@ -109,7 +109,7 @@
 
 describe('failures', () => {
   it('keeps the number of open draws within its ration', () => {
-    const coordinator = coordinatorFor('fastest', { originDraws: 3 });
+    const coordinator = coordinatorFor('fastest', { maxOriginFetches: 3 });
     for (let index = 0; index < 10; index++) join(coordinator, `machine-${index}`);
     expect(grantsIn(coordinator.tick(0))).toHaveLength(3);
     expect(grantsIn(coordinator.tick(1))).toHaveLength(0);
@@ -124,7 +124,7 @@
     ],
     ['nothing is heard in time', DEFAULT_COORDINATOR_LIMITS.grantTimeout, () => {}],
   ])('gives a draw to another machine when %s', (_, from, fail) => {
-    const coordinator = coordinatorFor('leastOriginBytes', { originDraws: 1 });
+    const coordinator = coordinatorFor('leastOriginBytes', { maxOriginFetches: 1 });
     join(coordinator, 'first');
     join(coordinator, 'second');
     const [{ member, grant }] = grantsIn(coordinator.tick(0));
@@ -141,7 +141,7 @@
   });
 
   it('ignores the end of a grant from a machine that does not hold it', () => {
-    const coordinator = coordinatorFor('leastOriginBytes', { originDraws: 1 });
+    const coordinator = coordinatorFor('leastOriginBytes', { maxOriginFetches: 1 });
     join(coordinator, 'holder');
     const [{ grant }] = grantsIn(coordinator.tick(0));
     coordinator.onGrantEnded('stranger', grant.grantId, grant.chunk, true);
--- a/tools/guard-table.mjs
+++ b/tools/guard-table.mjs
@@ -537,7 +537,7 @@
   {
     fault: 'senders of corrupt chunks are asked again',
     file: `${DISTRIBUTION}/node.ts`,
-    find: 'neighbour.corruptChunks >= this.#limits.corruptLimit',
+    find: 'neighbour.corruptChunks >= this.#limits.maxCorruptChunks',
     replace: 'false',
     test: 'test/systems/distribution-node.test.ts',
   },
@@ -558,7 +558,7 @@
   {
     fault: 'draws from the origin are not rationed',
     file: `${DISTRIBUTION}/coordinator.ts`,
-    find: 'return this.#init.limits.originDraws;',
+    find: 'return this.#init.limits.maxOriginFetches;',
     replace: 'return 1_000;',
     test: 'test/systems/burst-coordinator.test.ts',
   },
@@ -574,10 +574,14 @@
     file: `${DISTRIBUTION}/coordinator.ts`,
     find: "if (this.#originFailures > 0 && strategy === 'swarm') return false;",
     replace: '',
-    also: { file: `${DISTRIBUTION}/limits.ts`, find: 'drawTimeout: 20_000', replace: 'drawTimeout: 90_000' },
+    also: {
+      file: `${DISTRIBUTION}/limits.ts`,
+      find: 'originFetchTimeout: 20_000',
+      replace: 'originFetchTimeout: 90_000',
+    },
     extra: {
       file: `${DISTRIBUTION}/request-selection.ts`,
-      find: 'return moveOverdueRequests(transfer, context);',
+      find: 'return reassignOverdueRequests(transfer, context);',
       replace: 'return;',
     },
     test: 'test/simulation/burst.test.ts',
