--- a/src/systems/distribution/coordinator-tables.ts
+++ b/src/systems/distribution/coordinator-tables.ts
@@ -7,17 +7,17 @@
   info: PeerInfo;
   /** Position in the order of joining. */
   joinIndex: number;
-  /** Chunks known to be there: from its joining message and its ended grants. */
+  /** Chunks it is known to have, from its join message and its completed grants. */
   known: ChunkSet;
   /** Number of chunks it has, as last reported. */
   have: number;
-  /** Neighbours that it was told of, and that were told of it. */
+  /** Number of neighbours, assigned in either direction. */
   degree: number;
-  /** Grants that it holds. */
+  /** Open grants that it holds. */
   grants: number;
-  /** Grants in all, so that the entries into a region are spread over its machines. */
+  /** Grants it has ever received, used to spread the transfers into a region over its machines. */
   totalGrants: number;
-  /** Grants that use it as the source. */
+  /** Open grants that use it as the source. */
   serving: number;
 }
 
@@ -25,22 +25,23 @@
 export interface GrantRow {
   grantId: number;
   member: PeerId;
-  /** Undefined where the member may choose. */
+  /** Undefined if the member may choose the chunk. */
   chunk: number | undefined;
   source: ChunkSource;
   deadline: number;
 }
 
-/** Whether a chunk has entered a region. */
+/** Whether a region has its first copy of a chunk (its seed). */
 export enum SeedState {
   Missing = 0,
   Granted = 1,
   Present = 2,
 }
 
-/** What is known of the chunks in one region. */
+/** The members of a region and the state of each chunk there. */
 export interface RegionRow {
   region: string;
   members: Set<PeerId>;
+  /** {@link SeedState} of each chunk. */
   seeds: Uint8Array;
 }
--- a/src/systems/distribution/coordinator.ts
+++ b/src/systems/distribution/coordinator.ts
@@ -1,7 +1,8 @@
 /**
- * The coordinator of a burst: it knows who takes part, rations the draws from the origin, and lets each chunk
- * cross into each region once. Two coordinators at the same time cost bytes, never correctness, so the duty
- * needs no lease: machines choose the entry by rendezvous hash among those they reach.
+ * Coordinator of a burst, that is, of many machines that load the same model version at the same time. It tracks the
+ * members, limits concurrent fetches from the origin, and has each chunk transferred into each region once. Two
+ * coordinators at the same time cause extra transfers but no errors, so no lease is needed: each machine picks the
+ * coordinating entry by rendezvous hash among the entries it can reach.
  *
  * @example
  * ```ts
@@ -18,24 +19,24 @@
 
 /** Limits of a coordinator. Durations are in milliseconds. */
 export interface CoordinatorLimits {
-  /** Neighbours that a joining machine is told of. */
+  /** Number of neighbours assigned to a joining machine. */
   neighbourDegree: number;
-  /** Draws from the origin that are open at the same time, over all machines. */
+  /** Concurrent fetches from the origin, over all machines. */
   maxOriginFetches: number;
-  /** Grants that one machine holds at the same time. */
+  /** Concurrent grants held by one machine. */
   grantsPerMember: number;
-  /** Grants that use one machine as their source at the same time. */
+  /** Concurrent grants that use one machine as their source. */
   servingPerMember: number;
   /**
-   * With more machines than this, `fastest` draws each chunk once, too: four copies instead of one shorten the
-   * bound by less than 1 in 100 there.
+   * Number of members above which the objective `fastest` also fetches each chunk from the origin only once: at that
+   * size, fetching four copies instead of one shortens the lower bound of the transfer time by less than 1 %.
    */
   extraFetchMemberLimit: number;
-  /** A grant that has not ended by then is given to another machine. */
+  /** Time after which a grant that has not ended is reassigned to another machine. */
   grantTimeout: number;
-  /** After a failed draw the origin is tried again after this time, doubled with each further failure. */
+  /** Delay before the origin is retried after a failed fetch; doubles with each further failure. */
   originBackoff: number;
-  /** Longest time between two tries of an origin that fails. */
+  /** Upper bound of the retry delay. */
   originBackoffCeiling: number;
 }
 
@@ -51,7 +52,7 @@
   originBackoffCeiling: 15_000,
 };
 
-/** What a coordinator is created from. */
+/** Parameters of a coordinator. */
 export interface BurstCoordinatorInit {
   chunkCount: number;
   objective: Objective;
@@ -60,7 +61,7 @@
   random: Random;
 }
 
-/** One decision of a tick. */
+/** A command issued by a tick, to be sent to a member. */
 export type CoordinatorCommand =
   | { type: 'neighbours'; member: PeerId; peers: PeerInfo[] }
   | { type: 'grant'; member: PeerId; grant: Grant };
@@ -70,14 +71,14 @@
   readonly members = new Map<PeerId, MemberRow>();
   readonly #regions = new Map<string, RegionRow>();
   readonly #grants = new Map<number, GrantRow>();
-  /** Chunks that no machine is known to have, in the order in which they are drawn. */
+  /** Chunks that no member is known to have, in the order in which they are fetched from the origin. */
   #unfetched: number[];
-  /** Entries into regions that wait for a source or a machine with room. */
+  /** Chunks to be transferred into a region that wait for a source or a member with spare capacity. */
   #pendingRegionSeeds: Array<{ region: RegionRow; chunk: number }> = [];
-  /** For each chunk, the members known to have it. */
+  /** Members known to have each chunk, indexed by chunk. */
   readonly #holders: PeerId[][];
   #openOriginFetches = 0;
-  /** Draws that failed since the last one that succeeded. */
+  /** Failed origin fetches since the last successful one. */
   #originFailures = 0;
   #originRetryAt = 0;
   #joinCount = 0;
@@ -92,7 +93,7 @@
     this.#holders = this.#unfetched.map(() => []);
   }
 
-  /** A machine joins with the chunks that it has, at first or after its coordinator changed. */
+  /** Adds a machine with the chunks it already has. Machines also rejoin when their coordinator has changed. */
   onJoin(info: PeerInfo, have: ChunkSet): void {
     if (this.members.has(info.id)) this.onLeave(info.id);
     const member: MemberRow = {
@@ -116,7 +117,7 @@
     for (const chunk of have.values()) this.#markPresent(region, chunk, info.id);
   }
 
-  /** A machine is gone: its grants are given to others. */
+  /** Removes a machine and reassigns its grants. */
   onLeave(id: PeerId): void {
     const member = this.members.get(id);
     if (member === undefined) return;
@@ -128,7 +129,7 @@
     }
   }
 
-  /** A machine tells how many chunks it has, and which ones nobody offers it. */
+  /** Handles a progress report: the number of chunks a machine has, and the chunks that none of its neighbours offers. */
   onReport(id: PeerId, have: number, starving: readonly number[]): void {
     const member = this.members.get(id);
     if (member === undefined) return;
@@ -137,7 +138,7 @@
     for (const chunk of starving) this.#grantStarvingChunk(member, chunk);
   }
 
-  /** A grant has ended. `chunk` tells which one was taken where the machine could choose. */
+  /** Handles the end of a grant. `chunk` is the chunk that was fetched, which the machine may have chosen itself. */
   onGrantEnded(id: PeerId, grantId: number, chunk: number | undefined, succeeded: boolean): void {
     const grant = this.#grants.get(grantId);
     if (grant === undefined || grant.member !== id) return;
@@ -153,12 +154,12 @@
     return this.members.size > 0;
   }
 
-  /** True when a tick would do nothing: every member is complete and no decision waits to be sent. */
+  /** True when a tick would do nothing: every member is complete and no command or grant is pending. */
   get idle(): boolean {
     return this.complete && this.#commands.length === 0 && this.#grants.size === 0;
   }
 
-  /** Grants what the limits allow; `now` is in milliseconds. */
+  /** Expires overdue grants and issues new ones within the limits; `now` is in milliseconds. */
   tick(now: number): CoordinatorCommand[] {
     this.#now = now;
     for (const grant of [...this.#grants.values()]) {
@@ -228,7 +229,7 @@
     }
   }
 
-  /** An origin that fails is tried with one draw at a time, less and less often. */
+  /** Number of concurrent origin fetches allowed now. A failing origin is probed by one fetch at a time, with backoff. */
   #allowedOriginFetches(): number {
     if (this.#originFailures === 0) return this.#init.limits.maxOriginFetches;
     return this.#now < this.#originRetryAt ? 0 : 1;
@@ -245,7 +246,7 @@
     this.#originRetryAt = this.#now + backoff;
   }
 
-  /** Draws a chunk that no machine has. */
+  /** Grants an origin fetch of a chunk that no member has. */
   #grantFirstOriginFetch(): boolean {
     if (this.#init.strategy !== 'swarm') return false;
     const chunk = this.#unfetched.shift();
@@ -262,10 +263,10 @@
     return true;
   }
 
-  /** Lets the machine that lags most draw a chunk of its choice, where the objective allows it. */
+  /** Grants the slowest member an origin fetch of a chunk of its choice, if the objective allows it. */
   #grantExtraOriginFetch(): boolean {
     const { objective, strategy, random } = this.#init;
-    // A machine that waits for a failing origin does not ask its peers for that chunk.
+    // While a machine waits for a failing origin, it does not request that chunk from its peers.
     if (this.#originFailures > 0 && strategy === 'swarm') return false;
     const isWorthwhile =
       objective === 'fastest' && this.members.size <= this.#init.limits.extraFetchMemberLimit;
@@ -312,7 +313,7 @@
     if (grant.chunk !== undefined) this.#requeueSeed(grant.chunk);
   }
 
-  /** Returns a chunk whose grant failed to the queue that it came from. */
+  /** Requeues a chunk whose grant failed. */
   #requeueSeed(chunk: number): void {
     for (const region of this.#regions.values()) {
       if (region.seeds[chunk] !== SeedState.Granted || this.#hasOpenGrant(region, chunk)) continue;
@@ -330,8 +331,8 @@
   }
 
   /**
-   * Helps a machine whose neighbours all lack a chunk that has entered its region, or seemed to. A holder in
-   * the region is the only source as long as one lives; it is not bypassed when it has no room.
+   * Grants a source for a chunk that is recorded as present in the member's region but that none of its neighbours has.
+   * While a holder in the region is alive, only such holders are used as the source, even if all of them are at capacity.
    */
   #grantStarvingChunk(member: MemberRow, chunk: number): void {
     const region = this.#regionOf(member.info.region);
@@ -345,7 +346,7 @@
     this.#grant(member, chunk, { type: 'origin' });
   }
 
-  /** The members known to have a chunk. */
+  /** The members known to have a chunk; if none is known, all members that are complete. */
   #liveHolders(chunk: number): MemberRow[] {
     const holders = this.#holders[chunk].flatMap((id) => this.members.get(id) ?? []);
     return holders.length > 0 ? holders : [...this.#completeMembers()];
@@ -357,7 +358,7 @@
     }
   }
 
-  /** The candidate that serves the fewest grants, among those with room. */
+  /** The candidate that serves the fewest grants, among those with spare capacity. */
   #bestSource(candidates: readonly MemberRow[]): MemberRow | undefined {
     let best: MemberRow | undefined;
     for (const member of candidates) {
