--- a/src/systems/distribution/commands.ts
+++ b/src/systems/distribution/commands.ts
@@ -1,24 +1,25 @@
-/** What the distribution systems decide in a tick; the role around them carries it out. */
+/** Commands issued by a tick of the chunk exchange; the caller executes them. */
 import type { Digest } from '../../model/manifest.js';
 import type { PeerId, PeerInfo } from './transfer.js';
 
-/** Why a machine does not send a chunk. */
+/** Why a machine refuses to send a chunk. */
 export type RefusalReason = 'busy' | 'absent' | 'place';
 
-/** One decision of a tick. */
+/** A command issued by a tick. */
 export type DistributionCommand =
   | {
       type: 'request';
       version: Digest;
       chunk: number;
       peer: PeerInfo;
-      /** Chunks that this machine has, so that the sender can serve whoever has least. */
+      /** Number of chunks this machine has, so that the sender can serve the peer with the fewest first. */
       have: number;
-      /** The only way into this region for the chunk: to be served first. */
+      /** True for a request under a grant: the region may have no other source for the chunk, so it is served first. */
       urgent: boolean;
     }
   | { type: 'greet'; version: Digest; peer: PeerInfo; have: Uint8Array }
   | { type: 'cancel'; version: Digest; chunk: number; peer: PeerId }
+  /** Fetch a chunk from the origin. */
   | { type: 'draw'; version: Digest; chunk: number; grantId: number | undefined }
   | { type: 'send'; version: Digest; chunk: number; peer: PeerId; queueLength: number }
   | {
--- a/src/systems/distribution/node.ts
+++ b/src/systems/distribution/node.ts
@@ -1,6 +1,6 @@
 /**
- * The chunk exchange of one machine: event handlers that write the tables, and a tick that runs the systems
- * over them. It does no I/O and reads no clock; agents, the simulation and hollow processes all run it.
+ * The chunk exchange of one machine: event handlers that update its state, and a tick that derives commands from it.
+ * It does no I/O and reads no clock, so agents, the simulation and the processes of scale tests share it.
  *
  * @example
  * ```ts
@@ -32,10 +32,10 @@
 } from './transfer.js';
 import { selectUploads, type UploadTable } from './upload-selection.js';
 
-/** Weight of the newest answer time in the smoothed one. */
+/** Weight of the latest response time in the exponentially smoothed one. */
 const RESPONSE_TIME_WEIGHT = 0.1;
 
-/** What a node is created from. */
+/** Parameters of a node. */
 export interface DistributionNodeInit {
   limits: DistributionLimits;
   random: Random;
@@ -45,7 +45,7 @@
 export interface ChunkRequest {
   version: Digest;
   chunk: number;
-  /** Chunks that the peer has. */
+  /** Number of chunks the peer has. */
   have: number;
   urgent: boolean;
 }
@@ -63,7 +63,7 @@
     this.#random = init.random;
   }
 
-  /** Starts a transfer, or updates priority and places of one that runs. */
+  /** Starts a transfer, or updates the priority and allowed places of a running one. */
   startTransfer(init: TransferInit, now: number): Transfer {
     const running = this.transfers.get(init.version);
     if (running !== undefined) {
@@ -77,7 +77,7 @@
     return transfer;
   }
 
-  /** Ends a transfer: its open requests are cancelled and its queued uploads refused. */
+  /** Stops a transfer: cancels its open requests and refuses its queued uploads. */
   stopTransfer(version: Digest): void {
     const transfer = this.transfers.get(version);
     if (transfer === undefined) return;
@@ -90,7 +90,7 @@
     }
   }
 
-  /** Adds a peer that may be asked and greets it; peers in places that the version may not reach are left out. */
+  /** Adds a peer to request chunks from and greets it. Peers in places not allowed for the version are ignored. */
   addNeighbour(version: Digest, info: PeerInfo): void {
     const transfer = this.transfers.get(version);
     if (transfer === undefined || !transfer.allowedPlaces.has(info.place)) return;
@@ -99,7 +99,7 @@
     this.#commands.push({ type: 'greet', version, peer: info, have: transfer.have.toBytes() });
   }
 
-  /** A peer greets with all that it has; the greeting is returned once. */
+  /** Handles a greeting that lists all chunks of a peer. A peer that is not a neighbour yet is greeted in return. */
   onGreeting(info: PeerInfo, version: Digest, have: Uint8Array): void {
     this.addNeighbour(version, info);
     const transfer = this.transfers.get(version);
@@ -110,7 +110,7 @@
     }
   }
 
-  /** A neighbour told which chunks it has got. */
+  /** Handles a neighbour's announcement of new chunks. */
   onAnnounce(version: Digest, peer: PeerId, chunks: readonly number[], queueLength: number): void {
     const transfer = this.transfers.get(version);
     const neighbour = transfer?.neighbours.get(peer);
@@ -119,7 +119,7 @@
     for (const chunk of chunks) noteAvailable(transfer, neighbour, chunk);
   }
 
-  /** A peer asks for a chunk. Only machines in allowed places are served. */
+  /** Handles a peer's request for a chunk. Only machines in allowed places are served. */
   onRequest(peer: PeerInfo, request: ChunkRequest, now: number): void {
     const { version, chunk } = request;
     const transfer = this.transfers.get(version);
@@ -140,12 +140,12 @@
     });
   }
 
-  /** A peer no longer wants a chunk. */
+  /** Handles the cancellation of a peer's request. */
   onCancel(peer: PeerId, version: Digest, chunk: number): void {
     this.#takeQueued((row) => row.peer === peer && row.version === version && row.chunk === chunk);
   }
 
-  /** A peer will not send a chunk that was asked of it. */
+  /** Handles a peer's refusal to send a requested chunk. */
   onRefused(
     peer: PeerId,
     version: Digest,
@@ -165,7 +165,7 @@
     else removeNeighbour(transfer, peer, now);
   }
 
-  /** A chunk came whole and matched its digest. Returns false when it was not wanted any more. */
+  /** Handles a complete chunk that matches its digest. Returns false if it is no longer needed. */
   onChunk(
     version: Digest,
     chunk: number,
@@ -187,7 +187,7 @@
     return true;
   }
 
-  /** A chunk came that did not match its digest: it is not kept, and its sender pays for it. */
+  /** Handles a chunk that does not match its digest: it is discarded, and its sender is suspended or removed. */
   onCorruptChunk(version: Digest, chunk: number, peer: PeerId | undefined, now: number): void {
     const transfer = this.transfers.get(version);
     if (transfer === undefined) return;
@@ -201,7 +201,7 @@
       removeNeighbour(transfer, neighbour.info.id, now);
   }
 
-  /** A draw from the origin failed. */
+  /** Handles a failed fetch from the origin. */
   onOriginFetchFailed(version: Digest, chunk: number): void {
     const transfer = this.transfers.get(version);
     const request = transfer?.requests.get(chunk);
@@ -209,7 +209,7 @@
     this.#endRequest(transfer, request, false);
   }
 
-  /** The coordinator lets this machine fetch a chunk from outside its region or from the origin. */
+  /** Handles a grant of the coordinator to fetch a chunk from a given peer or from the origin. */
   onGrant(version: Digest, grant: Grant): void {
     const transfer = this.transfers.get(version);
     if (transfer !== undefined && this.#isAllowedSource(transfer, grant)) {
@@ -220,7 +220,7 @@
     this.#commands.push({ type: 'grantEnded', version, grantId, chunk, succeeded: false });
   }
 
-  /** The connection to a peer is gone, or could not be made. */
+  /** Handles a lost or failed connection to a peer. */
   onPeerLost(peer: PeerId, now: number): void {
     this.#takeQueued((row) => row.peer === peer);
     for (const transfer of this.transfers.values()) {
@@ -231,12 +231,12 @@
     }
   }
 
-  /** An upload that a `send` command started has ended, whole or not. */
+  /** Handles the end of an upload started by a `send` command, whether or not it was complete. */
   onUploadEnded(): void {
     this.uploads.active--;
   }
 
-  /** Runs the systems over the tables; `now` is in milliseconds. */
+  /** Derives the next commands from the state; `now` is in milliseconds. */
   tick(now: number): DistributionCommand[] {
     const commands = this.#commands;
     this.#commands = [];
