--- a/src/systems/distribution/request-expiry.ts
+++ b/src/systems/distribution/request-expiry.ts
@@ -1,11 +1,11 @@
-/** Gives up requests that a stalled peer or origin has not answered in time, so that another is asked. */
+/** Cancels requests that a peer or the origin has not answered in time, so that another source is asked. */
 import { abandonRequest, type RequestContext } from './request-selection.js';
 import type { RequestRow, Transfer } from './transfer.js';
 
-/** Longest backoff after repeated stalls, as a power of two of the first. */
+/** Maximum number of times the backoff doubles after consecutive timeouts. */
 const MAX_BACKOFF_DOUBLINGS = 5;
 
-/** Closes every request past its deadline and suspends the peer that let it pass. */
+/** Closes every request past its deadline and suspends the peer that did not answer it. */
 export function expireRequests(transfer: Transfer, context: RequestContext): void {
   for (const request of [...transfer.requests.values()]) {
     if (request.deadline > context.now) continue;
--- a/src/systems/distribution/request-selection.ts
+++ b/src/systems/distribution/request-selection.ts
@@ -1,23 +1,23 @@
 /**
- * Chooses which chunk to ask of whom: the rarest chunk among those that a peer with room offers, ties broken
- * at random, and for it the peer with the shortest queue.
+ * Selects the next chunk to request and the peer to request it from: the rarest chunk offered by a peer with spare
+ * capacity, with ties broken at random, from the peer with the shortest queue.
  */
 import type { Random } from '../../model/random.js';
 import type { DistributionCommand } from './commands.js';
 import type { DistributionLimits } from './limits.js';
 import type { Grant, NeighbourRow, PeerInfo, RequestRow, Transfer } from './transfer.js';
 
-/** State that the request systems share in one tick. */
+/** State shared by request selection and expiry within one tick. */
 export interface RequestContext {
   now: number;
   limits: DistributionLimits;
   random: Random;
-  /** Open requests over all transfers; the systems keep it up to date. */
+  /** Open requests without a grant, over all transfers; updated as requests are opened and closed. */
   inFlight: number;
   commands: DistributionCommand[];
 }
 
-/** Turns grants into requests, before any other request. */
+/** Turns the received grants into requests. Runs before any other request is selected. */
 export function applyGrants(transfer: Transfer, context: RequestContext): void {
   for (const grant of transfer.grants.splice(0)) applyGrant(transfer, grant, context);
 }
@@ -40,7 +40,7 @@
   requestFrom(transfer, chunk, grant.source.peer, grantId, context);
 }
 
-/** Fills the free request slots of this machine. */
+/** Opens requests until the limit of concurrent requests is reached. */
 export function selectRequests(transfer: Transfer, context: RequestContext): void {
   while (context.inFlight < context.limits.requestsInFlight) {
     const chunk = rarestOffered(transfer, context);
@@ -51,7 +51,7 @@
   }
 }
 
-/** Asks others for chunks that were asked for long ago, once every missing chunk has been asked for. */
+/** Once every missing chunk is requested, moves overdue requests to other peers. */
 function reassignOverdueRequests(transfer: Transfer, context: RequestContext): void {
   const { now, limits } = context;
   if (transfer.have.size + transfer.requests.size < transfer.have.capacity) return;
@@ -99,7 +99,7 @@
   if (grantId === undefined) context.inFlight++;
 }
 
-/** How long to wait for a chunk; what only one machine may fetch is waited for longer. */
+/** Timeout of a request. It is longer for grants, because no other machine may fetch the chunk meanwhile. */
 function timeoutFor(
   transfer: Transfer,
   peer: string | undefined,
@@ -111,7 +111,7 @@
   return Math.max(limits.requestTimeoutFloor, transfer.smoothedResponseTime * limits.requestTimeoutFactor);
 }
 
-/** Gives an open request up and tells the peer, if one was asked. */
+/** Closes an open request and cancels it at the peer, if it was sent to one. */
 export function closeRequest(transfer: Transfer, request: RequestRow, context: RequestContext): void {
   removeRequest(transfer, request);
   if (request.grantId === undefined) context.inFlight--;
@@ -120,7 +120,7 @@
   context.commands.push({ type: 'cancel', version: transfer.version, chunk, peer });
 }
 
-/** Gives an open request up, and returns the grant that it used. */
+/** Closes an open request and ends its grant, if any, as failed. */
 export function abandonRequest(transfer: Transfer, request: RequestRow, context: RequestContext): void {
   closeRequest(transfer, request, context);
   const { chunk, grantId } = request;
@@ -128,7 +128,7 @@
   context.commands.push({ type: 'grantEnded', version: transfer.version, grantId, chunk, succeeded: false });
 }
 
-/** Removes an open request from the tables. */
+/** Removes an open request from the transfer's state. */
 export function removeRequest(transfer: Transfer, request: RequestRow): void {
   transfer.requests.delete(request.chunk);
   const neighbour = request.peer === undefined ? undefined : transfer.neighbours.get(request.peer);
