--- a/src/systems/distribution/limits.ts
+++ b/src/systems/distribution/limits.ts
@@ -1,32 +1,35 @@
-/** Limits of the chunk exchange. Durations are in milliseconds of the tick's clock. */
+/** Limits of the chunk exchange. Durations are in milliseconds of the clock passed to `tick`. */
 export interface DistributionLimits {
-  /** Chunk requests that one machine keeps open over all its transfers. */
+  /** Concurrent chunk requests of one machine over all its transfers, apart from those under grants. */
   requestsInFlight: number;
-  /** Chunk requests that one machine keeps open at one peer. */
+  /** Concurrent chunk requests of one machine to one peer. */
   requestsPerPeer: number;
-  /** Requests that a machine queues before it refuses further ones as busy. */
+  /** Queued upload requests above which a machine refuses further ones as busy. */
   uploadQueue: number;
-  /** Chunks that a machine sends at the same time. */
+  /** Concurrent uploads of one machine. */
   uploadsActive: number;
-  /** Time for a request under a grant, and for any as long as no answer has told how long one takes. */
+  /** Timeout of a request made under a grant, and of any request until a response time has been measured. */
   firstRequestTimeout: number;
-  /** Shortest time before an unanswered request is given up. */
+  /** Lower bound of the request timeout. */
   requestTimeoutFloor: number;
-  /** A request is given up after this many times the usual answer time. */
+  /** Request timeout as a multiple of the smoothed response time. */
   requestTimeoutFactor: number;
-  /** Time for one draw from the origin. */
+  /** Timeout of one fetch from the origin. */
   originFetchTimeout: number;
-  /** A request older than this, and than the usual answer time, may be moved to another peer at the end. */
+  /**
+   * Once every missing chunk is requested, a request older than both this and the smoothed response time may be
+   * reassigned to another peer.
+   */
   overdueTimeFloor: number;
-  /** Time for which a peer that refused as busy is not asked again. */
+  /** Time for which a peer is not asked again after it refused as busy. */
   busyBackoff: number;
-  /** Time for which a peer that let a request time out is not asked again; doubles with each strike. */
+  /** Time for which a peer is not asked again after a request to it timed out; doubles with each consecutive timeout. */
   stallBackoff: number;
-  /** Corrupt chunks after which a peer is not asked again in this transfer. */
+  /** Number of corrupt chunks after which a peer is excluded from this transfer. */
   maxCorruptChunks: number;
-  /** Longest time between two announcements of new chunks to neighbours. */
+  /** Upper bound of the time between two announcements of new chunks to neighbours. */
   announceInterval: number;
-  /** Shortest time between two announcements; in between, half of the usual answer time. */
+  /** Lower bound of the same; between the two bounds, the interval is half of the smoothed response time. */
   announceIntervalFloor: number;
   /** Time between two progress reports to the coordinator. */
   reportInterval: number;
--- a/src/systems/distribution/transfer.ts
+++ b/src/systems/distribution/transfer.ts
@@ -1,61 +1,61 @@
-/** The tables of one transfer: what this machine has of a version, its neighbours and its open requests. */
+/** State of one transfer: the chunks this machine has of a version, its neighbours and its open requests. */
 import { ChunkSet } from '../../model/chunk-set.js';
 import type { Digest } from '../../model/manifest.js';
 
-/** Identity of an agent process: a process replaced under the same address has another one. */
+/** Identity of an agent process. A new process at the same address has a new identity. */
 export type PeerId = string;
 
-/** What a machine needs to know of a peer before it exchanges chunks with it. */
+/** What a machine needs to know about a peer to exchange chunks with it. */
 export interface PeerInfo {
   id: PeerId;
-  /** `host:port` of the peer's exchange. */
+  /** `host:port` of the peer's chunk exchange. */
   address: string;
   place: string;
   region: string;
   zone: string;
 }
 
-/** Which measure a deployment weighs most; see docs/design/distribution.md. */
+/** What a deployment optimizes for; see docs/design/distribution.md. */
 export type Objective = 'fastest' | 'leastOriginBytes';
 
-/** Where a chunk is drawn from. */
+/** Where a chunk is fetched from. */
 export type ChunkSource = { type: 'origin' } | { type: 'peer'; peer: PeerInfo };
 
-/** Leave to fetch a chunk from outside the region; `chunk` is undefined where the machine may choose. */
+/** Permission to fetch a chunk from a given source; `chunk` is undefined if the machine may choose it. */
 export interface Grant {
   grantId: number;
   chunk: number | undefined;
   source: ChunkSource;
 }
 
-/** A peer that this machine asks for chunks. */
+/** A peer that this machine requests chunks from. */
 export interface NeighbourRow {
   info: PeerInfo;
   have: ChunkSet;
-  /** Open requests of ours at the peer. */
+  /** Open requests of this machine at the peer. */
   outstanding: number;
-  /** Length of the peer's upload queue as it last said. */
+  /** Length of the peer's upload queue, as it last reported. */
   queueLength: number;
-  /** Not asked before this time. */
+  /** The peer is not asked before this time. */
   suspendedUntil: number;
-  /** Requests in a row that timed out. */
+  /** Consecutive requests that timed out. */
   stalls: number;
   /** Chunks from this peer that did not match their digest. */
   corruptChunks: number;
 }
 
-/** A chunk that was asked for and has not come yet. */
+/** An open request for a chunk. */
 export interface RequestRow {
   chunk: number;
-  /** The peer asked, or undefined for the origin. */
+  /** The peer the chunk is requested from; undefined for the origin. */
   peer: PeerId | undefined;
   requestedAt: number;
   deadline: number;
-  /** The grant that this request uses, if any. */
+  /** The grant under which the request is made, if any. */
   grantId: number | undefined;
 }
 
-/** How a transfer is declared. */
+/** Parameters of a transfer. */
 export interface TransferInit {
   version: Digest;
   chunkCount: number;
@@ -63,34 +63,35 @@
   priority: number;
   /** Places whose machines may hold chunks of this version. */
   allowedPlaces: ReadonlySet<string>;
-  /** Chunks that are in memory already, from an earlier version. */
+  /** Chunks already in memory, from an earlier version. */
   have?: ChunkSet;
 }
 
-/** All rows of one transfer. */
+/** The state of one transfer. */
 export interface Transfer {
   version: Digest;
   priority: number;
   allowedPlaces: ReadonlySet<string>;
   have: ChunkSet;
   neighbours: Map<PeerId, NeighbourRow>;
-  /** For each chunk, how many neighbours have it. */
+  /** Number of neighbours that have each chunk. */
   availability: Uint16Array;
-  /** For each chunk, since when it has been missing with no neighbour that offers it. */
+  /** For each chunk, the time since which no neighbour has offered it. */
   unavailableSince: Float64Array;
   /** Open requests by chunk. */
   requests: Map<number, RequestRow>;
-  /** Grants received and not yet turned into requests. */
+  /** Received grants that have not been turned into requests yet. */
   grants: Grant[];
+  /** Received chunks that have not been announced to the neighbours yet. */
   unannounced: number[];
   announcedAt: number;
   reportedAt: number;
   reportedComplete: boolean;
-  /** Smoothed time from request to chunk, in milliseconds; 0 before the first. */
+  /** Smoothed time from a request to its chunk, in milliseconds; 0 before the first response. */
   smoothedResponseTime: number;
 }
 
-/** Creates the tables of a transfer at time `now`. */
+/** Creates the state of a transfer that starts at `now`. */
 export function createTransfer(init: TransferInit, now: number): Transfer {
   return {
     version: init.version,
@@ -110,18 +111,18 @@
   };
 }
 
-/** Creates the row of a peer that has offered nothing yet. */
+/** Creates the state of a peer that has not offered any chunk yet. */
 export function createNeighbour(transfer: Transfer, info: PeerInfo): NeighbourRow {
   const have = new ChunkSet(transfer.have.capacity);
   return { info, have, outstanding: 0, queueLength: 0, suspendedUntil: 0, stalls: 0, corruptChunks: 0 };
 }
 
-/** Notes that a neighbour has a chunk. */
+/** Records that a neighbour has a chunk. */
 export function noteAvailable(transfer: Transfer, neighbour: NeighbourRow, chunk: number): void {
   if (neighbour.have.add(chunk)) transfer.availability[chunk]++;
 }
 
-/** Removes a neighbour and all that it offered. */
+/** Removes a neighbour and the chunks it offered. */
 export function removeNeighbour(transfer: Transfer, peer: PeerId, now: number): void {
   const neighbour = transfer.neighbours.get(peer);
   if (neighbour === undefined) return;
