--- a/src/systems/distribution/neighbour-selection.ts
+++ b/src/systems/distribution/neighbour-selection.ts
@@ -1,18 +1,18 @@
-/** Chooses who exchanges chunks with whom: machines of one region, which no expensive link parts. */
+/** Selects the peers of each machine: machines of the same region, so that chunks do not cross expensive links. */
 import { type Random, shuffle } from '../../model/random.js';
 import type { MemberRow } from './coordinator-tables.js';
 import type { PeerId } from './transfer.js';
 
-/** How chunks reach the machines; `tree` and `origin` are baselines for measurements. */
+/** Distribution strategy. `tree` and `origin` are baselines for benchmarks. */
 export type DistributionStrategy = 'swarm' | 'tree' | 'origin';
 
-/** Children of a machine in the `tree` baseline. */
+/** Children of each machine in the `tree` baseline. */
 const TREE_FAN_OUT = 2;
 
-/** Machines looked at for each neighbour chosen; of these the ones with the fewest neighbours are taken. */
+/** Candidates sampled for each neighbour selected; the candidates with the fewest neighbours are chosen. */
 const SAMPLES_PER_NEIGHBOUR = 2;
 
-/** The peers that `member` is told of when it joins, given those that joined before it. */
+/** The neighbours assigned to `member` when it joins, chosen among the machines that joined before it. */
 export function selectNeighbours(
   strategy: DistributionStrategy,
   member: MemberRow,
--- a/src/systems/distribution/upload-selection.ts
+++ b/src/systems/distribution/upload-selection.ts
@@ -1,31 +1,31 @@
 /**
- * Chooses which queued request to serve next: entries into a region first, then the transfer of higher
- * priority, then the machine that has least, so that all machines finish together and no link idles early.
+ * Selects the queued upload to serve next: requests under grants first, then the transfer with the higher priority,
+ * then the peer with the fewest chunks, so that all machines finish at about the same time and no link is idle early.
  */
 import type { Digest } from '../../model/manifest.js';
 import type { DistributionCommand } from './commands.js';
 import type { DistributionLimits } from './limits.js';
 import type { PeerId } from './transfer.js';
 
-/** A request of a peer that waits to be served. */
+/** A peer's queued request for a chunk. */
 export interface UploadRow {
   peer: PeerId;
   version: Digest;
   chunk: number;
-  /** Chunks that the peer had when it asked. */
+  /** Number of chunks the peer had when it sent the request. */
   peerHave: number;
   urgent: boolean;
   priority: number;
   queuedAt: number;
 }
 
-/** The upload side of one machine. */
+/** Queued and active uploads of one machine. */
 export interface UploadTable {
   queued: UploadRow[];
   active: number;
 }
 
-/** Starts uploads while slots are free. */
+/** Starts uploads while upload slots are free. */
 export function selectUploads(
   table: UploadTable,
   limits: DistributionLimits,
