--- a/src/systems/distribution/announcing.ts
+++ b/src/systems/distribution/announcing.ts
@@ -1,13 +1,13 @@
-/** Tells neighbours of new chunks, and the coordinator of progress and of chunks that nobody offers. */
+/** Announces new chunks to neighbours, and reports progress and chunks that no neighbour offers to the coordinator. */
 import type { DistributionCommand } from './commands.js';
 import type { DistributionLimits } from './limits.js';
 import type { Transfer } from './transfer.js';
 
-/** Most starving chunks named in one report. */
+/** Maximum number of starving chunks listed in one report. */
 const MAX_STARVING_IN_REPORT = 16;
 const ANNOUNCE_SHARE_OF_RESPONSE_TIME = 0.5;
 
-/** Announces the chunks that came since the last announcement to the neighbours that lack some. */
+/** Announces the chunks received since the last announcement to all neighbours that are not complete. */
 export function announceChunks(
   transfer: Transfer,
   now: number,
@@ -26,13 +26,13 @@
   commands.push({ type: 'announce', version: transfer.version, chunks, peers, queueLength });
 }
 
-/** Chunks that come slowly are announced slowly, so that control bytes follow the rate of the transfer. */
+/** The interval grows with the response time, so that control traffic is proportional to the transfer rate. */
 function announceInterval(transfer: Transfer, limits: DistributionLimits): number {
   const wanted = transfer.smoothedResponseTime * ANNOUNCE_SHARE_OF_RESPONSE_TIME;
   return Math.min(limits.announceInterval, Math.max(limits.announceIntervalFloor, wanted));
 }
 
-/** Reports progress at the report interval, and at once when the transfer is complete. */
+/** Reports progress at the report interval, and immediately when the transfer completes. */
 export function reportProgress(
   transfer: Transfer,
   now: number,
