--- a/test/systems/burst-coordinator.test.ts
+++ b/test/systems/burst-coordinator.test.ts
@@ -43,7 +43,7 @@
   );
 }
 
-/** Lets every grant succeed until no more come; returns all of them. */
+/** Completes every grant successfully until no more are issued; returns all of them. */
 function runToEnd(coordinator: BurstCoordinator): Array<{ member: string; grant: Grant }> {
   const all: Array<{ member: string; grant: Grant }> = [];
   for (let round = 0; round < 1_000; round++) {
@@ -60,7 +60,7 @@
 }
 
 describe('leastOriginBytes', () => {
-  it('draws each chunk once, and lets it cross into each other region once', () => {
+  it('fetches each chunk from the origin once and transfers it into each other region once', () => {
     const coordinator = coordinatorFor('leastOriginBytes');
     for (const region of ['region-a', 'region-b', 'region-c']) {
       join(coordinator, `${region}-1`, region);
@@ -74,14 +74,14 @@
     expect(crossings).toHaveLength(2 * CHUNKS);
   });
 
-  it('draws nothing that a machine brought along', () => {
+  it('does not fetch chunks from the origin that a joining machine already has', () => {
     const coordinator = coordinatorFor('leastOriginBytes');
     join(coordinator, 'seed', 'region-a', full());
     join(coordinator, 'empty', 'region-a');
     expect(runToEnd(coordinator)).toEqual([]);
   });
 
-  it('learns from rejoining machines what it need not draw after the coordinator was replaced', () => {
+  it('after the coordinator is replaced, fetches only chunks that no rejoining machine has', () => {
     const coordinator = coordinatorFor('leastOriginBytes');
     const half = new ChunkSet(CHUNKS);
     for (let chunk = 0; chunk < CHUNKS / 2; chunk++) half.add(chunk);
@@ -93,7 +93,7 @@
 });
 
 describe('fastest', () => {
-  it('goes on drawing for machines that lag, up to a size of the burst', () => {
+  it('grants extra origin fetches to slow machines, up to a limit of members', () => {
     for (const [extraFetchMemberLimit, expected] of [
       [2, true],
       [1, false],
@@ -108,7 +108,7 @@
 });
 
 describe('failures', () => {
-  it('keeps the number of open draws within its ration', () => {
+  it('limits the number of concurrent origin fetches', () => {
     const coordinator = coordinatorFor('fastest', { maxOriginFetches: 3 });
     for (let index = 0; index < 10; index++) join(coordinator, `machine-${index}`);
     expect(grantsIn(coordinator.tick(0))).toHaveLength(3);
@@ -116,14 +116,14 @@
   });
 
   it.each([
-    ['the machine is gone', 0, (c: BurstCoordinator, m: string) => c.onLeave(m)],
+    ['the machine leaves', 0, (c: BurstCoordinator, m: string) => c.onLeave(m)],
     [
-      'the draw failed',
+      'the fetch fails',
       0,
       (c: BurstCoordinator, m: string, g: Grant) => c.onGrantEnded(m, g.grantId, g.chunk, false),
     ],
-    ['nothing is heard in time', DEFAULT_COORDINATOR_LIMITS.grantTimeout, () => {}],
-  ])('gives a draw to another machine when %s', (_, from, fail) => {
+    ['the grant times out', DEFAULT_COORDINATOR_LIMITS.grantTimeout, () => {}],
+  ])('grants an origin fetch again when %s', (_, from, fail) => {
     const coordinator = coordinatorFor('leastOriginBytes', { maxOriginFetches: 1 });
     join(coordinator, 'first');
     join(coordinator, 'second');
@@ -148,7 +148,7 @@
     expect(grantsIn(coordinator.tick(1))).toEqual([]);
   });
 
-  it('relieves a starving machine from its own region before any other', () => {
+  it('serves a starving machine from its own region first', () => {
     const coordinator = coordinatorFor('leastOriginBytes');
     join(coordinator, 'far', 'region-b', full());
     join(coordinator, 'near', 'region-a', full());
@@ -159,7 +159,7 @@
     expect(grant).toMatchObject({ chunk: 5, source: { type: 'peer', peer: { id: 'near' } } });
   });
 
-  it('draws a starving chunk again when nobody is left who had it', () => {
+  it('fetches a starving chunk from the origin again when no holder is left', () => {
     const coordinator = coordinatorFor('leastOriginBytes');
     join(coordinator, 'seed', 'region-a', full());
     join(coordinator, 'starving', 'region-a');
--- a/test/systems/distribution-node.test.ts
+++ b/test/systems/distribution-node.test.ts
@@ -40,7 +40,7 @@
 }
 
 describe('serving chunks', () => {
-  it('sends a chunk that it has to a machine in an allowed place', () => {
+  it('sends a chunk to a machine in an allowed place', () => {
     const node = nodeWith([3]);
     ask(node, 'near', 3);
     expect(ofType(node.tick(1), 'send')).toMatchObject([{ chunk: 3, peer: 'near' }]);
@@ -57,14 +57,14 @@
     expect(ofType(commands, 'refuse')).toMatchObject([{ chunk, reason }]);
   });
 
-  it('refuses at once what exceeds its queue', () => {
+  it('refuses requests beyond its queue limit as busy', () => {
     const node = nodeWith([3]);
     const { uploadQueue } = DEFAULT_DISTRIBUTION_LIMITS;
     for (let index = 0; index <= uploadQueue; index++) ask(node, `asker-${index}`, 3);
     expect(ofType(node.tick(1), 'refuse')).toMatchObject([{ peer: `asker-${uploadQueue}`, reason: 'busy' }]);
   });
 
-  it('serves higher priority first, then whoever has least', () => {
+  it('serves the higher priority first, then the peer with the fewest chunks', () => {
     const node = nodeWith([0, 1, 2, 3], { ...DEFAULT_DISTRIBUTION_LIMITS, uploadsActive: 4 });
     start(node, OTHER_VERSION, 5, [0]);
     ask(node, 'rich', 0, 7);
@@ -74,14 +74,14 @@
     expect(order).toEqual(['preferred', 'poor', 'rich']);
   });
 
-  it('drops what a peer no longer wants', () => {
+  it('drops a queued request that the peer cancels', () => {
     const node = nodeWith([3]);
     ask(node, 'near', 3);
     node.onCancel('near', VERSION, 3);
     expect(ofType(node.tick(1), 'send')).toEqual([]);
   });
 
-  it('serves nothing more of a version that was stopped', () => {
+  it('stops serving a version when its transfer is stopped', () => {
     const node = nodeWith([3]);
     ask(node, 'near', 3);
     node.stopTransfer(VERSION);
@@ -99,7 +99,7 @@
     return node;
   }
 
-  it('never asks a machine in a place that is not allowed', () => {
+  it('never requests chunks from a machine in a place that is not allowed', () => {
     const node = nodeWith();
     node.onGreeting(peer('outside', 'forbidden'), VERSION, ALL.toBytes());
     node.onGrant(VERSION, {
@@ -112,7 +112,7 @@
     expect(ofType(commands, 'grantEnded')).toMatchObject([{ grantId: 1, succeeded: false }]);
   });
 
-  it('forgets neighbours in a place that a changed declaration forbids', () => {
+  it('removes neighbours in places that are no longer allowed', () => {
     const node = nodeBesideSeeds(['seed']);
     node.startTransfer(
       { version: VERSION, chunkCount: CHUNKS, priority: 0, allowedPlaces: new Set(['place-b']) },
@@ -121,7 +121,7 @@
     expect(ofType(node.tick(2), 'request')).toEqual([]);
   });
 
-  it('asks the rarest chunk first', () => {
+  it('requests the rarest chunk first', () => {
     const node = nodeWith([], { ...DEFAULT_DISTRIBUTION_LIMITS, requestsInFlight: 1 });
     const common = new ChunkSet(CHUNKS);
     for (const chunk of [0, 1, 2, 3, 4, 5, 6]) common.add(chunk);
@@ -130,14 +130,14 @@
     expect(ofType(node.tick(1), 'request')).toMatchObject([{ chunk: 7 }]);
   });
 
-  it('asks for the transfer of higher priority first', () => {
+  it('requests chunks of the transfer with the higher priority first', () => {
     const node = nodeWith([], { ...DEFAULT_DISTRIBUTION_LIMITS, requestsInFlight: 1 });
     start(node, OTHER_VERSION, 5);
     for (const version of [VERSION, OTHER_VERSION]) node.onGreeting(peer('seed'), version, ALL.toBytes());
     expect(ofType(node.tick(1), 'request')).toMatchObject([{ version: OTHER_VERSION }]);
   });
 
-  it('asks another machine when one stalls, and leaves the stalled one alone', () => {
+  it('moves timed-out requests to another machine and suspends the stalled one', () => {
     const node = nodeBesideSeeds(['stalled']);
     node.tick(1);
     const later = 2 + DEFAULT_DISTRIBUTION_LIMITS.firstRequestTimeout;
@@ -149,7 +149,7 @@
     );
   });
 
-  it('asks elsewhere at once when a machine is lost', () => {
+  it('closes the requests to a lost machine so that others are asked', () => {
     const node = nodeBesideSeeds(['dying', 'living']);
     node.tick(1);
     node.onPeerLost('dying', 2);
@@ -159,7 +159,7 @@
     expect([...node.transfers.get(VERSION)!.availability]).toEqual(Array(CHUNKS).fill(1));
   });
 
-  it('asks a sender of corrupt chunks no more, and still wants the chunk', () => {
+  it('excludes a sender of corrupt chunks and requests the chunks elsewhere', () => {
     const node = nodeBesideSeeds(['corrupt']);
     const asked = ofType(node.tick(1), 'request');
     node.onCorruptChunk(VERSION, asked[0].chunk, 'corrupt', 2);
@@ -170,7 +170,7 @@
     expect(ofType(node.tick(100_001), 'request').length).toBeGreaterThan(0);
   });
 
-  it('takes a chunk once, and cancels where it was asked a second time', () => {
+  it('accepts a chunk once and cancels a request for it at another peer', () => {
     const node = nodeBesideSeeds(['seed']);
     const [{ chunk }] = ofType(node.tick(1), 'request');
     expect(node.onChunk(VERSION, chunk, 'stranger', 0, 2)).toBe(true);
@@ -178,14 +178,14 @@
     expect(ofType(node.tick(4), 'cancel')).toMatchObject([{ chunk, peer: 'seed' }]);
   });
 
-  it('reports a chunk that nobody offers as starving', () => {
+  it('reports a chunk that no neighbour offers as starving', () => {
     const node = nodeWith([0, 1, 2, 3, 4, 5, 6]);
     const { reportInterval, starvationTime } = DEFAULT_DISTRIBUTION_LIMITS;
     const commands = node.tick(Math.max(reportInterval, starvationTime) + 1);
     expect(ofType(commands, 'report')).toMatchObject([{ have: 7, starving: [7] }]);
   });
 
-  it('reports completion at once and only once', () => {
+  it('reports completion immediately and only once', () => {
     const node = nodeWith([0, 1, 2, 3, 4, 5, 6]);
     node.onChunk(VERSION, 7, 'seed', 0, 1);
     expect(ofType(node.tick(2), 'report')).toMatchObject([{ have: CHUNKS }]);
