--- a/test/simulation/burst.test.ts
+++ b/test/simulation/burst.test.ts
@@ -13,13 +13,13 @@
 };
 
 describe('a burst in virtual time', () => {
-  it('comes near the lower bound', () => {
+  it('finishes within 10 % of the lower bound', () => {
     const report = simulateBurst({ ...SMALL, chunkCount: undefined });
     expect(report.complete).toBe(true);
     expect(report.ratioToBound).toBeLessThanOrEqual(1.1);
   });
 
-  it('takes one copy from the origin, and one into each other region, where origin bytes weigh most', () => {
+  it('fetches one copy from the origin and one into each other region with `leastOriginBytes`', () => {
     const fastest = simulateBurst(SMALL);
     const least = simulateBurst({ ...SMALL, objective: 'leastOriginBytes' });
     expect(least.originCopies).toBeLessThanOrEqual(1.02);
@@ -27,7 +27,7 @@
     expect(least.secondsToAll).toBeLessThanOrEqual(1.1 * fastest.secondsToAll);
   });
 
-  it('keeps the control traffic of a machine within its budget', () => {
+  it('keeps the control traffic of each machine within its limit', () => {
     expect(simulateBurst(SMALL).controlBytesPerSecondPerAgent.max).toBeLessThanOrEqual(12_000);
   });
 
@@ -37,12 +37,12 @@
     expect(baseline.secondsToAll).toBeGreaterThan(simulateBurst(SMALL).secondsToAll);
   });
 
-  it('gives the same result for the same seed', () => {
+  it('is deterministic for a given seed', () => {
     expect(simulateBurst(SMALL)).toEqual(simulateBurst(SMALL));
   });
 
   it.each(SIMULATED_FAULTS.map((fault) => [fault.name, fault] as const))(
-    'keeps its promises under %s',
+    'completes without violations under %s',
     (_, fault) => {
       for (const objective of ['fastest', 'leastOriginBytes'] as const) {
         const report = simulateBurst({ ...SMALL, objective, fault });
