--- a/src/systems/membership/membership.ts
+++ b/src/systems/membership/membership.ts
@@ -1,12 +1,13 @@
 /**
- * Which entries there are and which agents they are home to, as one entry knows it. Each entry keeps a record of its
- * own ({@link HomeRecord}); records travel over links between entries, at most three of them: from the home to the
- * entries of its zone, from one of these to an entry of another zone, and from there to that zone's entries.
+ * One entry's view of all entries and of the agents they are home to. Each entry maintains a record of its own
+ * ({@link HomeRecord}). Records are propagated over links between entries, in at most three hops: from the home to the
+ * entries of its zone, from one of these to an entry of another zone, and from there to the entries of that zone.
  *
- * On each link a side *offers* records: to its own zone its own one and those that it has from links to other zones;
- * to other zones its own one and those that entries of its zone offer of themselves. Each entry passes a version on at
- * most once, so news cannot circle, however many links there are between two zones. A record that no link offers any
- * more is dropped some time later. Digests of what is offered, sent now and then, find what differs.
+ * On each link, an entry *offers* records. Within its zone it offers its own record and those received from other
+ * zones; to other zones it offers its own record and those that entries of its zone offer of themselves. Each entry
+ * forwards a version at most once, so updates cannot loop, however many links there are between two zones. A record that
+ * is no longer offered on any link is dropped after a grace period. Periodic digests of the offered records detect
+ * differences.
  *
  * ```ts
  * const membership = new Membership(self, { send, onAgentsChanged, onEntriesChanged });
@@ -20,35 +21,37 @@
 import { digestPart, type HomeRecord, judgeNews, wholeNews } from './home-record.js';
 import { LINK_CLASSES, type LinkClass, type OfferLink, Offers } from './offers.js';
 
-/** Time for which the agents of an entry that died are kept, so that they can report elsewhere, in milliseconds. */
+/** Time for which the agents of a dead entry are kept, so that they can report to another home, in milliseconds. */
 export const DIED_GRACE = 5_000;
-/** Time for which records are kept that no link offers, though nobody saw their entry die, in milliseconds. */
+/** Time for which records that no link offers are kept if their entry is not known to be dead, in milliseconds. */
 export const UNREACHED_GRACE = 10_000;
 
-/** What the membership asks of whoever runs it. */
+/** Callbacks of a {@link Membership}. */
 export interface MembershipOutput {
-  /** Sends to the entry at the other end of a link. */
+  /** Sends a message to the entry at the other end of a link. */
   send(link: string, message: MembershipMessage): void;
-  /** What counts at these addresses of agents may have changed. */
+  /** The current agents at these addresses may have changed. */
   onAgentsChanged(addresses: ReadonlySet<string>): void;
-  /** An entry came, changed or went. */
+  /** An entry was added, changed or removed. */
   onEntriesChanged(): void;
 }
 
+/** The pending removal of a record that no link offers. */
 interface Retirement {
+  /** When the record is removed. */
   at: number;
-  /** True when the entry was seen to go: it is then no address for callers any more. */
+  /** True if the entry is known to be dead; callers are then no longer sent to it. */
   died: boolean;
 }
 
-/** What was published and not sent yet: identities of agents, and the entry's word on itself if that changed. */
+/** Published changes that have not been sent yet: identities of agents, and the entry's own info if it changed. */
 interface UnsentNews {
   changed: Set<string>;
   gone: Set<string>;
   info: EntryInfo | undefined;
 }
 
-/** The membership as one entry knows it. */
+/** One entry's view of the membership. */
 export class Membership {
   readonly #output: MembershipOutput;
   readonly #own: HomeRecord;
@@ -65,19 +68,19 @@
     this.#offers = new Offers(self.id);
   }
 
-  /** The other entries that callers may be sent to. */
+  /** The other entries to which callers may be sent. */
   get entries(): EntryInfo[] {
     const others = [...this.#records.values()].filter((record) => record !== this.#own);
     return others.filter(({ info }) => !this.#retirements.get(info.id)?.died).map(({ info }) => info);
   }
 
-  /** Who counts at an agent's address, and the zone of its home. */
+  /** The current agent at an address, and the zone of its home. */
   agentAt(address: string): (AgentCandidate & { homeZone: string }) | undefined {
     const best = this.#candidates.best(address);
     return best && { ...best, homeZone: this.#records.get(best.home)!.info.zone };
   }
 
-  /** Whether some link, other than `without`, offers a record of the zone. */
+  /** Whether any link other than `without` offers a record of the zone. */
   hears(zone: string, without?: string): boolean {
     return [...this.#offers.links.values()].some((link) => {
       return link.id !== without && this.#offeredOf(link, zone).length > 0;
@@ -85,8 +88,8 @@
   }
 
   /**
-   * Changes the own record: agents homed here that have told something, and those that are gone. It counts here at
-   * once; the others are told by {@link sendOwnNews}.
+   * Updates the own record with statuses of agents homed here and the identities of agents that are gone. The change
+   * takes effect here immediately; {@link sendOwnNews} sends it to the other entries.
    */
   publish(statuses: readonly AgentStatus[], gone: readonly string[]): void {
     const changed = this.#change(this.#own, statuses, gone);
@@ -101,13 +104,13 @@
     if (changed.size > 0) this.#output.onAgentsChanged(changed);
   }
 
-  /** Changes what the own record says of this entry itself. */
+  /** Updates this entry's own info in its record. */
   publishSelf(info: EntryInfo): void {
     this.#own.info = info;
     this.#unsent.info = info;
   }
 
-  /** Sends what was published since the last time, as the next version. */
+  /** Sends the changes published since the last call as the next version of the record. */
   sendOwnNews(): void {
     const { changed, gone, info } = this.#unsent;
     if (changed.size + gone.size === 0 && info === undefined) return;
@@ -127,14 +130,14 @@
     for (const linkClass of LINK_CLASSES) this.#sendToClass(linkClass, news);
   }
 
-  /** A link to another entry is open. */
+  /** Handles a new link to another entry. */
   linkOpened(id: string, linkClass: LinkClass): void {
     const link = this.#offers.open(id, linkClass);
     for (const record of this.#offeredTo(linkClass)) this.#output.send(id, wholeNews(record));
     if (linkClass === 'far') this.#sendOffered(link, this.#own.info.zone);
   }
 
-  /** A link is gone. An entry of the own zone is then taken for dead, those of other zones for out of reach. */
+  /** Handles the loss of a link. An entry of the own zone is then considered dead, those of other zones unreachable. */
   linkLost(id: string, now: number): void {
     const link = this.#offers.links.get(id);
     if (link === undefined) return;
@@ -144,7 +147,7 @@
     this.#offers.links.delete(id);
   }
 
-  /** Takes a message in that came over a link. */
+  /** Handles a message received over a link. */
   receive(id: string, message: MembershipMessage, now: number): void {
     const link = this.#offers.links.get(id);
     if (link === undefined) return;
@@ -165,7 +168,7 @@
     }
   }
 
-  /** Drops records that were out of reach for too long. */
+  /** Drops the records whose grace period has ended. */
   expire(now: number): void {
     for (const [home, { at }] of this.#retirements) {
       if (at > now) continue;
@@ -178,7 +181,7 @@
     }
   }
 
-  /** Sends each link a digest of what is offered there, so that the other side finds out what it lacks. */
+  /** Sends a digest of the offered records on each link, so that the other side can detect differences. */
   sendDigests(): void {
     for (const linkClass of LINK_CLASSES) {
       const offered = this.#offeredTo(linkClass);
@@ -196,7 +199,7 @@
     link.offered.set(home, version);
     this.#reveal(home);
     for (const linkClass of this.#offers.classesFor(home)) {
-      // Who was not offered the record before may know nothing of it.
+      // Entries to which the record was not offered before may have no copy of it.
       if (!before.has(linkClass)) this.#sendToClass(linkClass, wholeNews(this.#records.get(home)!));
       else if (outcome === 'applied') this.#sendToClass(linkClass, news);
     }
@@ -219,7 +222,7 @@
     return outcome;
   }
 
-  /** Changes the agents of a record; returns the addresses at which somebody else may count now. */
+  /** Changes the agents of a record; returns the addresses at which the current agent may have changed. */
   #change(record: HomeRecord, statuses: readonly AgentStatus[], gone: readonly string[]): Set<string> {
     const home = record.info.id;
     const changed = new Set<string>();
@@ -236,7 +239,7 @@
     return changed;
   }
 
-  /** A link offers a home's record no more. */
+  /** Handles that a link no longer offers a home's record. */
   #withdraw(link: OfferLink, home: string, died: boolean, now: number): void {
     const before = this.#offers.classesFor(home);
     if (!link.offered.delete(home)) {
@@ -252,7 +255,7 @@
     if (died) this.#output.onEntriesChanged();
   }
 
-  /** An entry that was out of reach is now known to have died. */
+  /** Marks an unreachable entry as dead; returns whether it was marked now. */
   #markDied(home: string, now: number): boolean {
     const retirement = this.#retirements.get(home);
     if (retirement === undefined || retirement.died) return false;
@@ -293,12 +296,12 @@
       const known = this.#records.get(home);
       if (link.offered.get(home) === version || known === this.#own) continue;
       const { info } = known ?? {};
-      // Taken as news that changes nothing where the record is known, and as a gap where it is not.
+      // Handled as an update without changes if this version is known, and as a gap otherwise.
       this.#onNews(link, { type: 'homeNews', home, info, base: version, version, statuses: [], gone: [] });
     }
   }
 
-  /** An entry that a zone's link was lost with, and that the zone does not name any more, has died. */
+  /** Marks as dead the unreachable entries of a zone that the zone no longer lists. */
   #noteMissing(zone: string, homes: ReadonlyMap<string, number>, now: number): void {
     for (const home of this.#retirements.keys()) {
       const isOfZone = this.#records.get(home)!.info.zone === zone;
@@ -330,7 +333,7 @@
 
 type DigestRow = [zone: string, home: string, version: number];
 
-/** One digest a zone of rows of zone, home and version. */
+/** Combines the rows into one digest for each zone. */
 function digestsByZone(rows: readonly DigestRow[]): Map<string, number> {
   const digests = new Map<string, number>();
   for (const [zone, home, version] of rows) {
--- a/src/systems/membership/offers.ts
+++ b/src/systems/membership/offers.ts
@@ -1,9 +1,8 @@
-/** Who offers which records on which link, as the other sides told, and what follows for what is offered to them. */
+/** The records that other entries offer on each link, and, derived from these, the records to offer to them. */
 
-/** Inside the zone, or to other zones. */
+/** `near`: to an entry of the same zone; `far`: to an entry of another zone. */
 export type LinkClass = 'near' | 'far';
 
-/** Both classes. */
 export const LINK_CLASSES: readonly LinkClass[] = ['near', 'far'];
 
 /** A link to another entry. */
@@ -11,11 +10,11 @@
   /** Identity of the entry at the other end. */
   id: string;
   linkClass: LinkClass;
-  /** Versions of the records that the other side offers, by home. */
+  /** Versions of the records offered by the other side, by home entry. */
   offered: Map<string, number>;
 }
 
-/** The offers on all links of one entry. */
+/** The links of one entry and the records offered on them. */
 export class Offers {
   readonly links = new Map<string, OfferLink>();
   readonly #self: string;
@@ -24,26 +23,26 @@
     this.#self = self;
   }
 
-  /** Notes a new link, on which nothing is offered yet. */
+  /** Adds a new link, on which nothing is offered yet. */
   open(id: string, linkClass: LinkClass): OfferLink {
     const link: OfferLink = { id, linkClass, offered: new Map() };
     this.links.set(id, link);
     return link;
   }
 
-  /** The links of a class. */
   linksOf(linkClass: LinkClass): OfferLink[] {
     return [...this.links.values()].filter((link) => link.linkClass === linkClass);
   }
 
-  /** Whether any link offers the record of a home. */
+  /** Whether the record of a home is offered on any link. */
   isHeard(home: string): boolean {
     return [...this.links.values()].some(({ offered }) => offered.has(home));
   }
 
   /**
-   * Whether the record of a home is offered on links of a class: the own one always; inside the zone what links to
-   * other zones offer; to other zones what the entries of this zone offer of themselves.
+   * Whether this entry offers the record of a home on links of a class. Its own record is offered on all links. Records
+   * received from other zones are offered within the zone, and an entry's own record received from within the zone is
+   * offered to other zones.
    */
   isOfferedTo(linkClass: LinkClass, home: string): boolean {
     if (home === this.#self) return true;
@@ -52,7 +51,7 @@
     return direct?.linkClass === 'near' && direct.offered.has(home);
   }
 
-  /** The classes of links on which the record of a home is offered. */
+  /** The classes of links on which this entry offers the record of a home. */
   classesFor(home: string): Set<LinkClass> {
     return new Set(LINK_CLASSES.filter((linkClass) => this.isOfferedTo(linkClass, home)));
   }
