--- a/src/systems/membership/agent-candidates.ts
+++ b/src/systems/membership/agent-candidates.ts
@@ -1,25 +1,25 @@
 /**
- * Which process stands at an agent's address, and what it said last. An agent may be named by several homes while
- * it moves from one to another, and a replaced process by a home that has not noticed yet: of processes the one
- * that appeared last counts, of the statuses of one process the one with the highest sequence.
+ * Selects the current process at each agent address, and its latest status. Several home entries may report an agent
+ * while it moves from one to another, and a home that has not noticed a replacement still reports the old process. The
+ * process that was first seen last wins; among statuses of one process, the highest sequence wins.
  */
 import type { AgentStatus } from '../../protocol/messages.js';
 
-/** What one home says of an agent. */
+/** An agent's status as reported by one home entry. */
 export interface AgentCandidate {
   status: AgentStatus;
   /** Identity of the home entry. */
   home: string;
 }
 
-/** All that homes say of agents, by the agents' addresses. */
+/** The statuses reported by all homes, by agent address. */
 export class AgentCandidates {
   readonly #byAddress = new Map<string, AgentCandidate[]>();
-  /** Order in which processes appeared here. */
+  /** Order in which agent processes were first seen, by process identity. */
   readonly #appearance = new Map<string, number>();
   #appeared = 0;
 
-  /** Notes what a home says; returns the agent's address. */
+  /** Records a status reported by a home; returns the agent's address. */
   set(home: string, status: AgentStatus): string {
     const { id, address } = status.info;
     if (!this.#appearance.has(id)) this.#appearance.set(id, ++this.#appeared);
@@ -28,7 +28,7 @@
     return address;
   }
 
-  /** Notes that a home says nothing of a process any more; returns the agent's address. */
+  /** Records that a home no longer reports a process; returns the agent's address. */
   delete(home: string, status: AgentStatus): string {
     const { id, address } = status.info;
     const left = this.#at(address).filter((known) => known.home !== home || known.status.info.id !== id);
@@ -38,7 +38,7 @@
     return address;
   }
 
-  /** Who counts at an address, if anybody does. */
+  /** The current process at an address, if there is one. */
   best(address: string): AgentCandidate | undefined {
     return this.#at(address).reduce<AgentCandidate | undefined>((best, candidate) => {
       return best === undefined || this.#isLater(candidate, best) ? candidate : best;
--- a/src/systems/membership/home-record.ts
+++ b/src/systems/membership/home-record.ts
@@ -1,28 +1,29 @@
 /**
- * What an entry says of itself as the home of agents. Only the entry itself changes its record; each change makes
- * the next version, so of two copies the higher version is the later one, on whichever way it came.
+ * The record that an entry publishes about itself and the agents it is home to. Only the entry itself changes its
+ * record, and each change increments the version, so the copy with the higher version is the newer one, regardless of
+ * the path it took.
  */
 import { hash32 } from '../../model/random.js';
 import type { AgentStatus, EntryInfo, HomeNews } from '../../protocol/messages.js';
 
-/** An entry's record as one process knows it. */
+/** One process's copy of an entry's record. */
 export interface HomeRecord {
   info: EntryInfo;
   version: number;
-  /** The agents homed there, by identity of their process. */
+  /** The agents homed at the entry, by process identity. */
   agents: Map<string, AgentStatus>;
 }
 
-/** What became of news of a home. */
+/** Result of applying an update of a record. */
 export type NewsOutcome =
-  /** The record is now of the news' version. */
+  /** The record now has the version of the update. */
   | 'applied'
-  /** The same or a later version was known. */
+  /** The same or a later version was known already. */
   | 'known'
-  /** Versions in between are missing: the whole record is needed. */
+  /** Versions in between are missing, so the full record is needed. */
   | 'gap';
 
-/** The whole record, for who may know nothing of it. */
+/** An update with the full record, for receivers that may not have a copy. */
 export function wholeNews(record: HomeRecord): HomeNews {
   const { info, version, agents } = record;
   return {
@@ -36,14 +37,14 @@
   };
 }
 
-/** What news would do to a record that may not be known yet. */
+/** The result of applying an update to a record; undefined if there is no copy of the record yet. */
 export function judgeNews(record: HomeRecord | undefined, news: HomeNews): NewsOutcome {
   if (record !== undefined && record.version >= news.version) return 'known';
   if (news.base === 0) return news.info === undefined ? 'gap' : 'applied';
   return record?.version === news.base ? 'applied' : 'gap';
 }
 
-/** A part of the digest of a set of records; parts are combined by exclusive or, in any order. */
+/** The contribution of one record to the digest of a set; contributions are combined by XOR, in any order. */
 export function digestPart(home: string, version: number): number {
   return hash32(`${home} ${version}`);
 }
