--- a/test/systems/membership.test.ts
+++ b/test/systems/membership.test.ts
@@ -4,14 +4,14 @@
 import { DIED_GRACE, Membership, UNREACHED_GRACE } from '../../src/systems/membership/membership.js';
 import { peer } from '../support.js';
 
-/** A message on its way. */
+/** A message in transit. */
 interface InFlight {
   from: string;
   to: string;
   message: MembershipMessage;
 }
 
-/** Entries joined by links that keep the order of messages, in virtual time. */
+/** Entries connected by links that preserve the order of messages, in virtual time. */
 class Network {
   now = 0;
   delivered = 0;
@@ -46,18 +46,18 @@
     this.entries.get(b)!.linkLost(a, this.now);
   }
 
-  /** Changes an entry's record and tells the others. */
+  /** Changes an entry's record and sends the change to the other entries. */
   publish(id: string, statuses: AgentStatus[], gone: string[]): void {
     this.entries.get(id)!.publish(statuses, gone);
     this.entries.get(id)!.sendOwnNews();
   }
 
-  /** Loses what is on its way from one entry to another. */
+  /** Drops the messages in transit from one entry to another. */
   lose(from: string, to: string): void {
     this.#queues.set(`${from}>${to}`, []);
   }
 
-  /** Delivers one message of the link that `choice` picks; returns whether there was one. */
+  /** Delivers one message on the link selected by `choice`; returns whether there was one. */
   step(choice: number): boolean {
     const waiting = [...this.#queues.values()].filter((queue) => queue.length > 0);
     if (waiting.length === 0) return false;
@@ -67,14 +67,14 @@
     return true;
   }
 
-  /** Delivers until nothing is on its way; fails when that does not come. */
+  /** Delivers messages until none is in transit; fails if that takes more than `limit` steps. */
   settle(limit = 20_000): void {
     for (let steps = 0; this.step(steps); steps++) {
-      if (steps > limit) throw new Error('news does not come to rest');
+      if (steps > limit) throw new Error('messages are still in transit after the step limit');
     }
   }
 
-  /** Lets time pass until everything out of reach is dropped and digests have found what differs. */
+  /** Advances the time until unreachable records are dropped and digests have resolved all differences. */
   heal(): void {
     this.settle();
     this.now += UNREACHED_GRACE;
@@ -109,7 +109,7 @@
 
 const IDS = ['a1', 'a2', 'a3', 'b1', 'b2', 'c1'];
 
-/** Three zones with entries all linked inside, and the given links between zones. */
+/** Three zones whose entries are fully connected within the zone, with the given links between zones. */
 function network(far: ReadonlyArray<[string, string]>): Network {
   const made = new Network();
   for (const id of IDS) made.add(id, id[0]);
@@ -133,7 +133,7 @@
 }
 
 describe('membership', () => {
-  it('brings each entry and its agents to all entries', () => {
+  it('propagates each entry and its agents to all entries', () => {
     const made = network(FAR);
     made.publish('a3', [status('agent', 1)], []);
     made.settle();
@@ -141,7 +141,7 @@
     for (const membership of made.entries.values()) expect(membership.entries.length).toBe(IDS.length - 1);
   });
 
-  it('lets news come to rest however many links there are between two zones', () => {
+  it('does not loop updates, however many links there are between two zones', () => {
     const made = network(allPairs());
     made.settle();
     const before = made.delivered;
@@ -151,7 +151,7 @@
     expect(made.delivered - before).toBeLessThanOrEqual(IDS.length * IDS.length);
   });
 
-  it('sends digests only, once all is known', () => {
+  it('sends only digests once all entries are in sync', () => {
     const made = network(FAR);
     made.settle();
     const links = 4 + FAR.length;
@@ -161,7 +161,7 @@
     expect(made.delivered - before).toBe(2 * links);
   });
 
-  it('keeps an agent that moved to another home, whichever news comes first', () => {
+  it('keeps an agent that moved to another home, whichever update arrives first', () => {
     const made = network(FAR);
     made.publish('a1', [status('agent', 1)], []);
     made.settle();
@@ -171,7 +171,7 @@
     expect(homes(made, 'agent')).toEqual(IDS.map(() => 'b2'));
   });
 
-  it('takes the process that appeared last at an address, also when the old one is named again', () => {
+  it('selects the newest process at an address, even if the old one is reported again', () => {
     const made = network(FAR);
     made.publish('a1', [status('old', 5, 'machine')], []);
     made.settle();
@@ -184,7 +184,7 @@
     expect(homes(made, 'machine')).toEqual(IDS.map(() => 'a2'));
   });
 
-  it('takes an entry that died out at once, and its agents after a grace', () => {
+  it('removes a dead entry immediately and its agents after a grace period', () => {
     const made = network(FAR);
     made.publish('a3', [status('agent', 1)], []);
     made.settle();
@@ -197,7 +197,7 @@
     expect(made.entries.get('c1')!.agentAt('agent')).toBeUndefined();
   });
 
-  it('keeps a zone whose link is made again in time, and drops one that stays out of reach', () => {
+  it('keeps a zone that is linked again within the grace period, and drops one that stays unreachable', () => {
     const made = network([['a1', 'b1']]);
     made.publish('b2', [status('agent', 1)], []);
     made.settle();
@@ -215,7 +215,7 @@
     expect(made.entries.get('a3')!.agentAt('agent')).toBeUndefined();
   });
 
-  it('takes an entry out that died with the link to its zone, once another link is there', () => {
+  it('removes an entry that died together with the link to its zone, once the zone is linked again', () => {
     const made = network([['a1', 'b1']]);
     made.settle();
     for (const id of ['a2', 'a3', 'b1']) made.cut('a1', id);
@@ -228,7 +228,7 @@
     }
   });
 
-  it('asks for the whole record when the change before was lost', () => {
+  it('requests the full record if the previous change was lost', () => {
     const made = network(FAR);
     made.settle();
     made.publish('a3', [status('first', 1)], []);
@@ -238,7 +238,7 @@
     expect(homes(made, 'first')).toEqual(IDS.map(() => 'a3'));
   });
 
-  it('finds by digests what was lost', () => {
+  it('recovers lost updates by digests', () => {
     const made = network(FAR);
     made.settle();
     made.publish('a3', [status('agent', 1)], []);
@@ -249,7 +249,7 @@
     expect(homes(made, 'agent')).toEqual(IDS.map(() => 'a3'));
   });
 
-  it('comes to the same view everywhere, whatever was cut, joined and published in whatever order', () => {
+  it('converges to the same view everywhere after any sequence of cuts, links and updates', () => {
     const pair = fc.constantFrom(...allPairs());
     const action = fc.oneof(
       fc.record({ type: fc.constant('cut' as const), pair }),
