--- a/src/systems/address-gossip.ts
+++ b/src/systems/address-gossip.ts
@@ -1,29 +1,39 @@
 /**
- * Whom an entry tells which addresses, so that entries that start together soon know all others. Few tell everyone; many
- * tell some by chance, or the start of 100 entries, each of which tells all addresses to all others, sends 2 kB 9,900 times
- * whenever they do.
+ * Gossip of entry addresses, so that entries that start at the same time soon know each other. A small fleet broadcasts;
+ * in a larger one each entry sends to a random sample. If each of 100 entries sent all addresses to all others, every
+ * round would send 2 kB 9,900 times.
  */
 import type { Random } from '../model/random.js';
 import { shuffle } from '../model/random.js';
 
-/** Up to so many others are all told. */
+/** Number of other entries up to which messages are sent to all of them. */
 const ALL_TOLD = 12;
-/** Of more, so many are told of a new address: whoever hears of it tells as many, so that one in 3,000 is missed. */
+/**
+ * In larger fleets, number of entries that are sent a new address. Every receiver forwards it to as many others, so that
+ * one entry in 3,000 is missed.
+ */
 const TOLD_OF_NEW = 8;
-/** Of more, so many are told all addresses in turn: whom news have missed learns of it within some turns. */
+/**
+ * In larger fleets, number of entries that are sent all addresses in each round. An entry that missed a new address
+ * learns it within a few rounds.
+ */
 const TOLD_IN_TURN = 2;
 
-/** Those of `others` that are told of new addresses. */
+/** The entries of `others` to send new addresses to. */
 export function toldOfNew<T>(others: readonly T[], random: Random): T[] {
   return some(others, TOLD_OF_NEW, random);
 }
 
-/** Those of `others` that are told all addresses now. */
+/** The entries of `others` to send all addresses to in this round. */
 export function toldInTurn<T>(others: readonly T[], random: Random): T[] {
   return some(others, TOLD_IN_TURN, random);
 }
 
-/** Whether an entry that was just heard, and knows of `itsCount` entries, is told all `ownCount` that are known here. */
+/**
+ * Whether to send all addresses to an entry from which a message was received.
+ * @param itsCount - number of entries known to that entry
+ * @param ownCount - number of entries known to this one
+ */
 export function lacksAddresses(itsCount: number, ownCount: number): boolean {
   return itsCount < ownCount;
 }
