--- a/src/systems/admission.ts
+++ b/src/systems/admission.ts
@@ -1,6 +1,6 @@
 /**
- * Which requests of callers may run at an entry. Each tenant has limits of its own; what the entry has room for is
- * shared fairly between tenants, higher priority first; a queue that is full sheds the lowest priority.
+ * Admission control for caller requests at an entry. Each tenant has its own limits. The capacity of the entry is given to
+ * higher priorities first and shared fairly between tenants. A full queue sheds the request with the lowest priority.
  *
  * @example
  * ```ts
@@ -10,23 +10,23 @@
 
 /** Limits of one tenant at one entry. */
 export interface TenantLimits {
-  /** Requests that run at the same time. */
+  /** Maximum number of concurrent requests. */
   inProgress: number;
-  /** Requests that wait. */
+  /** Maximum number of queued requests. */
   queued: number;
 }
 
 /** Limits of an entry. */
 export interface AdmissionLimits {
-  /** Requests that run at the same time, over all tenants. */
+  /** Maximum number of concurrent requests, over all tenants. */
   inProgress: number;
-  /** Requests that wait, over all tenants. */
+  /** Maximum number of queued requests, over all tenants. */
   queued: number;
-  /** Longest wait, in milliseconds. */
+  /** Maximum time in the queue, in milliseconds. */
   queueTime: number;
 }
 
-/** A request that asks to run. */
+/** A request to be admitted. */
 export interface AdmissionRequest {
   id: number;
   tenant: string;
@@ -34,10 +34,10 @@
   priority: number;
 }
 
-/** Why a request is not let in. */
+/** Why a request is refused. */
 export type AdmissionRefusal = 'tenantLimit' | 'entryFull' | 'shed' | 'queueTime';
 
-/** What becomes of a request, of this one or of another that waited. */
+/** The decision on a request, which may be one that was queued earlier. */
 export type AdmissionDecision =
   | { type: 'start'; id: number }
   | { type: 'refuse'; id: number; reason: AdmissionRefusal };
@@ -46,10 +46,10 @@
   queuedAt: number;
 }
 
-/** Limits of a tenant for which none are declared. */
+/** Limits of tenants that declare none. */
 export const DEFAULT_TENANT_LIMITS: TenantLimits = { inProgress: 500, queued: 200 };
 
-/** The requests of one entry. */
+/** The running and queued requests of one entry. */
 export class AdmissionTable {
   readonly #limits: AdmissionLimits;
   readonly #limitsOf: (tenant: string) => TenantLimits;
@@ -57,7 +57,7 @@
   readonly #runningOf = new Map<string, number>();
   #queue: QueuedRow[] = [];
 
-  /** @param limitsOf - the limits of a tenant, read anew for each decision */
+  /** @param limitsOf - returns the limits of a tenant; called for each decision */
   constructor(limits: AdmissionLimits, limitsOf: (tenant: string) => TenantLimits) {
     this.#limits = limits;
     this.#limitsOf = limitsOf;
@@ -71,7 +71,7 @@
     return this.#queue.length;
   }
 
-  /** A request comes; decides on it at once, or lets it wait. */
+  /** Starts, queues or refuses a new request. A queued request may be shed in its favour. */
   offer(request: AdmissionRequest, now: number): AdmissionDecision[] {
     const limits = this.#limitsOf(request.tenant);
     const isFirst = this.#queue.every((row) => !this.#mayStart(row));
@@ -87,7 +87,7 @@
     return shed === undefined ? [] : [{ type: 'refuse', id: shed.id, reason: 'shed' }];
   }
 
-  /** A request has ended, or its caller has gone while it waited: others may start. */
+  /** Removes a request that has ended, or whose caller left while it was queued, and starts queued requests. */
   finish(id: number): AdmissionDecision[] {
     const tenant = this.#running.get(id);
     this.#queue = this.#queue.filter((row) => row.id !== id);
@@ -97,7 +97,7 @@
     return this.#startWaiting();
   }
 
-  /** Refuses what has waited too long. */
+  /** Refuses requests that have been queued for too long. */
   expire(now: number): AdmissionDecision[] {
     const late = this.#queue.filter((row) => now - row.queuedAt >= this.#limits.queueTime);
     this.#queue = this.#queue.filter((row) => !late.includes(row));
@@ -114,7 +114,7 @@
     }
   }
 
-  /** Highest priority first; among equals the tenant that runs least; then whoever came first. */
+  /** Highest priority first; at equal priority the tenant with the fewest running requests; then the earliest request. */
   #nextWaiting(): QueuedRow | undefined {
     let best: QueuedRow | undefined;
     for (const row of this.#queue) {
@@ -144,7 +144,7 @@
     return this.#runningOf.get(tenant) ?? 0;
   }
 
-  /** The waiting request of the lowest priority, the latest of these, if it is lower than that of `request`. */
+  /** The latest queued request of the lowest priority, if that priority is lower than that of `request`. */
   #lowest(request: AdmissionRequest): QueuedRow | undefined {
     let lowest: QueuedRow | undefined;
     for (const row of this.#queue) {
--- a/test/systems/admission.test.ts
+++ b/test/systems/admission.test.ts
@@ -8,7 +8,7 @@
   return new AdmissionTable(LIMITS, (tenant) => tenants[tenant] ?? { inProgress: 4, queued: 3 });
 }
 
-/** A table whose room is taken up by tenant `large`, as requests 1 to 4. */
+/** A table filled by requests 1 to 4 of tenant `large`. */
 function fullTable(tenants?: Record<string, TenantLimits>): AdmissionTable {
   const table = tableWith(tenants);
   for (let id = 1; id <= LIMITS.inProgress; id++) table.offer({ id, tenant: 'large', priority: 0 }, 0);
@@ -16,11 +16,11 @@
 }
 
 describe('admission', () => {
-  it('starts at once what there is room for', () => {
+  it('starts a request immediately if there is capacity', () => {
     expect(tableWith().offer({ id: 1, tenant: 'a', priority: 0 }, 0)).toEqual([{ type: 'start', id: 1 }]);
   });
 
-  it('keeps a tenant within its own limits while others go on', () => {
+  it('keeps a tenant within its own limits without affecting others', () => {
     const table = tableWith({ small: { inProgress: 1, queued: 0 } });
     table.offer({ id: 1, tenant: 'small', priority: 0 }, 0);
     const refused = table.offer({ id: 2, tenant: 'small', priority: 9 }, 0);
@@ -28,7 +28,7 @@
     expect(table.offer({ id: 3, tenant: 'other', priority: 0 }, 0)).toEqual([{ type: 'start', id: 3 }]);
   });
 
-  it('gives room first to higher priority, then to the tenant that runs least', () => {
+  it('starts the higher priority first, then the tenant with the fewest running requests', () => {
     const table = fullTable();
     table.offer({ id: 5, tenant: 'large', priority: 0 }, 0);
     table.offer({ id: 6, tenant: 'small', priority: 0 }, 0);
@@ -37,7 +37,7 @@
     expect(started.map(({ id }) => id)).toEqual([7, 6, 5]);
   });
 
-  it('sheds the lowest priority when its queue is full, and only for a higher one', () => {
+  it('sheds the lowest priority when the queue is full, and only for a higher one', () => {
     const table = fullTable();
     for (const [id, priority] of [
       [5, 2],
@@ -54,7 +54,7 @@
     ]);
   });
 
-  it('refuses what has waited too long', () => {
+  it('refuses requests that have been queued for too long', () => {
     const table = fullTable();
     table.offer({ id: 5, tenant: 'small', priority: 0 }, 0);
     expect(table.expire(LIMITS.queueTime - 1)).toEqual([]);
