--- a/src/systems/capacity-forecast.ts
+++ b/src/systems/capacity-forecast.ts
@@ -1,23 +1,23 @@
 /**
- * Whether the time at which back ends are expected to serve again can be relied on, for those that would wait for it.
+ * Decides whether the estimated end of an outage is reliable enough for requests to wait for it.
  *
- * The load that this answers: an outage of which the end is put off. After a loss of power the expected end holds, to some
- * tenths of a second; where a version cannot be drawn, each new estimate is as far ahead as the one before, and requests that
- * wait for it are held until their callers leave. Times are in milliseconds of the steady clock.
+ * It handles outages whose estimated end keeps moving. After a power loss, the estimate is accurate to a few tenths of a
+ * second. If a version cannot be fetched from the origin, however, each new estimate is as far ahead as the one before,
+ * and requests that wait for it would be held until their callers leave. Times are in milliseconds of the steady clock.
  */
 
-/** An end that is put off by more than this is not waited for: after a loss of power it moved by 0.7 s at the most (measured). */
+/** An estimate that has moved by more than this is unreliable. After a power loss it moved by 0.7 s at most (measured). */
 const MOST_PUT_OFF = 1_000;
-/** Without a question for this long the outage was over: requests come several times a second. */
+/** If no estimate was queried for this long, the outage is over: requests arrive several times a second. */
 const OVER_AFTER = 1_000;
 
-/** What is expected of one service while it is out. */
+/** Tracks the estimated end of an outage of one service. */
 export class CapacityForecast {
-  /** The earliest end that was expected since the outage began. */
+  /** The earliest end estimated since the outage began. */
   #earliest = Number.POSITIVE_INFINITY;
   #notedAt = Number.NEGATIVE_INFINITY;
 
-  /** At `now` back ends are expected to serve from `expectedAt` on; returns whether that can be relied on. */
+  /** Records that, as of `now`, back ends are expected to serve from `expectedAt`; returns whether this is reliable. */
   note(expectedAt: number, now: number): boolean {
     if (now - this.#notedAt > OVER_AFTER) this.#earliest = Number.POSITIVE_INFINITY;
     this.#notedAt = now;
