--- a/src/systems/copy-spread.ts
+++ b/src/systems/copy-spread.ts
@@ -1,23 +1,27 @@
 /**
- * How a version spreads over the entries of a zone while one of them collects it. Each piece is wanted by all others at the
- * moment at which it comes; if all took it from the one that has it, that link would carry a copy for each: 19 copies of
- * 2.4 MB over 40 Mbit/s are 9 s, of the 8 s in which a version must serve. Here each entry takes pieces of one that comes
- * before it in the zone's order and passes them on to a few; and only as many hold a copy as the engines of the zone need.
+ * Distribution tree of a version over the entries of a zone while one of them fetches it. All other entries want each piece
+ * as soon as it arrives. If all fetched it from the first entry, that entry's link would carry one copy for each: 19
+ * copies of 2.4 MB over 40 Mbit/s take 9 s, but a version must serve within 8 s. Instead, each entry fetches pieces from
+ * an entry before it in the zone's order and forwards them to a few others. Only as many entries hold a copy as the
+ * engines of the zone need.
  */
 
-/** Entries that take pieces of the same one. Three copies of 2.4 MB over 40 Mbit/s are 1.4 s; 20 entries are 3 steps deep. */
+/**
+ * Entries that fetch pieces from the same one. Three copies of 2.4 MB over 40 Mbit/s take 1.4 s, and a tree of 20 entries
+ * is 3 levels deep.
+ */
 const CHILDREN = 3;
-/** Engines that one entry's copy serves: by the users' sheets an entry's link carries four times as much as an agent's. */
+/** Engines served by one entry's copy. By the users' specifications, an entry's link has four times an agent's bandwidth. */
 const ENGINES_OF_HOLDER = 3;
-/** Entries that hold a copy besides, so that some may be lost. */
+/** Additional entries that hold a copy, so that some may be lost. */
 const SPARE_HOLDERS = 2;
 
-/** The place of the entry of which the one at `place` of its zone takes pieces; undefined for the first. */
+/** Position of the entry from which the entry at position `place` of the zone's order fetches; undefined for the first. */
 export function parentOf(place: number): number | undefined {
   return place <= 0 ? undefined : Math.floor((place - 1) / CHILDREN);
 }
 
-/** Whether the entry at `place` of its zone, 0 being the first, holds a copy for the `engines` of the zone. */
+/** Whether the entry at position `place` of the zone's order (from 0) holds a copy, given the engines of the zone. */
 export function holdsCopy(place: number, engines: number): boolean {
   return place < Math.ceil(engines / ENGINES_OF_HOLDER) + SPARE_HOLDERS;
 }
