--- a/test/systems/deadly-content.test.ts
+++ b/test/systems/deadly-content.test.ts
@@ -1,8 +1,9 @@
 /**
- * The operators counted 31 back ends that one request ended, and 11 sends of it later than 3 s after the third end. What may be sent after
- * that is three in all, however long the callers go on and whatever is beside it. Here the sends did not end: a quarantine ended by its
- * time and let one more through each 10 minutes (475 in a day); a crash was forgotten after a minute, so that a content which comes each 70 s
- * ended one back end each time (1,235 in a day); and a crash within 60 ms of another back end's counted against nobody (172,800).
+ * Tests that a content that crashes back ends is sent at most three more times after its third crash, however long callers
+ * repeat it and whatever else crashes. In operation, one request crashed 31 back ends and was sent 11 times later than 3 s
+ * after the third crash. Three faults made the number of sends unbounded: a quarantine expired and let one request through
+ * every 10 minutes (475 a day); crashes were forgotten after a minute, so that a content sent every 70 s crashed a back end
+ * each time (1,235 a day); and a crash within 60 ms of another back end's crash counted against no content (172,800).
  */
 import fc from 'fast-check';
 import { describe, expect, it } from 'vitest';
@@ -10,18 +11,21 @@
 
 const DEADLY = 'deadly';
 const THIRD = 3;
-/** Sends after the third crash that are allowed, for ever. */
+/** Maximum number of sends after the third crash, without a time limit. */
 const MOST_RETRIES = 3;
 const DAY = 86_400_000;
 /** Time from a send to the crash of its back end, in milliseconds. */
 const TIME_TO_CRASH = 100;
 
-/** What happens beside the content: crashes of others, told just before or after. */
+/** Reports other crashes shortly before or after a crash of the content. */
 type Beside = (poison: PoisonRequests, crashAt: number) => void;
 
 const nothing: Beside = () => {};
 
-/** Sends the content every `interval` milliseconds for a day, wherever it may be sent, or until that is too often; returns the sends. */
+/**
+ * Sends the content every `interval` milliseconds, if permitted, for a day or until the maximum is exceeded; returns the
+ * number of sends.
+ */
 function sendsInADay(interval: number, beside: Beside = nothing): number {
   const poison = new PoisonRequests(() => 0);
   let sends = 0;
@@ -37,22 +41,22 @@
   return sends;
 }
 
-describe('a content under which back ends crash without end', () => {
-  it('is sent at most three times more after the third, however long its callers repeat it', () => {
+describe('a content that always crashes back ends', () => {
+  it('is sent at most three times more after the third crash, however long its callers repeat it', () => {
     expect(sendsInADay(500)).toBeLessThanOrEqual(THIRD + MOST_RETRIES);
   });
 
-  it('is sent at most three times more after the third where it comes seldom', () => {
+  it('is sent at most three times more after the third crash if it is sent rarely', () => {
     expect(sendsInADay(70_000)).toBeLessThanOrEqual(THIRD + MOST_RETRIES);
   });
 
-  it('is sent at most three times more after the third where other back ends crash at the same moments', () => {
+  it('is sent at most three times more after the third crash if other back ends crash at the same moments', () => {
     const sameMoment: Beside = (poison, at) =>
       poison.noteCrash({ backEnd: `other ${at}`, at: at - 20, suspects: [`unlucky ${at}`] });
     expect(sendsInADay(500, sameMoment)).toBeLessThanOrEqual(THIRD + MOST_RETRIES);
   });
 
-  it('is sent at most three times more after the third whatever crashes beside it, and whenever it comes', () => {
+  it('is sent at most three times more after the third crash, whatever else crashes and however often it is sent', () => {
     const interval = fc.integer({ min: 400, max: 200_000 });
     const distances = fc.array(fc.integer({ min: -200, max: 200 }), { maxLength: 4 });
     fc.assert(
