--- a/src/systems/lease.ts
+++ b/src/systems/lease.ts
@@ -1,26 +1,25 @@
 /**
- * Leases on duties that need one holder at a time, kept as rows of the table service. No clock is compared
- * with another: an observer takes a lease for lapsed when its row has not changed for the lease's duration by
- * the observer's own clock. A holder that was paused learns from its next conditional write that it is not
- * the holder any more.
+ * Leases for tasks that need a single holder, stored as rows of the table service. Clocks of different machines are never
+ * compared: an observer considers a lease expired when its row has not changed for the lease duration by the observer's
+ * own clock. A holder that was paused learns from its next conditional write that it has lost the lease.
  */
 
-/** Time without renewal after which a lease has lapsed, in milliseconds. */
+/** Time without renewal after which a lease expires, in milliseconds. */
 export const LEASE_DURATION = 4_000;
 /** Time between two renewals, in milliseconds. */
 export const LEASE_RENEWAL_INTERVAL = 1_000;
 
-/** A lease as its row says. */
+/** Content of a lease's row. */
 export interface LeaseRow {
   holder: string;
-  /** Grows with each change of holder. */
+  /** Incremented with each change of holder. */
   epoch: number;
 }
 
-/** What one observer knows of a lease. */
+/** What one observer knows about a lease. */
 export interface LeaseObservation {
   row: LeaseRow | undefined;
-  /** Revision of the row, 0 where there is none. */
+  /** Revision of the row; 0 if there is no row. */
   revision: number;
   /** When this observer first saw this revision, by its own clock. */
   seenAt: number;
@@ -29,10 +28,10 @@
 /** What to do about a lease. */
 export type LeaseDecision =
   | { type: 'wait' }
-  /** Write this row on the condition that the revision is unchanged. */
+  /** Write this row, conditional on an unchanged revision. */
   | { type: 'write'; row: LeaseRow };
 
-/** Decides for the process `self` at its own time `now`. */
+/** Decides whether the process `self` writes the lease at its own time `now`. */
 export function decideLease(observation: LeaseObservation, self: string, now: number): LeaseDecision {
   const { row, seenAt } = observation;
   const age = now - seenAt;
--- a/test/systems/decisions.test.ts
+++ b/test/systems/decisions.test.ts
@@ -10,19 +10,19 @@
 
   it.each([
     [
-      'takes one that nobody holds',
+      'acquires a lease without a holder',
       { row: undefined, revision: 0, seenAt: 0 },
       0,
       { holder: 'self', epoch: 1 },
     ],
     [
-      'takes over one that lapsed, with the next epoch',
+      'takes over an expired lease with the next epoch',
       held,
       1_000 + LEASE_DURATION,
       { holder: 'self', epoch: 4 },
     ],
     [
-      'renews its own under the same epoch',
+      'renews its own lease in the same epoch',
       { ...held, row: { holder: 'self', epoch: 3 } },
       1_000 + LEASE_RENEWAL_INTERVAL,
       { holder: 'self', epoch: 3 },
@@ -32,8 +32,12 @@
   });
 
   it.each([
-    ['another holds it', held, 1_000 + LEASE_DURATION - 1],
-    ['its own is fresh', { ...held, row: { holder: 'self', epoch: 3 } }, 1_000 + LEASE_RENEWAL_INTERVAL - 1],
+    ['another process holds the lease', held, 1_000 + LEASE_DURATION - 1],
+    [
+      'its own lease is fresh',
+      { ...held, row: { holder: 'self', epoch: 3 } },
+      1_000 + LEASE_RENEWAL_INTERVAL - 1,
+    ],
   ])('waits while %s', (_, observation, now) => {
     expect(decideLease(observation, 'self', now)).toEqual({ type: 'wait' });
   });
@@ -65,13 +69,13 @@
   const route = (rows: ReplicaRow[], overrides = {}, seed = 1) =>
     chooseRoute(rows, { ...query, ...overrides }, seededRandom(seed))?.replica.id;
 
-  it('sends prompts with the same beginning to the same replica, whichever entry decides', () => {
+  it('sends prompts with the same prefix to the same replica, whichever entry decides', () => {
     const rows = names.map((name) => replica(name));
     const chosen = route(rows);
     for (let seed = 2; seed < 20; seed++) expect(route([...rows].reverse(), {}, seed)).toBe(chosen);
   });
 
-  it('leaves that replica when it is much busier than the others, all entries for the same next one', () => {
+  it('sends them to the same next replica from every entry if the first one is much busier than the others', () => {
     const preferred = route(names.map((name) => replica(name)))!;
     const rows = names.map((name) => replica(name, name === preferred ? 9 : 0));
     const next = route(rows);
@@ -80,16 +84,16 @@
     expect(route(names.map((name) => replica(name, name === preferred ? 4 : 0)))).toBe(preferred);
   });
 
-  it('goes by load alone where there is no long beginning', () => {
+  it('selects by load alone if there is no long prefix', () => {
     const rows = names.map((name, index) => replica(name, index === 2 ? 0 : 1));
     expect(route(rows, { prefix: undefined })).toBe('r3');
   });
 
   it.each([
     ['is leaving', { leaving: true }],
-    ['lies in another place', { place: 'b' }],
+    ['is in another place', { place: 'b' }],
     ['has another version', { ready: ['w'] }],
-    ['was just lost', { suspendedUntil: 1 }],
+    ['has just failed', { suspendedUntil: 1 }],
   ])('never chooses a replica that %s', (_, fault) => {
     expect(route([{ ...replica('r1'), ...fault }])).toBeUndefined();
   });
@@ -114,7 +118,7 @@
     return { awaited: new Set(awaited), substituted: new Set(substituted) };
   };
 
-  it('waits for a machine that has just gone out of sight', () => {
+  it('counts a machine as a replica if it has been missing for a short time only', () => {
     const placed = placeDeployments(
       [deployment],
       [machine('m1'), machine('m3')],
@@ -124,7 +128,7 @@
     expect(placed.get('d')?.machines).toEqual(['m1', 'm2']);
   });
 
-  it('lets another serve for one that stays out of sight, which stays assigned', () => {
+  it('adds a substitute for a machine that stays missing, which remains assigned', () => {
     const placed = placeDeployments(
       [deployment],
       [machine('m1'), machine('m3')],
@@ -134,18 +138,18 @@
     expect(placed.get('d')?.machines).toEqual(['m1', 'm2', 'm3']);
   });
 
-  it('gives up a machine that the platform has given up', () => {
+  it('drops a machine that is no longer in the platform list', () => {
     const placed = placeDeployments([deployment], [machine('m1'), machine('m3')], assigned);
     expect(placed.get('d')?.machines).toEqual(['m1', 'm3']);
   });
 
-  it('goes back to the declared number once all are in sight', () => {
+  it('returns to the declared number of replicas once all machines are connected', () => {
     const three = new Map([['d', { version: 'v1', machines: ['m1', 'm2', 'm3'] }]]);
     const all = ['m1', 'm2', 'm3'].map((address) => machine(address));
     expect(placeDeployments([deployment], all, three).get('d')?.machines).toHaveLength(2);
   });
 
-  it('keeps machines that serve already, and replaces those that leave', () => {
+  it('keeps machines that already serve, and replaces those that leave', () => {
     const machines = ['m1', 'm2', 'm3', 'm4'].map((address) => machine(address));
     const first = placeDeployments([deployment], machines, new Map()).get('d')!;
     const more = [...machines, machine('m5')];
@@ -157,14 +161,14 @@
     expect(next.machines).toHaveLength(2);
   });
 
-  it('remembers the version served before', () => {
+  it('keeps the previously served version', () => {
     const machines = [machine('m1'), machine('m2')];
     const first = placeDeployments([deployment], machines, new Map());
     const second = placeDeployments([{ ...deployment, version: 'v2' }], machines, first);
     expect(second.get('d')).toMatchObject({ version: 'v2', previousVersion: 'v1' });
   });
 
-  it('serves higher priority first when machines are scarce', () => {
+  it('places the higher priority first if machines are scarce', () => {
     const urgent = { ...deployment, name: 'urgent', priority: 5 };
     const placements = placeDeployments([deployment, urgent], [machine('m1'), machine('m2')], new Map());
     expect(placements.get('urgent')!.machines).toHaveLength(2);
