--- a/src/systems/drain-schedule.ts
+++ b/src/systems/drain-schedule.ts
@@ -1,39 +1,39 @@
 /**
- * The time of a planned stop: from the order to stop until the process must have ended by itself. Callers that hold the
- * address of a process that leaves are served as long as what they ask for can end; whatever cannot is refused at once, so
- * that another process can take it. Times are in milliseconds of the steady clock.
+ * Schedule of a graceful shutdown, from the order to stop until the process must have exited. Callers that still use the
+ * address of the process are served as long as their requests can complete in time. Requests that cannot are refused
+ * immediately, so that another process can take them. Times are in milliseconds of the steady clock.
  */
 
-/** Before the process would be killed it ends by itself: timers that fire late, and the end of the process itself. */
+/** The process exits this long before it would be killed, to allow for late timers and for the exit itself. */
 const KILL_MARGIN = 700;
-/** Some callers keep an address this many times as long as they were told. */
+/** Some callers keep using an address for up to this many times its lifetime. */
 const KEPT_LONGER = 3;
-/** After its lifetime an address is taken for given up by all once no request has come for this. */
+/** After its lifetime, an address is considered unused once no request has arrived for this long. */
 const QUIET = 800;
-/** The longest streams measured beside a full load took this long: the last ones taken are to have as much time. */
+/** Time reserved for the last accepted requests: the longest streams measured under full load took this long. */
 const CLOSING_TIME = 3_100;
-/** Callers look entries up anew after at most this: a longer life spares few look-ups. */
+/** Upper bound of the address lifetime; a longer one would save few look-ups. */
 const LONGEST_ADDRESS_LIFETIME = 2_000;
 const SECOND = 1_000;
 
-/** What a stop depends on. */
+/** Parameters of a shutdown. */
 export interface DrainLimits {
   /** Time from the order to stop until the process is killed. */
   graceTime: number;
-  /** Time for which callers are told to keep an address. */
+  /** Time for which callers are told they may use an address. */
   addressLifetime: number;
 }
 
 /**
- * How long callers may keep an address, in whole seconds, one at least: the last of them have let go early enough for what
- * they sent to end within the time of a stop.
+ * The address lifetime for a grace time, in whole seconds and at least one. It is short enough that even the requests of
+ * the callers that keep the address longest complete before the process exits.
  */
 export function addressLifetimeFor(graceTime: number): number {
   const fitting = (graceTime - KILL_MARGIN - CLOSING_TIME) / KEPT_LONGER;
   return Math.max(SECOND, Math.floor(Math.min(LONGEST_ADDRESS_LIFETIME, fitting) / SECOND) * SECOND);
 }
 
-/** When a process that is told to stop does what. */
+/** The state of a shutdown. */
 export class DrainSchedule {
   readonly #limits: DrainLimits;
   #orderedAt: number | undefined;
@@ -43,41 +43,41 @@
     this.#limits = limits;
   }
 
-  /** The order to stop came at `now`; a second one changes nothing. */
+  /** Starts the shutdown at `now`; further calls have no effect. */
   begin(now: number): void {
     this.#orderedAt ??= now;
   }
 
-  /** The process ends at `now`, maybe before it must: what comes from now on cannot end any more. */
+  /** The process exits at `now`, possibly before it has to; requests that arrive from now on cannot complete. */
   finish(now: number): void {
     this.begin(now);
     this.#finishedAt ??= now;
   }
 
-  /** True from the order to stop on. */
+  /** True once the shutdown has started. */
   get isUnderWay(): boolean {
     return this.#orderedAt !== undefined;
   }
 
-  /** Time since the order to stop; negative for what was before it, undefined without one. */
+  /** Time from the order to stop to `now`; negative if `now` is before it, undefined if there was none. */
   elapsed(now: number): number | undefined {
     return this.#orderedAt === undefined ? undefined : now - this.#orderedAt;
   }
 
-  /** When the process ends by itself, whatever is in progress; infinite before the order. */
+  /** When the process exits, whatever is in progress; infinite before the order to stop. */
   get endsAt(): number {
     if (this.#orderedAt === undefined) return Number.POSITIVE_INFINITY;
     const latest = this.#orderedAt + Math.max(0, this.#limits.graceTime - KILL_MARGIN);
     return Math.min(latest, this.#finishedAt ?? latest);
   }
 
-  /** Whether what begins at `now` and takes `duration` ends before the process does. */
+  /** Whether a request that starts at `now` and takes `duration` completes before the process exits. */
   canEnd(now: number, duration: number): boolean {
     return now + duration <= this.endsAt;
   }
 
   /**
-   * Whether connections are taken: callers may hold the address, or have come lately.
+   * Whether connections are accepted: callers may still use the address, or have sent requests recently.
    * @param quietFor - time since the latest request
    */
   takesConnections(now: number, quietFor: number): boolean {
--- a/test/systems/drain-schedule.test.ts
+++ b/test/systems/drain-schedule.test.ts
@@ -1,4 +1,4 @@
-/** The time of a planned stop. */
+/** Tests the schedule of a graceful shutdown. */
 import { describe, expect, it } from 'vitest';
 import { addressLifetimeFor, DrainSchedule } from '../../src/systems/drain-schedule.js';
 
@@ -13,7 +13,7 @@
 }
 
 describe('a drain', () => {
-  it('has no end before the order, and one that a second order does not move', () => {
+  it('has no end before the order to stop, and a second order does not move the end', () => {
     const drain = new DrainSchedule({ graceTime: GRACE_TIME, addressLifetime: LIFETIME });
     expect(drain.canEnd(ORDERED_AT, 60_000)).toBe(true);
     expect(drain.takesConnections(ORDERED_AT, 60_000)).toBe(true);
@@ -24,13 +24,13 @@
     expect(drain.endsAt).toBe(endsAt);
   });
 
-  it('lets begin only what ends before it does', () => {
+  it('permits only requests that complete before it ends', () => {
     const drain = ordered();
     expect(drain.canEnd(ORDERED_AT + 3_000, drain.endsAt - ORDERED_AT - 3_000)).toBe(true);
     expect(drain.canEnd(ORDERED_AT + 3_000, drain.endsAt - ORDERED_AT - 2_999)).toBe(false);
   });
 
-  it('takes connections for the life of addresses, and three times as long while callers come', () => {
+  it('accepts connections for the address lifetime, and three times as long while requests arrive', () => {
     const drain = ordered();
     expect(drain.takesConnections(ORDERED_AT + LIFETIME - 1, 60_000)).toBe(true);
     expect(drain.takesConnections(ORDERED_AT + LIFETIME, 60_000)).toBe(false);
@@ -38,14 +38,14 @@
     expect(drain.takesConnections(ORDERED_AT + 3 * LIFETIME, 10)).toBe(false);
   });
 
-  it('lets nothing begin once it is finished, though it would have had time', () => {
+  it('permits no requests once it is finished, even before its latest end', () => {
     const drain = ordered();
     drain.finish(ORDERED_AT + 1_500);
     expect(drain.canEnd(ORDERED_AT + 1_510, 1)).toBe(false);
     expect(drain.takesConnections(ORDERED_AT + 1_510, 10)).toBe(false);
   });
 
-  it('takes none after its end, however long addresses live', () => {
+  it('accepts no connections after its end, however long the address lifetime', () => {
     const drain = new DrainSchedule({ graceTime: GRACE_TIME, addressLifetime: 60_000 });
     drain.begin(ORDERED_AT);
     expect(drain.takesConnections(drain.endsAt - 1, 10)).toBe(true);
@@ -53,14 +53,14 @@
   });
 });
 
-describe('the life of addresses', () => {
-  it('leaves time for the last answers within the time of a stop', () => {
+describe('the address lifetime', () => {
+  it('leaves time for the last answers within the grace time', () => {
     expect(addressLifetimeFor(8_000)).toBe(1_000);
     expect(addressLifetimeFor(10_000)).toBe(2_000);
     expect(addressLifetimeFor(60_000)).toBe(2_000);
   });
 
-  it('is a second at least', () => {
+  it('is at least one second', () => {
     expect(addressLifetimeFor(2_000)).toBe(1_000);
   });
 });
