--- a/src/systems/entry-retry-window.ts
+++ b/src/systems/entry-retry-window.ts
@@ -1,38 +1,38 @@
 /**
- * The repetitions that one entry of many may make at a service: its part of what all entries together may make. Pure:
- * what the entry knows of the others is passed in. The parts of all entries add up to no more than the whole:
+ * Retry limit of one entry for a service: its share of the limit for all entries together. Pure: what the entry knows of
+ * the others is passed in. The shares of all entries never add up to more than the total:
  *
- * - What an entry's requests earn adds up by itself (see RetryWindow).
- * - The slack is divided among all entries that are known, whether they are heard or not.
- * - Only an entry that has heard most of the seeds has a part of the slack: of the parts of a divided system one at most
- *   has that, and in it entries know of one another.
- * - An entry that has just started has none, as its former process may have spent it within the same span.
+ * - The retries earned by requests add up by themselves (see RetryWindow).
+ * - The slack is divided among all known entries, whether they can be reached or not.
+ * - Only an entry that has had contact with a majority of the seeds gets a share of the slack. In a partitioned system at
+ *   most one partition has a majority, and the entries in it know each other.
+ * - An entry that has just started gets none, as its previous process may have used the share within the same span.
  */
 import { LONGEST_TO_ARRIVE, RetryWindow } from './retry-window.js';
 
-/** What all entries together may repeat at one service. */
+/** Retry limit of all entries together for one service. */
 export interface SharedRetryLimits {
-  /** Repetitions for each request. */
+  /** Retries permitted for each request. */
   share: number;
-  /** Repetitions besides. */
+  /** Additional retries permitted in any span. */
   slack: number;
-  /** Any span of this length is counted, in milliseconds. */
+  /** Length of the sliding window, in milliseconds. */
   span: number;
 }
 
-/** What an entry knows of the entries, itself among them. */
+/** What an entry knows about all entries, including itself. */
 export interface EntriesKnown {
-  /** Most entries that it, or any entry that it has heard, has known since its start. */
+  /** The largest number of entries known, since its start, to it or to any entry that has contacted it. */
   known: number;
-  /** Whether it has heard most of the seeds since its start: no other part of a divided system has, too. */
+  /** Whether a majority of the seeds has contacted it since its start; only one partition of a system can have that. */
   hasHeardMostSeeds: boolean;
 }
 
-/** Share of the slack that is handed out: the rest is for entries that were added unheard. */
+/** Share of the slack that is distributed; the rest is reserved for new entries that are not known yet. */
 const SLACK_SHARE = 0.9;
 
 /**
- * Creates the window of one entry.
+ * Creates the retry window of one entry.
  *
  * @param startedAt - when the entry started, in milliseconds of the clock by which the window is used
  */
--- a/test/systems/entry-retry-window.test.ts
+++ b/test/systems/entry-retry-window.test.ts
@@ -1,4 +1,4 @@
-/** The repetitions of all entries together stay within the shared bound, whatever each entry knows of the others. */
+/** Tests that the retries of all entries together stay within the shared limit, whatever each entry knows of the others. */
 import fc from 'fast-check';
 import { describe, expect, it } from 'vitest';
 import type { SharedRetryLimits } from '../../src/systems/entry-retry-window.js';
@@ -6,12 +6,12 @@
 import { RetryFleet, type View } from './retry-fleet.js';
 
 const SPAN = 10_000;
-/** Limits of the deployment of 42 entries that was reported. */
+/** Limits of a deployment with 42 entries in which the limit was exceeded. */
 const LIMITS: SharedRetryLimits = { share: 0.2, slack: 242, span: SPAN };
 const ENTRIES = 42;
-/** More repetitions than any entry here may make at once. */
+/** More retries than any entry here may make at once. */
 const MANY = 2_000;
-/** All entries have lived for longer than any span. */
+/** A time at which all entries have been running for longer than any span. */
 const LATER = 40_000;
 
 /** Each of the first `count` entries gets `each` requests, spread over the time from `start` to `end`. */
@@ -22,17 +22,17 @@
   }
 }
 
-/** Every entry repeats as often as it may. */
+/** Every entry makes as many retries as it may. */
 function repeatAll(fleet: RetryFleet, now: number): void {
   for (let entry = 0; entry < fleet.size; entry++) fleet.repeat(entry, MANY, now);
 }
 
 describe('the budget that was reported (84f9ecc)', () => {
-  it('let 42 entries together exceed the bound, each within its own', () => {
-    // As that commit made it: 0.75 of the share earned by each request, the slack divided by 16 saved at the most.
+  it('let 42 entries together exceed the limit, each within its own', () => {
+    // The budget of that commit: 0.75 of the share earned by each request, and at most a 16th of the slack saved up.
     const reported = () => new RetryBudget({ earnedByRequest: 0.15, savedAtMost: LIMITS.slack / 16 });
     const fleet = new RetryFleet(LIMITS, ENTRIES, 1, reported);
-    // 4,013 requests in the span of the report are 95.5 an entry; every fourth of them meets engines that refuse.
+    // The 4,013 requests in the reported span are 95.5 per entry; every fourth is refused by engines.
     for (let index = 0; index < 95; index++) {
       const now = LATER + index * 105;
       for (let entry = 0; entry < ENTRIES; entry++) {
@@ -44,28 +44,28 @@
   });
 });
 
-describe('the repetitions of all entries', () => {
-  it('stay within the bound where every entry was just started and hears no other', () => {
+describe('the retries of all entries', () => {
+  it('stay within the limit if every entry has just started and is partitioned from the others', () => {
     const fleet = new RetryFleet(LIMITS, ENTRIES, 2);
     for (let entry = 0; entry < ENTRIES; entry++) fleet.restart(entry, LATER, 'cutFromStart');
     repeatAll(fleet, LATER);
     expect(fleet.worstExcess()).toBeLessThanOrEqual(0);
   });
 
-  it('stay within the bound where every entry lives on and hears no other', () => {
+  it('stay within the limit if every entry keeps running and is partitioned from the others', () => {
     const fleet = new RetryFleet(LIMITS, ENTRIES, 3);
     for (let entry = 0; entry < ENTRIES; entry++) fleet.hear(entry, true);
     repeatAll(fleet, LATER);
     expect(fleet.worstExcess()).toBeLessThanOrEqual(0);
   });
 
-  it('stay within the bound with 400 entries', () => {
+  it('stay within the limit with 400 entries', () => {
     const fleet = new RetryFleet(LIMITS, 400, 4);
     repeatAll(fleet, LATER);
     expect(fleet.worstExcess()).toBeLessThanOrEqual(0);
   });
 
-  it('stay within the bound where all entries are killed three times within a span', () => {
+  it('stay within the limit if all entries are killed three times within a span', () => {
     const fleet = new RetryFleet(LIMITS, ENTRIES, 5);
     for (const now of [LATER, LATER + 3_000, LATER + 6_000]) {
       for (let entry = 0; entry < ENTRIES; entry++) fleet.restart(entry, now);
@@ -74,7 +74,7 @@
     expect(fleet.worstExcess()).toBeLessThanOrEqual(0);
   });
 
-  it('stay within the bound where callers move from one half of the entries to the other', () => {
+  it('stay within the limit if callers move from one half of the entries to the other', () => {
     const fleet = new RetryFleet(LIMITS, 40, 6);
     const move = LATER + SPAN;
     for (let now = LATER; now < move; now += 10)
@@ -86,17 +86,17 @@
     expect(fleet.worstExcess()).toBeLessThanOrEqual(0);
   });
 
-  it('stay within the bound where a burst has just ended', () => {
+  it('stay within the limit if a burst has just ended', () => {
     const fleet = new RetryFleet(LIMITS, ENTRIES, 7);
     sendRequests(fleet, LATER, LATER + 2_000, 200);
     for (let now = LATER + 2_000; now < LATER + 4 * SPAN; now += 250) repeatAll(fleet, now);
     expect(fleet.worstExcess()).toBeLessThanOrEqual(0);
   });
 
-  it('stay within the bound through random starts, restarts, cuts and bursts', () => {
+  it('stay within the limit through random starts, restarts, partitions and bursts', () => {
     const step = fc.record({
       pause: fc.integer({ min: 0, max: 3_000 }),
-      /** Entries from this part of all on, and so many, get the requests, or are hit. */
+      /** The range of entries, in percent of all, that receives the requests and the event. */
       fromPercent: fc.integer({ min: 0, max: 99 }),
       countPercent: fc.integer({ min: 1, max: 100 }),
       requests: fc.integer({ min: 0, max: 12 }),
