--- a/src/systems/retry-window.ts
+++ b/src/systems/retry-window.ts
@@ -1,44 +1,44 @@
 /**
- * How many repetitions an entry may make within any span of a given length: half of a share of the requests of two such
- * spans, and a few besides. What many entries make together then never exceeds the share of all requests of the span or
- * of the one before it, whichever has more, however requests move from one entry to another: half of both together is
- * no more than the greater, and sums of halves are halves of sums. (An allowance by the requests of one span does not
- * add up so: repetitions early in a span rest on requests before it, and those of other entries on requests in it.)
+ * Limits the repetitions (retries) of an entry in any time span of a given length to half of a share of the requests of
+ * two such spans, plus a slack. The total over many entries then never exceeds the share of all requests of the span or of the
+ * span before it, whichever has more, however requests move between entries: half of the sum of two spans is at most the
+ * larger one, and halves add up over entries. A limit based on the requests of one span would not add up: retries early
+ * in a span are based on requests before it, while those of other entries are based on requests in it.
  */
 
-/** What a window allows. Times are in milliseconds. */
+/** Limits of a retry window. Times are in milliseconds. */
 export interface RetryWindowLimits {
-  /** The span in which repetitions are counted. */
+  /** Length of the time span. */
   span: number;
-  /** Repetitions for each request, where requests come evenly. */
+  /** Retries for each request, at a constant request rate. */
   share: number;
-  /** Repetitions besides, at `now`: read anew at each, as the entries that share them become known. */
+  /** Additional retries at `now`. Evaluated each time, as the known entries that share them change. */
   slack: (now: number) => number;
 }
 
-/** Parts of the span in which counts are kept together. */
+/** Number of buckets into which the span is divided for counting. */
 const PARTS = 20;
 /**
- * Longest time from a repetition's payment to its arrival at the back end, in milliseconds: a new connection is given up
- * after 400, at the next look 50 later.
+ * Longest time from the grant of a retry to its arrival at the back end, in milliseconds: a new connection is abandoned
+ * after 400 ms, by a check that runs every 50 ms.
  */
 export const LONGEST_TO_ARRIVE = 500;
-/** Longest time from a caller's sending to its count here, in milliseconds: some ways of 3 and a short queue. */
+/** Longest time from sending by a caller to being counted here, in milliseconds: several hops of 3 ms and a short queue. */
 const LONGEST_TO_COUNT = 500;
 
 interface Part {
-  /** Number of the part since the beginning of time. */
+  /** Number of the part, counted from time 0. */
   index: number;
   requests: number;
   repetitions: number;
 }
 
-/** The repetitions of one entry at one service. */
+/** Counts the requests and retries of one entry for one service. */
 export class RetryWindow {
   readonly #limits: RetryWindowLimits;
-  /** Parts after which a repetition has arrived, for certain. */
+  /** Number of parts after which a retry has certainly arrived. */
   readonly #arrivalParts: number;
-  /** A span that begins in a part rests on the requests from this many parts before on. */
+  /** Number of parts before a span whose requests count towards the retries of that span. */
   readonly #earningParts: number;
   #parts: Part[] = [];
   #granted = 0;
@@ -52,29 +52,29 @@
     this.#earningParts = Math.max(0, PARTS - this.#arrivalParts - countParts - 1);
   }
 
-  /** Repetitions that were granted since the start. */
+  /** Number of retries granted since the start. */
   get granted(): number {
     return this.#granted;
   }
 
-  /** How often a repetition was asked for and denied since the start. */
+  /** Number of retries denied since the start. */
   get denied(): number {
     return this.#denied;
   }
 
-  /** A request was routed. */
+  /** Records a routed request. */
   earn(now: number): void {
     this.#partAt(now).requests++;
   }
 
-  /** Whether there is one more repetition at `now`. */
+  /** Whether one more retry is permitted at `now`; counts a denial if not. */
   allows(now: number): boolean {
     const allowed = this.#isWithin(this.#partAt(now).index, this.#limits.slack(now));
     if (!allowed) this.#denied++;
     return allowed;
   }
 
-  /** Takes one repetition, if there is one. */
+  /** Takes one retry; false if none is permitted. */
   spend(now: number): boolean {
     if (!this.allows(now)) return false;
     this.#partAt(now).repetitions++;
@@ -82,10 +82,10 @@
     return true;
   }
 
-  /** Whether one more repetition in the part `newest` is within what each span allows that may hold it. */
+  /** Whether one more retry in the part `newest` stays within the limit of every span that may contain it. */
   #isWithin(newest: number, slack: number): boolean {
     const halfShare = this.#limits.share / 2;
-    // The span may end now or later: nothing is known of the requests that are to come.
+    // A span may end now or later. Requests yet to come are unknown and do not count.
     for (let first = newest - this.#repetitionParts; first <= newest; first++) {
       const earned = halfShare * this.#sumFrom(first - this.#earningParts, 'requests');
       if (this.#sumFrom(first, 'repetitions') + 1 > earned + slack) return false;
@@ -93,7 +93,7 @@
     return true;
   }
 
-  /** Parts before the newest whose repetitions may arrive within one span with one of the newest. */
+  /** Number of parts before the newest whose retries may arrive within the same span as a retry of the newest. */
   get #repetitionParts(): number {
     return PARTS + this.#arrivalParts;
   }
--- a/test/systems/retry-window.test.ts
+++ b/test/systems/retry-window.test.ts
@@ -1,4 +1,4 @@
-/** Repetitions within any span. */
+/** Tests the limit of retries within any time span. */
 import fc from 'fast-check';
 import { describe, expect, it } from 'vitest';
 import { RetryWindow } from '../../src/systems/retry-window.js';
@@ -6,12 +6,12 @@
 const SPAN = 10_000;
 const SHARE = 0.2;
 const SLACK = 5;
-/** More than any window here allows. */
+/** More retries than any window here allows. */
 const MOST_TRIES = 1_000;
 
 const windowOf = () => new RetryWindow({ span: SPAN, share: SHARE, slack: () => SLACK });
 
-/** Repetitions that are allowed at once at `now`. */
+/** Number of retries that are permitted immediately at `now`. */
 function allowedAt(window: RetryWindow, now: number): number {
   let count = 0;
   while (count < MOST_TRIES && window.spend(now)) count++;
@@ -19,7 +19,7 @@
 }
 
 describe('repetitions', () => {
-  it('may come at once: half the share of the requests of the last 8.5 s, and the slack', () => {
+  it('are permitted at once up to half the share of the requests of the last 8.5 s, plus the slack', () => {
     const window = windowOf();
     // From 500 ms on, 94 of these count.
     for (let now = 0; now < 9_000; now += 90) window.earn(now);
@@ -27,7 +27,7 @@
     expect(window.spend(9_100)).toBe(false);
   });
 
-  it('rest on requests of a span before: a second burst of them may follow a first one only then', () => {
+  it('are based on the requests of the span before, so that a second burst of them may follow only after that', () => {
     const window = windowOf();
     for (let now = 0; now < 3 * SPAN; now += 100) window.earn(now);
     const first = allowedAt(window, 3 * SPAN);
@@ -36,14 +36,14 @@
     expect(first + second).toBeLessThanOrEqual((SHARE / 2) * 200 + SLACK);
   });
 
-  it('are allowed again once a span has passed and the first of them have arrived', () => {
+  it('are permitted again once a span has passed and the first of them have arrived', () => {
     const window = windowOf();
     expect(allowedAt(window, 0)).toBe(SLACK);
     expect(window.spend(SPAN + 999)).toBe(false);
     expect(allowedAt(window, SPAN + 1_000)).toBe(SLACK);
   });
 
-  it('never exceed half of the share of the requests of two spans, and the slack', () => {
+  it('never exceed half of the share of the requests of two spans, plus the slack', () => {
     const step = fc.record({
       pause: fc.integer({ min: 0, max: 2_000 }),
       requests: fc.integer({ min: 0, max: 40 }),
@@ -75,7 +75,7 @@
     );
   });
 
-  it('never exceed the share and the slack in any span', () => {
+  it('never exceed the share plus the slack in any span', () => {
     const step = fc.record({
       pause: fc.integer({ min: 0, max: 1_200 }),
       requests: fc.integer({ min: 0, max: 20 }),
