--- a/src/systems/retry-budget.ts
+++ b/src/systems/retry-budget.ts
@@ -1,13 +1,13 @@
 /**
- * How many repetitions an entry may make: a share of what it routes, and a few besides, so that back ends which
- * fail get no storm on top.
+ * Retry budget of an entry: a share of the requests it routes plus a small reserve, so that retries do not overload back
+ * ends that are failing.
  */
 
-/** What a budget allows. */
+/** Limits of a retry budget. */
 export interface RetryBudgetLimits {
-  /** Repetitions earned by each request. */
+  /** Retries earned by each request. */
   earnedByRequest: number;
-  /** Most repetitions that can be saved up. */
+  /** Maximum number of retries that can be saved up. */
   savedAtMost: number;
 }
 
@@ -23,12 +23,12 @@
     this.#saved = limits.savedAtMost;
   }
 
-  /** A request was routed. */
+  /** Records a routed request. */
   earn(): void {
     this.#saved = Math.min(this.#limits.savedAtMost, this.#saved + this.#limits.earnedByRequest);
   }
 
-  /** Takes one repetition, if there is one. */
+  /** Takes one retry from the budget; false if none is left. */
   spend(): boolean {
     if (this.#saved < 1) return false;
     this.#saved--;
--- a/test/systems/retry-fleet.ts
+++ b/test/systems/retry-fleet.ts
@@ -1,6 +1,6 @@
 /**
- * Many entries that share the repetitions at one service, in virtual time, and a judge that counts what arrives there.
- * Times are in milliseconds.
+ * Simulates many entries that share the retry limit of one service in virtual time, and measures the retries that arrive
+ * there. Times are in milliseconds.
  */
 import { seededRandom } from '../../src/model/random.js';
 import {
@@ -9,27 +9,27 @@
   type SharedRetryLimits,
 } from '../../src/systems/entry-retry-window.js';
 
-/** What one entry uses to count; any kind of budget can be simulated. */
+/** The retry budget of one entry; any implementation can be simulated. */
 export interface EntryBudget {
   earn(now: number): void;
   spend(now: number): boolean;
 }
 
-/** How an entry that was started sees the others. */
+/** Which other entries a started entry is in contact with. */
 export type View =
-  /** It hears all. */
+  /** All of them. */
   | 'all'
-  /** It has heard none since its start, and knows only the seeds. */
+  /** None since its start; it knows only the seeds. */
   | 'cutFromStart'
-  /** It heard all, and hears none any more. */
+  /** None any more, but all of them earlier. */
   | 'cutLater';
 
-/** Longest time from a caller's sending to the entry's count, and from a repetition's payment to its arrival. */
+/** Longest time from sending by a caller to being counted at the entry, and from the grant of a retry to its arrival. */
 export const REQUEST_LAG = 400;
 export const REPETITION_LAG = 450;
 const SEEDS = 3;
 
-/** The entries and what they did. */
+/** The simulated entries and the requests and retries they made. */
 export class RetryFleet {
   readonly limits: SharedRetryLimits;
   readonly requests: number[] = [];
@@ -39,7 +39,7 @@
   readonly #views: View[];
   readonly #random;
 
-  /** @param create - makes the budget of an entry that starts; by default as an entry does */
+  /** @param create - creates the budget of an entry that starts; by default the production one */
   constructor(
     limits: SharedRetryLimits,
     size: number,
@@ -57,25 +57,25 @@
     return this.#budgets.length;
   }
 
-  /** The entry's process ends, and the next one begins: it knows nothing of the former. */
+  /** Replaces the entry's process by a new one without its state. */
   restart(entry: number, now: number, view: View = 'all'): void {
     this.#views[entry] = view;
     this.#budgets[entry] = this.#create(entry, now);
   }
 
-  /** Changes what a running entry hears. */
+  /** Disconnects a running entry from the others, or connects it again. */
   hear(entry: number, isCut: boolean): void {
     const view = this.#views[entry];
     if (view !== 'cutFromStart') this.#views[entry] = isCut ? 'cutLater' : 'all';
   }
 
-  /** A caller's request reaches the entry at `now`; it was sent up to `REQUEST_LAG` before. */
+  /** A caller's request arrives at the entry at `now`; it was sent up to `REQUEST_LAG` earlier. */
   request(entry: number, now: number): void {
     this.requests.push(now - this.#random.below(REQUEST_LAG + 1));
     this.#budgets[entry].earn(now);
   }
 
-  /** The entry makes as many of `wanted` repetitions as it may; they arrive up to `REPETITION_LAG` later. */
+  /** The entry makes up to `wanted` retries, as far as its budget permits; they arrive up to `REPETITION_LAG` later. */
   repeat(entry: number, wanted: number, now: number): void {
     for (let index = 0; index < wanted; index++) {
       if (!this.#budgets[entry].spend(now)) return;
@@ -84,8 +84,8 @@
   }
 
   /**
-   * The most by which the repetitions of any span go beyond the bound: the share of the requests of that span, the one
-   * before it or the one half a span before, whichever has the most, and the slack. Zero or less where it holds.
+   * The largest excess of the retries of any span over the limit. The limit is the slack plus the share of the requests of
+   * that span, the span before it or the one half a span before, whichever has the most. Not positive if the limit holds.
    */
   worstExcess(): number {
     const { share, slack, span } = this.limits;
@@ -106,7 +106,7 @@
   }
 }
 
-/** How many of the ascending `times` lie after `start` and no later than `end`. */
+/** Number of the sorted `times` that are after `start` and not after `end`. */
 function countBetween(times: readonly number[], start: number, end: number): number {
   return countUntil(times, end) - countUntil(times, start);
 }
