--- a/src/systems/entry-topology.ts
+++ b/src/systems/entry-topology.ts
@@ -1,36 +1,36 @@
 /**
- * Which entries are connected. Entries of a zone are connected all to all. Each pair of zones is connected by one link,
- * kept by the entry that rendezvous hashing chooses among the live ones of the zone with the lower name; so the links
- * to other zones are spread over a zone's entries. Two links at once cost messages, never correctness, so nothing has
- * to be agreed.
+ * Topology of the connections between entries. The entries of a zone are fully connected. Each pair of zones is connected
+ * by one link, maintained by the entry that rendezvous hashing selects among the live entries of the zone with the lower
+ * name, so that the links to other zones are spread over a zone's entries. Redundant links cause extra messages but no
+ * errors, so the entries need no agreement.
  */
 import { rendezvousOrder } from '../model/random.js';
 
-/** An entry as the settings give it. */
+/** An entry as configured in the settings. */
 export interface ConfiguredEntry {
-  /** `host:port` for the system's own processes. */
+  /** `host:port` for connections from the system's own processes. */
   address: string;
   zone: string;
 }
 
-/** What an entry knows of its connections. */
+/** What an entry knows about its connections. */
 export interface TopologyView {
   self: ConfiguredEntry;
   configured: readonly ConfiguredEntry[];
-  /** Entries that are connected, or being dialled. */
+  /** Entries that are connected or being dialled. */
   connected: readonly ConfiguredEntry[];
-  /** Entries that took no connection lately; others of their zone are tried first. */
+  /** Entries that recently did not accept a connection; others of their zone are tried first. */
   unreachable: ReadonlySet<string>;
-  /** False while entries of the own zone may just not have been connected yet. */
+  /** False while entries of the own zone may not have had time to connect yet. */
   knowsOwnZone: boolean;
 }
 
-/** True when no connected entry of the own zone has a lower address. */
+/** Whether no connected entry of the own zone has a lower address. */
 export function isFirstOfZone(self: ConfiguredEntry, connected: readonly ConfiguredEntry[]): boolean {
   return connected.every((entry) => entry.zone !== self.zone || entry.address > self.address);
 }
 
-/** True when this entry, of the live ones of its zone, is to be linked to `zone`. */
+/** Whether this entry is the one of its zone's live entries that maintains the link to `zone`. */
 export function isLinkedTo(
   zone: string,
   self: ConfiguredEntry,
@@ -40,7 +40,7 @@
   return rendezvousOrder(zone, [self.address, ...live])[0] === self.address;
 }
 
-/** The entries to dial now. Of two sides the one with the lower address, or zone, dials. */
+/** The entries to dial now. The entry with the lower address (or, between zones, in the zone with the lower name) dials. */
 export function entriesToDial(view: TopologyView): ConfiguredEntry[] {
   const { self, configured, connected, knowsOwnZone } = view;
   const known = new Set(connected.map((entry) => entry.address));
@@ -56,7 +56,7 @@
   return [...ownZone, ...missing.flatMap((zone) => firstReachable(zone, view))];
 }
 
-/** The entry of a zone to be linked to that has not just failed; the first of all when every one has. */
+/** The first entry of a zone, in rendezvous order, that is not unreachable; the first of all if every one is. */
 function firstReachable(zone: string, { self, configured, unreachable }: TopologyView): ConfiguredEntry[] {
   const ofZone = configured.filter((entry) => entry.zone === zone);
   const order = rendezvousOrder(
@@ -67,7 +67,7 @@
   return ofZone.filter((entry) => entry.address === address);
 }
 
-/** The entry with the lowest address of each zone, of those that are not leaving. */
+/** The entry with the lowest address of each zone, ignoring entries that are leaving. */
 export function lowestOfEachZone<T extends ConfiguredEntry & { leaving: boolean }>(
   entries: readonly T[],
 ): T[] {
--- a/test/systems/entry-topology.test.ts
+++ b/test/systems/entry-topology.test.ts
@@ -32,7 +32,7 @@
 }
 
 describe('the topology of entries', () => {
-  it('lets an entry dial its zone, and those later zones that it is to be linked to', () => {
+  it('has an entry dial its own zone, and the later zones to which it maintains the link', () => {
     const zones = (address: string, live: ConfiguredEntry[]) => {
       const self = ALL.find((row) => row.address === address)!;
       return dialled(self, live).map((target) => ALL.find((row) => row.address === target)!.zone);
@@ -42,21 +42,21 @@
     expect([...first, ...second].filter((zone) => zone !== 'a').sort()).toEqual(['b', 'c']);
   });
 
-  it('dials no other zone while entries of the own zone may just not have been connected yet', () => {
+  it('dials no other zone while entries of the own zone may not be connected yet', () => {
     expect(dialled(ALL[0], [], [], false)).toEqual(['a2']);
   });
 
-  it('names the lowest connected entry the first of its zone', () => {
+  it('considers the connected entry with the lowest address the first of its zone', () => {
     expect(isFirstOfZone(ALL[1], [ALL[0]])).toBe(false);
     expect(isFirstOfZone(ALL[1], [ALL[2]])).toBe(true);
   });
 
-  it('links an entry that is alone in its zone to every later zone', () => {
+  it('links the only entry of a zone to every later zone', () => {
     expect(isLinkedTo('b', ALL[1], [])).toBe(true);
     expect(dialled(ALL[1]).length).toBe(2);
   });
 
-  it('passes over an entry that takes no connection', () => {
+  it('skips an entry that does not accept connections', () => {
     const [target] = dialled(ALL[0], [ALL[4]], []).filter((address) => address.startsWith('b'));
     const other = target === 'b1' ? 'b2' : 'b1';
     expect(dialled(ALL[0], [ALL[4]], [target])).toContain(other);
@@ -73,12 +73,12 @@
     expect(Math.max(...counts)).toBeLessThanOrEqual(6);
   });
 
-  it('names the lowest entry of each zone that is not leaving', () => {
+  it('selects the lowest entry of each zone that is not leaving', () => {
     const entries = ALL.map((row) => ({ ...row, leaving: row.address === 'b1' }));
     expect(lowestOfEachZone(entries).map(({ address }) => address)).toEqual(['a1', 'b2', 'c1']);
   });
 
-  it('connects all entries, whichever of them live', () => {
+  it('connects all live entries, whichever of them are live', () => {
     const property = fc.property(fc.subarray(ALL, { minLength: 1 }), (live) => {
       const links = new Map(live.map((row) => [row, new Set<ConfiguredEntry>()]));
       for (let round = 0; round < 8; round++) {
