--- a/src/systems/held-back-news.ts
+++ b/src/systems/held-back-news.ts
@@ -1,7 +1,7 @@
 /**
- * News of the configuration that nobody waits for (renewals of leases) are held back and go along with the next that
- * matter, or after a while. What is sent covers a range of revisions without a gap: whoever knows its base knows all
- * rows up to its revision.
+ * Delays configuration changes that are not urgent (lease renewals), and sends them together with the next urgent change
+ * or after a maximum delay. Each message covers a contiguous range of revisions: a receiver that has the base revision
+ * has all rows up to the message's revision.
  */
 import type { Row } from '../clients/table-service.js';
 
@@ -12,26 +12,26 @@
   rows: Row[];
 }
 
-/** Tables whose changes others learn early enough by their own reading. */
+/** Tables whose changes other processes see early enough by reading them themselves. */
 const PATIENT_TABLES: ReadonlySet<string> = new Set(['leases']);
 
-/** The news held back on one kind of link. */
+/** The changes held back on one kind of link. */
 export class HeldBackNews {
   readonly #longest: number;
   #held: ConfigurationNews | undefined;
   #heldSince = 0;
 
-  /** News wait for `longest` milliseconds at most. */
+  /** @param longest - maximum delay, in milliseconds */
   constructor(longest: number) {
     this.#longest = longest;
   }
 
-  /** Takes news in; returns what is to be sent now, if anything is. */
+  /** Adds changes; returns the changes to send now, if any. */
   add(news: ConfigurationNews, now: number): ConfigurationNews | undefined {
     const follows = this.#held !== undefined && this.#held.revision === news.base;
     if (this.#held !== undefined && follows) this.#held = join(this.#held, news);
     else {
-      // What lies between came by another way and was passed on there.
+      // The revisions in between were received by another way and forwarded there.
       this.#held = news;
       this.#heldSince = now;
     }
@@ -43,7 +43,7 @@
   }
 }
 
-/** One range of revisions from two that follow each other; of each row the later one. */
+/** Merges two consecutive ranges of revisions; the later change of a row wins. */
 function join(earlier: ConfigurationNews, later: ConfigurationNews): ConfigurationNews {
   const rows = new Map<string, Row>();
   for (const row of [...earlier.rows, ...later.rows]) rows.set(`${row.table}/${row.key}`, row);
--- a/test/systems/held-back-news.test.ts
+++ b/test/systems/held-back-news.test.ts
@@ -7,8 +7,8 @@
   return { base, revision, rows: [{ table, key, value: revision, revision }] };
 }
 
-describe('news held back', () => {
-  it('sends what matters at once, with what was held back before', () => {
+describe('held-back configuration changes', () => {
+  it('are sent together with the next urgent change', () => {
     const held = new HeldBackNews(2_000);
     expect(held.add(news(1, 2, 'leases'), 0)).toBeUndefined();
     expect(held.add(news(2, 3, 'leases'), 100)).toBeUndefined();
@@ -20,19 +20,19 @@
     ]);
   });
 
-  it('sends the rest after a while', () => {
+  it('are sent after the maximum delay', () => {
     const held = new HeldBackNews(2_000);
     expect(held.add(news(1, 2, 'leases'), 0)).toBeUndefined();
     expect(held.add(news(2, 3, 'leases'), 2_000)).toMatchObject({ base: 1, revision: 3 });
   });
 
-  it('never claims revisions that came by another way', () => {
+  it('never cover revisions that were received by another way', () => {
     const held = new HeldBackNews(Number.POSITIVE_INFINITY);
     held.add(news(1, 2, 'leases'), 0);
     expect(held.add(news(5, 6, 'resources'), 100)).toMatchObject({ base: 5, revision: 6 });
   });
 
-  it('brings a listener that knows the base every row, whatever is held back', () => {
+  it('bring every row to a receiver that has the base revision, whatever is held back', () => {
     const step = fc.record({
       table: fc.constantFrom('leases', 'resources'),
       key: fc.constantFrom('a', 'b'),
