--- a/src/systems/longest-durations.ts
+++ b/src/systems/longest-durations.ts
@@ -1,51 +1,52 @@
 /**
- * The longest times that requests of a kind and size have taken lately: how long the next one may take. Requests of one
- * kind differ by the length of their answers, so sizes, by powers of two, are told apart. Times are in milliseconds.
+ * Estimates how long a request may take, from the longest recent durations of requests of the same kind and size. As the
+ * duration depends on the length of the answer, sizes are distinguished by powers of two. Times are in milliseconds.
  */
 
-/** What is older than one to two of these is forgotten: back ends that were slow are not held to be so for ever. */
+/** Durations older than one to two periods are dropped, so that back ends are not considered slow for ever. */
 const PERIOD = 10_000;
-/** The next request may take longer than each of those seen, by this factor: 2.3 s was followed by 3.1 s within 10 s. */
+/** A request may take longer than all previous ones by this factor: 2.3 s was followed by 3.1 s within 10 s. */
 const PROLONGATION = 1.35;
-/** Fewer requests than this say too little: of so many, the next is longer than all with a chance of 1 in 17. */
+/** Minimum number of requests for an estimate: after this many, the next is longer than all with a probability of 1/17. */
 const ENOUGH_REQUESTS = 16;
 
-/** Requests of one kind and size within a period. */
+/** Durations of the requests of one kind and size within a period. */
 interface Seen {
-  /** Since when such requests have been sent without a longer gap. */
+  /** Since when such requests have been sent, without a gap of a whole period. */
   since: number;
   count: number;
   longest: number;
 }
 
-/** The longest times. */
+/** The longest recent durations by kind and size. */
 export class LongestDurations {
   #current = new Map<string, Seen>();
   #previous = new Map<string, Seen>();
   #periodEndsAt = Number.NEGATIVE_INFINITY;
   #largestSize = 0;
 
-  /** A request of `kind` for an answer of `tokens` is sent. */
+  /** Records that a request of `kind` for an answer of `tokens` is sent. */
   noteSent(kind: string, tokens: number, now: number): void {
     this.#seen(kind, tokens, now);
   }
 
-  /** One that is in progress has taken `duration` so far. */
+  /** Records that a request in progress has taken `duration` so far. */
   noteAge(kind: string, tokens: number, duration: number, now: number): void {
     const seen = this.#seen(kind, tokens, now);
     seen.longest = Math.max(duration, seen.longest);
   }
 
-  /** One has ended after `duration`. */
+  /** Records that a request has ended after `duration`. */
   noteEnded(kind: string, tokens: number, duration: number, now: number): void {
     this.#seen(kind, tokens, now).count++;
     this.noteAge(kind, tokens, duration, now);
   }
 
   /**
-   * How long one that begins now may take, by those of its size and, where these are few, of larger ones.
-   * @param limit - the longest that any takes: while requests have been sent for a shorter time, only short ones have ended
-   * @returns undefined where too little is known
+   * How long a request that starts now may take, by the requests of its size and, if these are few, of larger sizes.
+   * @param limit - upper bound of all durations. Sizes whose requests have been sent for less time are ignored, as only
+   * short requests have ended there yet.
+   * @returns undefined if there are too few requests
    */
   expected(kind: string, tokens: number, limit: number, now: number): number | undefined {
     this.#forget(now);
@@ -84,7 +85,7 @@
   }
 }
 
-/** The power of two that `tokens` do not exceed. */
+/** Exponent of the smallest power of two that is not less than `tokens`. */
 function sizeOf(tokens: number): number {
   return tokens <= 1 ? 0 : Math.ceil(Math.log2(tokens));
 }
--- a/test/systems/longest-durations.test.ts
+++ b/test/systems/longest-durations.test.ts
@@ -1,4 +1,4 @@
-/** What is expected of the next request, by those that were seen. */
+/** Tests the expected duration of a request, based on recent requests. */
 import { expect, it } from 'vitest';
 import { LongestDurations } from '../../src/systems/longest-durations.js';
 
@@ -11,7 +11,7 @@
     durations.noteEnded('write', tokens, duration, from + index * 100 + duration);
 }
 
-it('knows nothing of few requests, nor of another kind', () => {
+it('expects nothing if there are few requests, or only requests of another kind', () => {
   const durations = new LongestDurations();
   seen(durations, 100, 5, 500);
   expect(durations.expected('write', 100, LIMIT, 7_000)).toBeUndefined();
@@ -21,14 +21,14 @@
   expect(durations.expected('read', 100, LIMIT, 7_000)).toBeUndefined();
 });
 
-it('knows nothing while long ones cannot have ended yet', () => {
+it('expects nothing while long requests cannot have ended yet', () => {
   const durations = new LongestDurations();
   seen(durations, 100, 20, 500);
   expect(durations.expected('write', 100, LIMIT, 3_000)).toBeUndefined();
   expect(durations.expected('write', 100, LIMIT, 6_000)).toBeGreaterThanOrEqual(500);
 });
 
-it('takes larger ones for smaller ones where these are few, never the reverse', () => {
+it('uses larger sizes for smaller ones if these are few, never the reverse', () => {
   const durations = new LongestDurations();
   seen(durations, 100, 20, 500);
   expect(durations.expected('write', 400, LIMIT, 7_000)).toBeUndefined();
@@ -38,14 +38,14 @@
   expect(durations.expected('write', 400, LIMIT, 7_000)).toBeGreaterThanOrEqual(2_000);
 });
 
-it('counts how long those in progress have taken so far', () => {
+it('includes the time that requests in progress have taken so far', () => {
   const durations = new LongestDurations();
   seen(durations, 100, 20, 500);
   durations.noteAge('write', 100, 3_000, 7_000);
   expect(durations.expected('write', 100, LIMIT, 7_000)).toBeGreaterThanOrEqual(3_000);
 });
 
-it('forgets what is long past', () => {
+it('forgets old durations', () => {
   const durations = new LongestDurations();
   seen(durations, 100, 20, 5_000);
   seen(durations, 100, 20, 500, 25_000);
