--- a/src/systems/once-ledger.ts
+++ b/src/systems/once-ledger.ts
@@ -1,6 +1,6 @@
 /**
- * What one process knows of the keys that it owns: which ran, with which outcome, and which it refused. It
- * answers for each call whether it may run; a key runs at most once.
+ * Idempotency ledger of one process for the keys that it owns: which keys ran, with which outcome, and which were
+ * refused. It decides for each call whether it may run, so that a key runs at most once.
  *
  * @example
  * ```ts
@@ -9,33 +9,33 @@
  * ```
  */
 
-/** The outcome of a run, kept so that the same key gets the same answer. */
+/** The outcome of a run, kept so that later calls with the same key get the same answer. */
 export type KeptOutcome =
   | { type: 'answered'; status: number; contentType: string; body: Uint8Array }
-  /** There is no whole answer to give: it was lost on the way from the back end, or too large to keep. */
+  /** There is no complete answer: it was lost on the way from the back end, or was too large to keep. */
   | { type: 'unanswered'; ran: 'yes' | 'unknown'; reason: string };
 
-/** A call with a key. */
+/** A call with an idempotency key. */
 export interface KeyedCall {
   key: string;
   /** Number of the caller's attempt with this key, from 1. */
   attempt: number;
-  /** True when no other process can have taken an earlier attempt. */
+  /** True if no other process can have received an earlier attempt. */
   fresh: boolean;
 }
 
-/** What to do with a call. */
+/** The decision on a call. */
 export type OnceVerdict =
   | { type: 'run' }
-  /** The key has run: this is its outcome. */
+  /** The key has already run with this outcome. */
   | { type: 'ran'; outcome: KeptOutcome }
-  /** The key is running: `wait` tells the outcome, or undefined when it did not run after all. */
+  /** The key is running; `wait` resolves to the outcome, or to undefined if it did not run after all. */
   | { type: 'running'; wait: Promise<KeptOutcome | undefined> }
-  /** An earlier attempt may have run elsewhere. */
+  /** An earlier attempt may have run in another process. */
   | { type: 'unknown' }
-  /** This attempt was refused before, and the caller was told that it did not run. */
+  /** This attempt was refused before, and the caller was told that it had not run. */
   | { type: 'refusedBefore' }
-  /** There is no room to remember another key. */
+  /** The ledger has no room for another key. */
   | { type: 'full' };
 
 type Settle = (outcome: KeptOutcome | undefined) => void;
@@ -47,12 +47,13 @@
 
 /** Limits of a ledger. */
 export interface OnceLedgerLimits {
+  /** Maximum number of keys. */
   keys: number;
-  /** Time for which a key is remembered, in milliseconds; callers may not repeat a key after it. */
+  /** Time for which a key is kept, in milliseconds; callers may not repeat a key after that. */
   lifetime: number;
 }
 
-/** Defaults: about 60 MB at most with kept answers of 512 bytes. */
+/** Defaults: at most about 60 MB with answers of 512 bytes. */
 export const DEFAULT_ONCE_LIMITS: OnceLedgerLimits = { keys: 100_000, lifetime: 900_000 };
 
 /** The ledger of one process. */
@@ -68,12 +69,12 @@
     return this.#entries.size;
   }
 
-  /** True when the key is running, ran or was refused here. */
+  /** True if the key is running, has run or was refused here. */
   knows(key: string): boolean {
     return this.#entries.has(key);
   }
 
-  /** Decides on a call; a verdict `run` counts as a run from this moment on. */
+  /** Decides on a call. The verdict `run` marks the key as running. */
   admit(call: KeyedCall, now: number): OnceVerdict {
     this.#forget(now);
     const known = this.#entries.get(call.key);
@@ -86,7 +87,7 @@
     return { type: 'run' };
   }
 
-  /** Whether a refusal of this call may say "not run", and if so, makes that stay true. */
+  /** Whether a refusal of this call may state that it has not run. If so, this attempt is refused from now on. */
   refuse(call: KeyedCall, now: number): boolean {
     const known = this.#entries.get(call.key);
     if (known?.state === 'running' || known?.state === 'ran') return false;
@@ -97,7 +98,7 @@
     return true;
   }
 
-  /** A run that began provably did not reach the back end: the key may run at a later attempt. */
+  /** Withdraws a run that provably did not reach the back end; the key may run at a later attempt. */
   withdraw(call: KeyedCall, now: number): void {
     const known = this.#entries.get(call.key);
     if (known?.state !== 'running') return;
@@ -105,7 +106,7 @@
     known.resolve(undefined);
   }
 
-  /** A run has ended; whoever waits for it is told. */
+  /** Records the outcome of a run and passes it to the calls that wait for it. */
   finish(key: string, outcome: KeptOutcome, now: number): void {
     const known = this.#entries.get(key);
     if (known?.state !== 'running') return;
@@ -121,7 +122,7 @@
     this.#set(key, { state: 'running', wait, resolve, at: now });
   }
 
-  /** Keeps the entries in the order of their last change. */
+  /** Sets an entry, keeping the map ordered by the time of the last change. */
   #set(key: string, entry: Entry): void {
     this.#entries.delete(key);
     this.#entries.set(key, entry);
--- a/test/systems/once.test.ts
+++ b/test/systems/once.test.ts
@@ -8,7 +8,7 @@
 const FIRST = { key: 'k', attempt: 1, fresh: true };
 
 describe('the ledger of keys', () => {
-  it('runs a key once, and gives its outcome to whoever asks again', async () => {
+  it('runs a key once and returns its outcome to later calls', async () => {
     const ledger = new OnceLedger();
     expect(ledger.admit(FIRST, 0)).toEqual({ type: 'run' });
     const second = ledger.admit({ ...FIRST, attempt: 2 }, 1);
@@ -22,7 +22,7 @@
     expect(new OnceLedger().admit({ ...FIRST, attempt: 2, fresh: false }, 0)).toEqual({ type: 'unknown' });
   });
 
-  it('keeps its word when it has said that an attempt did not run', () => {
+  it('does not run an attempt after it has stated that the attempt did not run', () => {
     const ledger = new OnceLedger();
     expect(ledger.refuse({ ...FIRST, attempt: 2 }, 0)).toBe(true);
     expect(ledger.admit(FIRST, 1)).toEqual({ type: 'refusedBefore' });
@@ -39,18 +39,18 @@
     expect(ledger.refuse({ ...FIRST, attempt: 2 }, 2)).toBe(false);
   });
 
-  it('never says "not run" of a key that may have run elsewhere', () => {
+  it('never states "not run" for a key that may have run elsewhere', () => {
     expect(new OnceLedger().refuse({ ...FIRST, attempt: 2, fresh: false }, 0)).toBe(false);
   });
 
-  it('lets a run that never reached the back end be tried again', async () => {
+  it('permits another attempt if a run never reached the back end', async () => {
     const ledger = new OnceLedger();
     ledger.admit(FIRST, 0);
     ledger.withdraw(FIRST, 1);
     expect(ledger.admit({ ...FIRST, attempt: 2 }, 2)).toEqual({ type: 'run' });
   });
 
-  it('refuses new keys rather than forget one before its time', () => {
+  it('refuses new keys rather than dropping a key before its lifetime ends', () => {
     const ledger = new OnceLedger({ keys: 1, lifetime: 100 });
     ledger.admit(FIRST, 0);
     ledger.finish('k', ANSWER, 0);
@@ -58,7 +58,7 @@
     expect(ledger.admit({ ...FIRST, key: 'other' }, 100)).toEqual({ type: 'run' });
   });
 
-  it('runs a key at most once whatever the order of attempts, refusals and ends', () => {
+  it('runs a key at most once for any order of attempts, refusals and ends', () => {
     const step = fc.record({
       action: fc.constantFrom('admit', 'refuse', 'finish'),
       attempt: fc.integer({ min: 1, max: 4 }),
@@ -90,7 +90,7 @@
   const none = new Set<string>();
   const two = { epoch: 3, owners: ['a', 'b'], next: undefined };
 
-  it('change only after every owner in force has acknowledged the list to come', () => {
+  it('change only after every current owner has acknowledged the next list', () => {
     const moving = decideOwners(two, [candidate('a'), candidate('b'), candidate('c')], none)!;
     expect(moving).toEqual({ epoch: 3, owners: ['a', 'b'], next: ['a', 'b', 'c'] });
     expect(decideOwners(moving, [candidate('a', 3), candidate('b'), candidate('c')], none)).toBeUndefined();
@@ -101,7 +101,7 @@
     expect(settled).toEqual({ epoch: 4, owners: ['a', 'b', 'c'], next: undefined });
   });
 
-  it('do not change because one is out of sight, but because its machine is gone', () => {
+  it('do not change when one is disconnected, only when its machine is gone', () => {
     expect(decideOwners(two, [candidate('a')], none)).toBeUndefined();
     const moving = decideOwners(two, [candidate('a')], new Set(['b']))!;
     expect(moving.next).toEqual(['a']);
@@ -112,11 +112,11 @@
     expect(decideOwners(moving, [candidate('a', 3)], none)).toBeUndefined();
   });
 
-  it('lose a machine that leaves', () => {
+  it('exclude a machine that is leaving', () => {
     expect(decideOwners(two, [candidate('a'), candidate('b', undefined, true)], none)!.next).toEqual(['a']);
   });
 
-  it('keep most keys where they are when one joins', () => {
+  it('keep most of their keys when a machine joins', () => {
     const row = { epoch: 1, owners: ['a', 'b', 'c'], next: ['a', 'b', 'c', 'd'] };
     const keys = Array.from({ length: 1_000 }, (_, index) => `key-${index}`);
     const moved = keys.filter((key) => !keepsOwner(key, row));
@@ -142,12 +142,12 @@
     };
   }
 
-  it('covers the keys of the epoch that it follows, and no other epoch', () => {
+  it('covers the keys of its current epoch only', () => {
     const { owned } = ownership();
     expect([owned.owns('k', 1), owned.owns('k', 0), owned.owns('k', 2)]).toEqual([true, false, false]);
   });
 
-  it('ends for keys that move as soon as the list to come is known, and cannot be taken back', () => {
+  it('ends for keys that move as soon as the next list is known, and cannot be restored', () => {
     const { owned } = ownership();
     owned.follow({ ...row, next: ['other'] });
     owned.follow(row);
@@ -155,7 +155,7 @@
     expect(owned.claim()).toMatchObject({ movesAcknowledged: true });
   });
 
-  it('ends after a long silence of the entries, and has to be told anew', () => {
+  it('ends after a long silence of the entries, until it is confirmed again', () => {
     const { at } = ownership();
     expect(at(WORD_LIMIT).owns('k', 1)).toBe(true);
     const late = at(WORD_LIMIT + 1);
@@ -166,7 +166,7 @@
     expect(late.owns('k', 2)).toBe(true);
   });
 
-  it('does not return with a message that waited while the process was frozen', () => {
+  it('is not restored by a message that was delayed while the process was frozen', () => {
     const { at } = ownership();
     const thawed = at(WORD_LIMIT + 1);
     thawed.follow(row);
