--- a/src/systems/origin-draw.ts
+++ b/src/systems/origin-draw.ts
@@ -1,50 +1,51 @@
 /**
- * Who draws which piece of a version from the origin, and when. Entries have an order for each version; each sees the pieces that
- * others hold, and those that they draw, some tens of milliseconds late.
+ * Decides which entry draws (fetches) which piece of a version from the origin, and when. The entries have an order for
+ * each version. Each learns which pieces others hold or are drawing with a delay of some tens of milliseconds.
  *
- * The load that this answers: the origin's link carries one copy in about three seconds, and the origin goes away before the
- * copy is whole. Those that step in all draw then, and again as it returns. On a day of 12 entries 101 pieces were drawn after the
- * return for 23 that were missing, and 11 more were given up on their way (trace of all pieces, one run): 2.9 copies in all.
- * Here a piece that is on its way to anybody is left to whoever draws it, and only the first in the order has several open.
- * Pure; times are in milliseconds.
+ * It handles an origin that becomes unavailable before the first copy is complete. The origin's link carries one copy in
+ * about three seconds. All entries that take over would fetch then, and again when the origin returns: in a run with 12
+ * entries, 101 pieces were fetched after the return although 23 were missing, and 11 more were cancelled in transit (trace
+ * of all pieces, one run), 2.9 copies in all. Therefore a piece in transit to any entry is left to that entry, and only the
+ * first entry in the order fetches several pieces at a time. Pure; times are in milliseconds.
  */
 import { rendezvousOrder } from '../model/random.js';
 
-/** The next entry draws from the origin when no piece came for this long; three step in so soon. */
+/** The next entry in the order takes over when no piece has arrived for this long; this applies to the first three. */
 const STAND_IN_PATIENCE = 300;
 export const QUICK_STAND_INS = 3;
-/** Each further one waits this much longer. */
+/** Each further entry waits this much longer. */
 const LATE_STAND_IN_PATIENCE = 1_200;
-/** What another entry has drawn comes from there before one draws beside it, which would halve the rate of both. */
+/** Extra delay if another entry holds or draws pieces: they come from there, and a second fetch would halve both rates. */
 const DRAWN_ELSEWHERE_PATIENCE = 300;
-/** The origin is asked for a version that engines hold only after this. */
+/** Extra delay if engines already hold the version. */
 const HELD_ELSEWHERE_PATIENCE = 10_000;
-/** Pieces that the first in the order draws at the same time: one on the way hides the wait for the next. */
+/** Concurrent pieces of the first entry in the order: a piece in transit hides the latency of the next request. */
 const FIRST_PARALLEL = 5;
-/** The same for each other: with all that step in, a piece still comes within the time for which it is waited for (1.5 s). */
+/** Concurrent pieces of each other entry: even if all of them fetch, a piece arrives within its timeout of 1.5 s. */
 const STAND_IN_PARALLEL = 1;
 /**
- * Time without a piece after which the first in the order draws also what others are said to hold or to draw; the next ones a
- * step later each. A holder that was cut off is believed for seconds, and meanwhile its pieces are nowhere. Above the time of a
- * batch over a shared link.
+ * Time without a piece after which the first entry in the order also fetches pieces that others are reported to hold or
+ * draw; each next entry does so one step later. A holder that was disconnected is still reported for seconds, although its
+ * pieces are not available. The value is above the transfer time of a batch over a shared link.
  */
 const DRAW_DESPITE_OTHERS = 700;
-/** Entries that draw so: with more, a slow link would cost a copy each. */
+/** Number of entries that do so: with more, a slow link would cause one extra copy for each. */
 const MOST_DRAWING_DESPITE = 4;
-/** Several that draw begin this share of a version apart, whatever their number (the golden ratio). */
+/** Offset between the first pieces of consecutive entries, as a share of the version (golden ratio, for any number). */
 const DRAW_STRIDE = 0.618;
 
-/** An entry that may draw. */
+/** An entry that may fetch from the origin. */
 export interface Drawer {
   id: string;
-  /** Rate of its link in Mbit/s; 0 where it is not known. */
+  /** Bandwidth of its link in Mbit/s; 0 if unknown. */
   linkRate: number;
 }
 
 /**
- * The order in which entries draw the version `key`, the first first: those with the widest links, in classes of a factor of two,
- * and by chance within one. The first of a zone passes pieces on to the others there; by chance it had 28 Mbit/s beside one of 140.
- * On three small sites the first engine had the version 0.05 to 0.5 s sooner (one run each, within what runs differ by).
+ * The order in which entries fetch the version `key`: by bandwidth, in classes of a factor of two, and by rendezvous hash
+ * within a class. The first entry of a zone forwards pieces to the others there, and with a random order it could have 28
+ * Mbit/s while another has 140. On three small sites, the first engine had the version 0.05 to 0.5 s sooner (one run
+ * each, within the variation between runs).
  */
 export function drawOrder(key: string, entries: readonly Drawer[]): string[] {
   const classOf = new Map(
@@ -54,29 +55,29 @@
   return byChance.sort((one, other) => classOf.get(other)! - classOf.get(one)!);
 }
 
-/** How an entry stands to the others that may draw a version. */
+/** Situation of an entry among those that may fetch a version. */
 export interface DrawSituation {
-  /** Its place in the order of all entries, 0 being the first. */
+  /** Its position in the order of all entries, from 0. */
   place: number;
-  /** Engines serve the version: somebody nearer has it. */
+  /** True if engines serve the version, so that a nearer source exists. */
   isServed: boolean;
-  /** Another entry holds some of it, or draws it. */
+  /** True if another entry holds or draws some of its pieces. */
   isDrawnElsewhere: boolean;
 }
 
-/** Time without a piece after which the entry at `place` steps in. */
+/** Time without a piece after which the entry at position `place` takes over. */
 export function drawPatience(place: number): number {
   const quick = Math.min(place, QUICK_STAND_INS) * STAND_IN_PATIENCE;
   return quick + Math.max(0, place - QUICK_STAND_INS) * LATE_STAND_IN_PATIENCE;
 }
 
-/** How an entry asks the origin. */
+/** How an entry fetches from the origin. */
 export interface DrawPlan {
-  /** Only when no piece came from anywhere for this long. */
+  /** The entry fetches only if no piece has arrived from any source for this long. */
   patience: number;
-  /** Pieces that it has open at the same time. */
+  /** Maximum number of concurrent pieces. */
   parallel: number;
-  /** Where in a version of this many pieces it begins. */
+  /** Index of the first piece to fetch in a version of `pieces` pieces. */
   firstOf(pieces: number): number;
 }
 
@@ -92,10 +93,10 @@
 }
 
 /**
- * Whether a piece is drawn.
- * @param isElsewhere - another process is known to hold it, or to draw it
- * @param quietFor - time since the latest piece came
- * @param place - of this entry in the order of all that draw, 0 being the first
+ * Whether a piece is fetched from the origin.
+ * @param isElsewhere - whether another process is known to hold or draw it
+ * @param quietFor - time since the latest piece arrived
+ * @param place - position of this entry in the order of all entries that draw, from 0
  */
 export function isDrawn(isElsewhere: boolean, quietFor: number, place: number): boolean {
   if (!isElsewhere) return true;
