--- a/src/systems/ownership.ts
+++ b/src/systems/ownership.ts
@@ -1,17 +1,18 @@
 /**
- * Who runs calls that may not be repeated. Each idempotency key has one owner among the machines of a service,
- * by rendezvous hash over the owners' list, which lies in the table service with an epoch. A list is replaced
- * only once every owner that loses keys has stopped taking them, or is proven dead; no clock decides.
+ * Ownership of idempotency keys, for calls that must not be repeated. Each key has one owner among the machines of a
+ * service, by rendezvous hash over the list of owners, which is stored in the table service with an epoch. A list is
+ * replaced only once every owner has acknowledged that it accepts no more keys that move, or is proven dead. No decision
+ * depends on a clock.
  */
 import { rendezvousOrder } from '../model/random.js';
 
 /** The owners of a service, as a row of the table service. */
 export interface OwnersRow {
-  /** Grows with each list in force. */
+  /** Incremented each time a new list takes effect. */
   epoch: number;
   /** Addresses of the machines. */
   owners: string[];
-  /** The list to come: owners in force take no keys any more whose owner it changes. */
+  /** The next list, if one is pending. Current owners no longer accept keys whose owner it changes. */
   next: string[] | undefined;
 }
 
@@ -19,7 +20,7 @@
 export interface OwnerCandidate {
   address: string;
   leaving: boolean;
-  /** Epoch whose successor the machine has acknowledged: it takes no keys that move. */
+  /** Epoch for which the machine has acknowledged the next list: it no longer accepts keys that move. */
   acknowledgedEpoch: number | undefined;
 }
 
@@ -28,13 +29,13 @@
   return rendezvousOrder(key, owners)[0];
 }
 
-/** True when the key stays where it is under the list to come. */
+/** Whether the key keeps its owner under the next list. */
 export function keepsOwner(key: string, row: OwnersRow): boolean {
   return row.next === undefined || ownerOf(key, row.next) === ownerOf(key, row.owners);
 }
 
 /**
- * The row that should be written, or undefined when the present one is right.
+ * The row to write, or undefined if the current one needs no change.
  *
  * @param candidates - machines of the service that are connected
  * @param dead - addresses that the platform's list of machines has dropped
@@ -55,7 +56,7 @@
   return settled ? { epoch: row.epoch + 1, owners: row.next, next: undefined } : undefined;
 }
 
-/** Owners that are out of sight stay: only the platform's list of machines proves that one is gone. */
+/** Owners that are not connected are kept, as only the platform's list of machines proves that one is gone. */
 function wantedOwners(
   row: OwnersRow | undefined,
   candidates: readonly OwnerCandidate[],
--- a/src/systems/permit-schedule.ts
+++ b/src/systems/permit-schedule.ts
@@ -27,7 +27,7 @@
   return hasAgent ? DIRECT_SHARE * rate : rate;
 }
 
-/** A schedule that starts without a permit, because requests sent before the limit was known also count towards it. */
+/** Creates a schedule without a permit due, because requests sent before the limit was known also count towards it. */
 export function newSchedule(start: BackEndIdentity['start'], rate: number, now: number): PermitSchedule {
   return { start, rate, dueAt: now + permitInterval(rate) };
 }
