--- a/src/systems/placement.ts
+++ b/src/systems/placement.ts
@@ -1,6 +1,6 @@
 /**
- * Decides which machines serve which deployment. Pure: the same deployments, machines and earlier placements
- * give the same result, and a machine that serves already is kept.
+ * Assigns machines to deployments. Pure: the same deployments, machines and earlier placements give the same result.
+ * Machines that already serve a deployment are kept.
  */
 import type { Digest } from '../model/manifest.js';
 import { rendezvousOrder } from '../model/random.js';
@@ -17,7 +17,7 @@
 
 /** A machine as placement sees it. */
 export interface MachineRow {
-  /** Address of the machine's agent; stays the same when the process is replaced. */
+  /** Address of the machine's agent, which does not change when the process is replaced. */
   address: string;
   place: string;
   pool: string;
@@ -25,19 +25,19 @@
 }
 
 /**
- * Machines out of sight that the platform's list does not give up: their processes are replaced, or a region cannot be
- * reached. They stay assigned, so that whoever comes back goes on with what it has.
+ * Machines that are not connected but still in the platform's list: their process is being replaced, or their region is
+ * unreachable. They stay assigned, so that a machine that returns can continue with the weights it holds.
  */
 export interface MissingMachines {
-  /** Missing for so short a time that they still count as replicas. */
+  /** Missing for a short time only; they still count as replicas. */
   awaited: ReadonlySet<string>;
-  /** Missing for longer: others serve in their place meanwhile. */
+  /** Missing for longer; other machines serve in their place meanwhile. */
   substituted: ReadonlySet<string>;
 }
 
 const NONE_MISSING: MissingMachines = { awaited: new Set(), substituted: new Set() };
 
-/** Where a deployment is served. */
+/** The machines assigned to a deployment. */
 export interface Placement {
   version: Digest;
   /** The version that machines serve until the new one is ready. */
@@ -46,10 +46,10 @@
   machines: string[];
 }
 
-/** Deployments that one machine serves at the same time. */
+/** Maximum number of deployments that one machine serves at the same time. */
 export const DEPLOYMENTS_PER_MACHINE = 1;
 
-/** Places all deployments, those of higher priority first. */
+/** Places all deployments in order of decreasing priority. */
 export function placeDeployments(
   deployments: readonly DeploymentRow[],
   machines: readonly MachineRow[],
