--- a/src/systems/poison-requests.ts
+++ b/src/systems/poison-requests.ts
@@ -1,20 +1,22 @@
 /**
- * Requests under which back ends crash (queries of death), told apart from those that merely ran beside them.
+ * Identifies requests that crash back ends ("queries of death") and distinguishes them from requests that merely ran at
+ * the same time.
  *
- * The load that this answers: one content makes every back end crash that runs it, and callers repeat it, each time under
- * another identity and at any entry. Sent on as if nothing had been, one content ended 23 and 26 of 16 engines within 20 s
- * (each back after 3 s), and up to eleven requests of other callers broke with each.
+ * Some request contents crash every back end that runs them, and callers retry them under a new identity and at any entry.
+ * Without protection, one content caused 23 and 26 crashes in a fleet of 16 engines within 20 s (each engine was back after
+ * 3 s), and each crash broke up to eleven requests of other callers.
  *
- * All that was in progress at a back end as it crashed is suspect alike. A second crash that a content shares tells it from
- * the others, which have different companions then: it is in quarantine from there on, and after a while one request with it
- * is let through as a trial. A third crash leaves no doubt, and trials are few: then nothing with it is sent any more. A content
- * that is served is suspect no more.
+ * All requests in progress at a back end when it crashes are equally suspect. A second crash singles out the content that
+ * both crashes share, as the other requests differ by then. That content is quarantined, and after some time one request
+ * with it is let through as a trial. After a third crash, or after a small number of trials, it is never sent again. A
+ * content that has been served is no longer suspect.
  *
- * Several back ends that crash in one moment crash by something else: a machine, a zone or a release. That counts against no
- * content but one that ran at two of them, so that callers who are unlucky twice in such a wave are not shut out. One that was
- * in progress at three crashes is in quarantine all the same: its own may each have come beside another.
+ * If several back ends crash at the same moment (a wave), the cause is something else: a machine, a zone or a release. Such
+ * crashes count only against contents that ran at two of these back ends, so that callers who are hit twice by waves are
+ * not locked out. A content that was in progress at three crashes is quarantined nevertheless, as crashes that it caused
+ * may have coincided with others.
  *
- * Entries exchange crashes, trials and acquittals, and each decides by itself: the order in which news arrive changes nothing.
+ * Entries exchange crashes, trials and acquittals, and each decides by itself, independently of the order of messages.
  * Pure; times are in milliseconds of the steady clock.
  *
  * ```ts
@@ -33,45 +35,45 @@
   backEnd: string;
   start?: number | undefined;
   at: number;
-  /** What was in progress there. */
+  /** Contents of the requests that were in progress there. */
   suspects: readonly Fingerprint[];
 }
 
-/** What becomes of a request. */
+/** The decision on a request. */
 export type PoisonDecision =
   | { type: 'allowed' }
-  /** It is the one that tries whether back ends still crash under its content: it is sent once at the most. */
+  /** The request tests whether its content still crashes back ends. It is sent at most once. */
   | { type: 'trial' }
-  /** It is not sent; callers may ask again after `retryAfter` milliseconds, when one like it may be tried here, if any may. */
+  /** The request is not sent. Callers may retry after `retryAfter` milliseconds, when a trial may be possible here. */
   | { type: 'quarantined'; retryAfter: number };
 
-/** Crashes that a content shares before it is in quarantine: of one crash, all companions are suspect alike. */
+/** Shared crashes after which a content is quarantined. A single crash does not tell its suspects apart. */
 export const CRASHES_TO_QUARANTINE = 2;
-/** Crashes that a content shares before it is in quarantine whatever crashed beside them. */
+/** Shared crashes after which a content is quarantined even if all of them were part of waves. */
 const CRASHES_IN_WAVES_TO_QUARANTINE = 3;
-/** Crashes that count against a content from which on it is not tried any more. */
+/** Crashes counted against a content after which no further trials are made. */
 const CRASHES_WITHOUT_DOUBT = 3;
-/** Trials of a content whose end shows nothing, as the caller left or an entry ended, before it is not tried any more. */
+/** Maximum number of trials of a content; a trial may be inconclusive because its caller left or an entry stopped. */
 const MOST_TRIALS = 2;
-/** Time from the latest crash to a trial, in milliseconds: a person who was unlucky twice is served while still waiting. */
+/** Time from the latest crash to a trial, in milliseconds: short enough that a user hit twice by chance is still waiting. */
 const QUARANTINE_TIME = 10_000;
-/** What callers are told where no trial is to come, in milliseconds: an operator may have mended the back ends then. */
+/** Retry delay if no trial will be made, in milliseconds: by then an operator may have fixed the back ends. */
 const RETRY_WITHOUT_TRIAL = 600_000;
 /**
- * Back ends that crash within this of one another crash by something else, in milliseconds. An entry learns of a crash from the
- * first connection that breaks and a refused one after it (measured 20 ms at the most); one request takes 150 ms and more
- * from a crash to the next.
+ * Crashes of different back ends within this time form a wave, in milliseconds. An entry detects a crash by the first
+ * broken connection followed by a refused one (at most 20 ms, measured); a single request takes at least 150 ms from one
+ * crash to the next.
  */
 const WAVE = 60;
-/** Entries tell of the same end of a back end within this of one another, in milliseconds: it takes longer to start again. */
+/** Reports within this time refer to the same crash of a back end, in milliseconds: a restart takes longer. */
 const SAME_END = 2_000;
-/** A trial is under way for this long at the most, in milliseconds: above the time to a first answer of a loaded engine. */
+/** Maximum duration of a trial, in milliseconds: above the time to the first response of an engine under load. */
 const TRIAL_TIME = 3_000;
-/** The entries may try one after the other, in the order that each content gives them, with this between, in milliseconds. */
+/** Delay between the times at which consecutive entries in a content's order may make a trial, in milliseconds. */
 const TRIAL_STEP = 250;
-/** Crashes that are remembered, whatever their age: a content that comes seldom ends one back end each time. */
+/** Number of crashes kept, whatever their age: a content that is sent rarely crashes one back end each time. */
 const MOST_CRASHES = 500;
-/** Suspects of one crash that are remembered, two for a request: back ends run fewer requests at the same time. */
+/** Suspects kept for each crash, two for each request; back ends run fewer concurrent requests than that allows. */
 export const MOST_SUSPECTS = 128;
 const ALLOWED: PoisonDecision = { type: 'allowed' };
 
@@ -79,7 +81,7 @@
   backEnd: string;
   start: number | undefined;
   at: number;
-  /** Others crashed in the same moment. */
+  /** True if other back ends crashed at the same moment. */
   isPartOfWave: boolean;
   suspects: Set<Fingerprint>;
 }
@@ -87,33 +89,33 @@
 /** The trials of one content. */
 interface Trials {
   count: number;
-  /** Until when the latest one is under way, in milliseconds of the steady clock. */
+  /** When the latest trial ends at the latest, in milliseconds of the steady clock. */
   endsAt: number;
 }
 
-/** The contents that back ends crash under, as one entry knows them. */
+/** One entry's view of the contents that crash back ends. */
 export class PoisonRequests {
   readonly #placeOf: (fingerprint: Fingerprint) => number;
   readonly #crashes = new Map<string, KnownCrash>();
   readonly #crashesBySuspect = new Map<Fingerprint, Set<KnownCrash>>();
   readonly #trials = new Map<Fingerprint, Trials>();
 
-  /** @param placeOf - this entry's place among those that may try a content, 0 for the first */
+  /** @param placeOf - position of this entry in the order of the entries that may make a trial of a content, from 0 */
   constructor(placeOf: (fingerprint: Fingerprint) => number) {
     this.#placeOf = placeOf;
   }
 
-  /** False while nothing is suspect: then every content is allowed. */
+  /** False if no content is suspect; every content is allowed then. */
   get isWatching(): boolean {
     return this.#crashesBySuspect.size > 0;
   }
 
-  /** The contents that are in quarantine. */
+  /** The quarantined contents. */
   quarantined(): Fingerprint[] {
     return [...this.#crashesBySuspect.keys()].filter((fingerprint) => this.isQuarantined(fingerprint));
   }
 
-  /** Whether a content is in quarantine, or waits for a trial. */
+  /** Whether a content is quarantined; this includes contents for which a trial is due. */
   isQuarantined(fingerprint: Fingerprint): boolean {
     return (
       this.#crashesAgainst(fingerprint).length >= CRASHES_TO_QUARANTINE ||
@@ -121,7 +123,7 @@
     );
   }
 
-  /** Takes a crash, or more suspects of a known one; returns the contents that are in quarantine by it and were not before. */
+  /** Records a crash, or further suspects of a known one; returns the contents that are quarantined as a result. */
   noteCrash(crash: BackEndCrash): Fingerprint[] {
     const known = this.#find(crash) ?? this.#begin(crash);
     const suspects = crash.suspects.slice(0, MOST_SUSPECTS - known.suspects.size);
@@ -142,44 +144,44 @@
     return now < retryAt ? { type: 'quarantined', retryAfter: retryAt - now } : { type: 'trial' };
   }
 
-  /** A trial has begun, here or at another entry: there is no other meanwhile, and few in all. */
+  /** Records the start of a trial, here or at another entry. No other trial is made while it runs. */
   noteTrial(fingerprint: Fingerprint, now: number): void {
     const count = this.trialsOf(fingerprint) + 1;
     if (this.#crashesBySuspect.has(fingerprint))
       this.#trials.set(fingerprint, { count, endsAt: now + TRIAL_TIME });
   }
 
-  /** A trial came to nothing: its request reached no back end. */
+  /** Withdraws a trial whose request did not reach a back end. */
   withdrawTrial(fingerprint: Fingerprint): void {
     const count = this.trialsOf(fingerprint) - 1;
     if (count >= 0) this.#trials.set(fingerprint, { count, endsAt: Number.NEGATIVE_INFINITY });
   }
 
-  /** So many trials were made with this content, as the store or another entry tells. */
+  /** Raises the number of trials of a content to the number reported by the store or another entry. */
   noteTrials(fingerprint: Fingerprint, count: number): void {
     if (count > this.trialsOf(fingerprint))
       this.#trials.set(fingerprint, { count, endsAt: Number.NEGATIVE_INFINITY });
   }
 
-  /** Trials made with this content. */
+  /** Number of trials made with a content. */
   trialsOf(fingerprint: Fingerprint): number {
     return this.#trials.get(fingerprint)?.count ?? 0;
   }
 
-  /** A request with this content was served; returns whether it was suspect. */
+  /** Records that a request with this content was served; returns whether the content was suspect. */
   noteServed(fingerprint: Fingerprint): boolean {
     const crashes = this.#crashesBySuspect.get(fingerprint);
     for (const crash of crashes ?? []) this.#removeSuspect(fingerprint, crash);
     return crashes !== undefined;
   }
 
-  /** All crashes that are remembered. */
+  /** All crashes with at least one suspect. */
   crashes(): BackEndCrash[] {
     const known = [...this.#crashes.values()].filter(({ suspects }) => suspects.size > 0);
     return known.map((crash) => ({ ...crash, suspects: [...crash.suspects] }));
   }
 
-  /** The crashes that quarantines rest on, with the contents in quarantine alone: what another entry needs to refuse them. */
+  /** The crashes that led to quarantines, with only the quarantined suspects: what other entries need to refuse them. */
   blamedCrashes(): BackEndCrash[] {
     const blamed = new Set(this.quarantined());
     return this.crashes()
@@ -187,7 +189,7 @@
       .filter(({ suspects }) => suspects.length > 0);
   }
 
-  /** Who does not know the start of a back end tells of its crash under another name. */
+  /** Finds a known crash. Reports without the start of the back end have another key, so nearby crashes are compared too. */
   #find(crash: BackEndCrash): KnownCrash | undefined {
     const exact = this.#crashes.get(keyOf(crash));
     if (exact !== undefined) return exact;
@@ -220,7 +222,7 @@
     this.#trials.delete(fingerprint);
   }
 
-  /** When a content that is in quarantine may be tried here. */
+  /** When a trial of a quarantined content may be made here. */
   #quarantineEnd(fingerprint: Fingerprint): number {
     const latest = Math.max(...this.#crashesOf(fingerprint).map(({ at }) => at));
     return latest + QUARANTINE_TIME + TRIAL_STEP * this.#placeOf(fingerprint);
@@ -230,7 +232,7 @@
     return [...(this.#crashesBySuspect.get(fingerprint) ?? [])];
   }
 
-  /** The crashes that count against a content: of a wave those alone that it shares. */
+  /** The crashes that count against a content; crashes of a wave count only if the content shares several of them. */
   #crashesAgainst(fingerprint: Fingerprint): KnownCrash[] {
     const all = this.#crashesOf(fingerprint);
     const isShared = (crash: KnownCrash) =>
@@ -238,7 +240,7 @@
     return all.filter((crash) => !crash.isPartOfWave || isShared(crash));
   }
 
-  /** Makes room: the earliest crash that no quarantine rests on goes first, so that many suspects cannot end a quarantine. */
+  /** Removes the earliest crash that no quarantine depends on, so that many suspects cannot end a quarantine. */
   #forgetOne(): void {
     const all = [...this.#crashes.values()];
     const isNeeded = ({ suspects }: KnownCrash) => [...suspects].some((one) => this.isQuarantined(one));
@@ -251,7 +253,7 @@
   }
 }
 
-/** Names a crash: a start of a back end ends once. */
+/** Key of a crash. A back end crashes at most once for each start. */
 export function keyOf({ backEnd, start }: Pick<BackEndCrash, 'backEnd' | 'start'>): string {
   return `${backEnd} ${start ?? ''}`;
 }
--- a/test/systems/poison-requests.test.ts
+++ b/test/systems/poison-requests.test.ts
@@ -1,10 +1,10 @@
-/** Contents under which back ends crash, and those that were merely beside them. */
+/** Tests that contents that crash back ends are distinguished from those that merely ran at the same time. */
 import fc from 'fast-check';
 import { describe, expect, it } from 'vitest';
 import { type BackEndCrash, MOST_SUSPECTS, PoisonRequests } from '../../src/systems/poison-requests.js';
 
 const FIRST_QUARANTINE = 10_000;
-/** Between two crashes that one request causes one after the other, in milliseconds. */
+/** Time between two consecutive crashes caused by one request, in milliseconds. */
 const APART = 200;
 
 const first = () => new PoisonRequests(() => 0);
@@ -14,7 +14,7 @@
   suspects,
 });
 
-/** Two crashes that `deadly` shares. */
+/** Records two crashes that `deadly` shares. */
 function blamed(placeOf = () => 0): PoisonRequests {
   const poison = new PoisonRequests(placeOf);
   poison.noteCrash(crashOf('b1', 0, 'deadly', 'beside'));
@@ -23,14 +23,14 @@
 }
 
 describe('a content', () => {
-  it('is allowed while back ends have crashed under it once, as its companions are', () => {
+  it('is allowed after a single crash, as are the other suspects', () => {
     const poison = first();
     expect(poison.noteCrash(crashOf('b1', 0, 'deadly', 'beside'))).toEqual([]);
     expect(poison.decide('deadly', 1)).toEqual({ type: 'allowed' });
     expect(poison.decide('beside', 1)).toEqual({ type: 'allowed' });
   });
 
-  it('is in quarantine from the second crash on, and its companions are not', () => {
+  it('is quarantined after the second crash, and the other suspects are not', () => {
     const poison = first();
     poison.noteCrash(crashOf('b1', 0, 'deadly', 'beside'));
     expect(poison.noteCrash(crashOf('b2', APART, 'deadly', 'other'))).toEqual(['deadly']);
@@ -41,17 +41,18 @@
     for (const companion of ['beside', 'other']) expect(poison.decide(companion, 300).type).toBe('allowed');
   });
 
-  it('is blamed for each crash once, whoever tells of it', () => {
+  it('counts each crash once, however many entries report it', () => {
     const poison = first();
     for (const at of [0, 2, 5]) poison.noteCrash(crashOf('b1', at, 'deadly'));
     expect(poison.decide('deadly', 10).type).toBe('allowed');
   });
 
   /**
-   * An entry that does not know the start of a back end yet tells of the same crash under another name, some milliseconds apart. Taken for
-   * two back ends that ended in one moment, all that ran there seemed to have ended both, and was in quarantine by a single crash.
+   * Guards against quarantines after a single crash. An entry that does not know the start of a back end reports its crash
+   * under another key, some milliseconds apart. Counted as two back ends that crashed at the same moment, all contents that
+   * ran there were quarantined.
    */
-  it('is blamed once for a crash that some tell with the start of the back end and others without', () => {
+  it('counts a crash once if some entries report it with the start of the back end and others without', () => {
     for (const starts of [
       [7, undefined],
       [undefined, 7],
@@ -65,14 +66,14 @@
     }
   });
 
-  it('is blamed for the crash of the next start of the same back end as for another one', () => {
+  it('counts a crash of the next start of the same back end as another crash', () => {
     const poison = first();
     poison.noteCrash({ ...crashOf('only', 0, 'deadly'), start: 1 });
     poison.noteCrash({ ...crashOf('only', 4_000, 'deadly'), start: 2 });
     expect(poison.decide('deadly', 4_001).type).toBe('quarantined');
   });
 
-  it('is tried by one request once its quarantine is over, and by no other meanwhile', () => {
+  it('is tried by a single request at a time once its quarantine is over', () => {
     const poison = blamed();
     const now = APART + FIRST_QUARANTINE;
     expect(poison.decide('deadly', now)).toEqual({ type: 'trial' });
@@ -80,7 +81,7 @@
     expect(poison.decide('deadly', now + 1)).toMatchObject({ type: 'quarantined' });
   });
 
-  it('is not tried any more after a third crash', () => {
+  it('is not tried again after a third crash', () => {
     const poison = blamed();
     const now = APART + FIRST_QUARANTINE;
     poison.noteTrial('deadly', now);
@@ -89,7 +90,7 @@
       expect(poison.decide('deadly', now + later).type).toBe('quarantined');
   });
 
-  it('is not tried any more after two trials that showed nothing', () => {
+  it('is not tried again after two inconclusive trials', () => {
     const poison = blamed();
     let now = APART + FIRST_QUARANTINE;
     for (let trial = 0; trial < 2; trial++) {
@@ -101,21 +102,21 @@
     expect(poison.decide('deadly', now + 86_400_000).type).toBe('quarantined');
   });
 
-  it('is suspect no more once it is served', () => {
+  it('is no longer suspect once it has been served', () => {
     const poison = blamed();
     expect(poison.noteServed('deadly')).toBe(true);
     expect(poison.decide('deadly', APART + 1)).toEqual({ type: 'allowed' });
     expect(poison.noteServed('deadly')).toBe(false);
   });
 
-  it('is tried by the entries one after the other', () => {
+  it('is tried by the entries in order', () => {
     const [one, next] = [blamed(() => 0), blamed(() => 1)];
     const now = APART + FIRST_QUARANTINE;
     expect(one.decide('deadly', now).type).toBe('trial');
     expect(next.decide('deadly', now).type).toBe('quarantined');
   });
 
-  it('that ran at one of several back ends that crash in one moment is not blamed for that', () => {
+  it('is not blamed if it ran at only one of several back ends that crash at the same moment', () => {
     const poison = first();
     poison.noteCrash(crashOf('b1', 0, 'unlucky'));
     poison.noteCrash(crashOf('b2', 10, 'another'));
@@ -123,13 +124,13 @@
     expect(poison.decide('unlucky', APART).type).toBe('allowed');
   });
 
-  it('that ran at two of them is', () => {
+  it('is blamed if it ran at two of them', () => {
     const poison = first();
     poison.noteCrash(crashOf('b1', 0, 'deadly', 'beside'));
     expect(poison.noteCrash(crashOf('b2', 7, 'deadly', 'other'))).toEqual(['deadly']);
   });
 
-  it('is suspect until it is served, however long that takes', () => {
+  it('remains suspect until it has been served, however long that takes', () => {
     const [seldom, served] = [first(), first()];
     for (const poison of [seldom, served]) poison.noteCrash(crashOf('b1', 0, 'unlucky'));
     served.noteServed('unlucky');
@@ -139,8 +140,8 @@
   });
 });
 
-describe('what is remembered', () => {
-  it('is bounded, and many suspects end no quarantine', () => {
+describe('the recorded crashes', () => {
+  it('are bounded, and many suspects do not end a quarantine', () => {
     const poison = blamed();
     for (let index = 0; index < 5_000; index++) {
       const at = 2 * APART + index;
@@ -156,7 +157,7 @@
     for (const { suspects } of crashes) expect(suspects.length).toBeLessThanOrEqual(MOST_SUSPECTS);
   });
 
-  it('makes an entry that starts later decide alike', () => {
+  it('lead to the same decisions at an entry that starts later', () => {
     const poison = blamed();
     const later = first();
     for (const crash of poison.crashes()) later.noteCrash(crash);
@@ -164,8 +165,8 @@
   });
 });
 
-describe('entries that hear of the same crashes', () => {
-  /** Crashes as entries tell them: back end, moment, and some of what ran there. */
+describe('entries that receive reports of the same crashes', () => {
+  /** Crashes as reported by entries: back end, time, and some of the contents that ran there. */
   const told = fc.array(
     fc.record({
       backEnd: fc.integer({ min: 0, max: 5 }).map((number) => `b${number}`),
@@ -174,13 +175,13 @@
     }),
     { maxLength: 12 },
   );
-  /** One moment for each crash: entries see it within some milliseconds. */
+  /** One time for each crash; entries detect it within some milliseconds. */
   const ofOneMoment = (crashes: BackEndCrash[]) => {
     const at = new Map(crashes.map((crash) => [crash.backEnd, crash.at]));
     return crashes.map((crash) => ({ ...crash, at: at.get(crash.backEnd)! }));
   };
 
-  it('decide alike, in whatever order they hear of them', () => {
+  it('make the same decisions, in whatever order the reports arrive', () => {
     fc.assert(
       fc.property(told, fc.integer(), (crashes, seed) => {
         const all = ofOneMoment(crashes);
@@ -195,7 +196,7 @@
     );
   });
 
-  it('shut nobody out by two waves of crashes, and by more until a trial alone, where no content runs at two back ends of one', () => {
+  it('quarantine no content after two waves of crashes, and after more only until a trial, if none ran at two back ends of a wave', () => {
     const wave = fc.uniqueArray(fc.integer({ min: 0, max: 9 }), { minLength: 2, maxLength: 9 });
     fc.assert(
       fc.property(fc.array(wave, { maxLength: 6 }), fc.integer(), (waves, seed) => {
@@ -203,7 +204,7 @@
         const wavesOf = new Map<string, number>();
         waves.forEach((backEnds, index) => {
           const at = 1_000 * index;
-          // Each content runs at one back end, another one in each wave.
+          // Each content runs at one back end in each wave, and at a different one in the next.
           for (const number of backEnds) {
             const content = `content ${(number + seed + index) % 10}`;
             const suspects = [content];
