--- a/src/systems/routing.ts
+++ b/src/systems/routing.ts
@@ -1,6 +1,6 @@
 /**
- * Chooses the back end for a request: hard filters first, then the lowest cost, which is load and, for prompts with a
- * long beginning, distance from the replica that has probably read that beginning before.
+ * Selects the back end for a request: hard filters first, then the lowest cost. The cost is the load and, for prompts with
+ * a long prefix, a penalty for replicas that have probably not cached that prefix.
  */
 import { type Random, rendezvousOrder } from '../model/random.js';
 
@@ -11,49 +11,49 @@
   place: string;
   zone: string;
   leaving: boolean;
-  /** Versions that the engine reports as loaded; empty for a plain service. */
+  /** Versions that the engine reports as loaded; empty for a service without versions. */
   ready: readonly string[];
-  /** Requests in progress as last reported. */
+  /** Requests in progress, as last reported. */
   reportedActive: number;
-  /** Requests of this entry in progress there. */
+  /** Requests in progress that were sent by this entry. */
   ownActive: number;
   capacity: number;
   /** Not used before this time, after a failure seen by this entry. */
   suspendedUntil: number;
 }
 
-/** What a request needs. */
+/** Requirements of a request. */
 export interface RouteQuery {
   places: readonly string[];
-  /** Versions that may answer, or undefined for a plain service. */
+  /** Versions that may answer; undefined for a service without versions. */
   versions: readonly string[] | undefined;
-  /** Back ends that refused this request already. */
+  /** Back ends that have already refused this request. */
   excluded: ReadonlySet<string>;
-  /** Beginning of the prompt, where it is long enough to be worth finding in a cache. */
+  /** Prefix of the prompt, if it is long enough for cache affinity to pay off. */
   prefix: string | undefined;
   now: number;
 }
 
-/** The back end and the version chosen. */
+/** The selected back end and version. */
 export interface Route {
   replica: ReplicaRow;
   version: string;
 }
 
-/** What it costs, in shares of a full back end, to leave the first replica of a prefix's order. */
+/** Cost of not using the first replica in a prefix's order, in units of the load of a full back end. */
 const AFFINITY_COST = 0.5;
-/** What each further place in the order costs, so that all entries leave it for the same next one. */
+/** Additional cost of each position in the order, so that all entries fall back to the same next replica. */
 const AFFINITY_STEP = 0.02;
 
 /**
- * What it costs to send a prompt to the replica at `rank` of its prefix's order: that replica has probably not read
- * the prefix yet. In units of the load of a full back end.
+ * Cost of sending a prompt to the replica at `rank` in its prefix's order, in units of the load of a full back end. Only
+ * the first replica is likely to have cached the prefix.
  */
 export function affinityCost(rank: number): number {
   return rank === 0 ? 0 : AFFINITY_COST + rank * AFFINITY_STEP;
 }
 
-/** Chooses a back end, or undefined where none fits. */
+/** Selects a back end; undefined if none is eligible. */
 export function chooseRoute(
   replicas: readonly ReplicaRow[],
   query: RouteQuery,
@@ -75,7 +75,7 @@
   return best;
 }
 
-/** The place of each replica in the prefix's order; the same at every entry, without a message. */
+/** The rank of each replica in the prefix's order, which every entry computes identically without communication. */
 function ranksFor(
   prefix: string | undefined,
   replicas: readonly ReplicaRow[],
@@ -96,7 +96,7 @@
   return query.versions.find((version) => replica.ready.includes(version));
 }
 
-/** The report lags: what this entry has sent there itself counts at least. */
+/** Load of a replica. Reports lag behind, so the load is at least the number of requests sent by this entry. */
 function costOf(replica: ReplicaRow): number {
   return Math.max(replica.reportedActive, replica.ownActive) / replica.capacity;
 }
--- a/src/systems/store-readers.ts
+++ b/src/systems/store-readers.ts
@@ -1,21 +1,22 @@
 /**
- * Which entries of a zone read the platform's store. All of them need what stands there, within seconds; if each reads by
- * itself, calls grow with the entries, and each call is paid for. The first of a zone, by rendezvous hash over those that
- * live, reads and passes on what is new; the next take over one after the other when nothing comes from those before them,
- * whatever the reason: dead, frozen, cut off, or turned away by the store. Times are in milliseconds of the steady clock.
+ * Selects the entries of a zone that read the platform's store. All entries need its content within seconds, but if each
+ * read it itself, the number of calls, which are billed, would grow with the number of entries. The first entry of a
+ * zone, by rendezvous hash over the live ones, reads the store and forwards changes. The next ones take over one after
+ * the other when nothing arrives from those before them, whatever the reason: crashed, frozen, disconnected, or rejected
+ * by the store. Times are in milliseconds of the steady clock.
  */
 import { rendezvousOrder } from '../model/random.js';
 
-/** News come at least this often from an entry that the store answers: the longest wait of its calls, and their way. */
+/** Maximum interval of messages from an entry that reads the store successfully: longest wait of a call, and latency. */
 const USUAL_NEWS = 1_000;
-/** Without news for this the second of a zone reads: above the usual time between news and a lost packet sent again. */
+/** Silence after which the second entry of a zone reads: the usual interval plus the time to resend a lost packet. */
 const FIRST_TAKEOVER = USUAL_NEWS + 300;
-/** Each further one waits this much longer, so that one of them alone takes over where it can. */
+/** Each further entry waits this much longer, so that only one takes over if it can. */
 const TAKEOVER_STEP = 350;
-/** From this place on all read after the same time: none is without news for longer than the shortest bound, 2 s. */
+/** Entries beyond this step all read after the same time, so that none waits longer than the shortest bound of 2 s. */
 const LAST_STEP = 2;
 
-/** The readers of one table in one zone, as one of its entries sees them. */
+/** One entry's view of the readers of one table in its zone. */
 export class StoreReaders {
   readonly #zone: string;
   readonly #newsAt = new Map<string, number>();
@@ -24,12 +25,12 @@
     this.#zone = zone;
   }
 
-  /** What is new in the table has come from `entry`, or the word that nothing is. */
+  /** Records a message from `entry` with changes of the table, or with the notice that there are none. */
   noteNews(entry: string, now: number): void {
     this.#newsAt.set(entry, now);
   }
 
-  /** Whether `self` is to read the table, `others` being the other entries of its zone that live. */
+  /** Whether `self` is to read the table; `others` are the other live entries of its zone. */
   isReader(self: string, others: readonly string[], now: number): boolean {
     const order = rendezvousOrder(this.#zone, [self, ...others]);
     const place = order.indexOf(self);
@@ -38,7 +39,7 @@
     return now - Math.max(...news) >= FIRST_TAKEOVER + TAKEOVER_STEP * Math.min(place - 1, LAST_STEP);
   }
 
-  /** Forgets entries that do not live any more. */
+  /** Removes an entry that is no longer live. */
   forget(entry: string): void {
     this.#newsAt.delete(entry);
   }
