--- a/test/systems/store-readers.test.ts
+++ b/test/systems/store-readers.test.ts
@@ -1,16 +1,16 @@
-/** Which entries of a zone read the store, as each of them sees it. */
+/** Tests which entries of a zone read the store, from the point of view of each entry. */
 import { describe, expect, it } from 'vitest';
 import { rendezvousOrder } from '../../src/model/random.js';
 import { StoreReaders } from '../../src/systems/store-readers.js';
 
 const ZONE = 'zone-a';
 const ENTRIES = ['one', 'two', 'three', 'four', 'five'];
-/** The order in which they read. */
+/** The order in which they take over. */
 const [FIRST, SECOND, THIRD, ...REST] = rendezvousOrder(ZONE, ENTRIES);
-/** Shorter and longer than a zone is without news before the second reads, in milliseconds. */
+/** A silence shorter and one longer than the time after which the second entry reads, in milliseconds. */
 const SHORT = 1_200;
 const LONG = 1_400;
-/** No entry is without news for longer, in milliseconds: configurations are to be in force within 2 s and more. */
+/** Maximum time without a message, in milliseconds: a configuration must be in force within 2 s, the shortest bound. */
 const LONGEST = 2_000;
 
 function readersAt(
@@ -30,15 +30,15 @@
 }
 
 describe('the readers of a zone', () => {
-  it('are all of its entries until they hear of one another', () => {
+  it('are all of its entries until they have heard of each other', () => {
     expect(readersAt(0, [])).toEqual(ENTRIES);
   });
 
-  it('are one while it passes on news', () => {
+  it('are only the first entry while it forwards changes', () => {
     expect(readersAt(SHORT, [[FIRST, 0]])).toEqual([FIRST]);
   });
 
-  it('are the next where nothing comes from it, and then that one alone passes on news', () => {
+  it('include the next entry if the first is silent, which then forwards changes alone', () => {
     expect(readersAt(LONG, [[FIRST, 0]]).sort()).toEqual([FIRST, SECOND].sort());
     const takenOver = readersAt(LONGEST + SHORT, [
       [FIRST, 0],
@@ -48,18 +48,18 @@
     expect(takenOver.sort()).toEqual([FIRST, SECOND].sort());
   });
 
-  it('are the next in turn where two fall silent, and all of them before any bound has passed', () => {
+  it('include the next in order if two are silent, and all entries before the bound has passed', () => {
     const living = [THIRD, ...REST];
     expect(readersAt(SHORT, [[FIRST, 0]], [FIRST, SECOND, THIRD])).toEqual([FIRST]);
     expect(readersAt(LONG, [[SECOND, 0]], living)).toContain(THIRD);
     expect(readersAt(LONGEST + 1, [[FIRST, 0]])).toEqual(ENTRIES);
   });
 
-  it('are without the one that does not live any more', () => {
+  it('exclude an entry that is no longer live', () => {
     expect(readersAt(SHORT, [[SECOND, 0]], [SECOND, THIRD, ...REST])).toEqual([SECOND]);
   });
 
-  it('do not go by the news of one that comes after them', () => {
+  it('ignore messages from entries after them in the order', () => {
     const readers = new StoreReaders(ZONE);
     readers.noteNews(SECOND, 0);
     expect(readers.isReader(FIRST, [SECOND, THIRD], 10)).toBe(true);
--- a/test/systems/ticker.test.ts
+++ b/test/systems/ticker.test.ts
@@ -5,7 +5,7 @@
   beforeEach(() => vi.useFakeTimers());
   afterEach(() => vi.useRealTimers());
 
-  it('calls everyone by one timer, and has none while there is nobody', () => {
+  it('calls all listeners from one timer, and has no timer without listeners', () => {
     const ticker = new Ticker(1_000);
     const calls: string[] = [];
     const stops = ['a', 'b'].map((name) => ticker.add(() => calls.push(name)));
@@ -16,7 +16,7 @@
     expect(vi.getTimerCount()).toBe(0);
   });
 
-  it('lets one leave while all are called', () => {
+  it('allows a listener to be removed while all are called', () => {
     const ticker = new Ticker(1_000);
     const calls: string[] = [];
     const stop = ticker.add(() => stop());
