--- a/src/systems/slot-table.ts
+++ b/src/systems/slot-table.ts
@@ -1,11 +1,12 @@
 /**
- * The slots of one engine, given out by the agent beside it: each to one request at a time.
+ * The slots of one engine, granted by its agent. Each slot is held by one request at a time.
  *
- * The load that this answers: many entries send to the same engines, and what each knows of the others' requests is older
- * than a request lasts. Choosing by such news, all take the same engine at once; its queue fills, where requests can
- * neither be reordered nor refused nor sent elsewhere. Here a request waits at the agents of a few engines, and goes to
- * the first that has a slot. An engine is filled to its slots and no further. If it names a rate limit, each grant also
- * takes a permit of a rate limiter. Times are in milliseconds of the steady clock.
+ * Many entries send requests to the same engines, and what each entry knows about the others' requests is older than the
+ * duration of a request. If entries chose engines by this information, all would choose the same engine at once, and its
+ * queue would fill with requests that can no longer be reordered, refused or moved. Instead, a request waits at the agents
+ * of a few engines and goes to the first one that grants it a slot, so that an engine never runs more requests than it has
+ * slots. If the engine names a rate limit, each grant also takes a permit of a rate limiter. Times are in milliseconds of
+ * the steady clock.
  *
  * ```ts
  * for (const decision of table.ask({ id, urgency: 0, waitsSince: now, endsAt: now + 300, slots: 8 }, now)) tell(decision);
@@ -16,58 +17,59 @@
 import { RateLimiter } from './rate-limiter.js';
 
 /**
- * An engine tells of its load as it stood some hundred ms earlier, and a request takes some ms to reach it: what is
- * younger than this is not looked for there, in milliseconds: twice the lag that the users' sheets name.
+ * Age below which grants and releases may not be visible in the reported load yet, in milliseconds. An engine reports its
+ * load some 100 ms late, and a request takes some milliseconds to reach it. This is twice the lag in the users'
+ * specifications.
  */
 const REPORT_LAG = 400;
 
 /** A request that wants a slot. */
 export interface SlotAsk {
   id: string;
-  /** 0 goes first. */
+  /** 0 is the most urgent. */
   urgency: number;
-  /** Since when its caller waits: of equal urgency the earliest goes first. */
+  /** Since when its caller has been waiting; at equal urgency, the earliest goes first. */
   waitsSince: number;
-  /** It is not wanted any more from then on. */
+  /** When the request expires. */
   endsAt: number;
-  /** Requests that the engine runs at the same time, as the asking entry knows it. */
+  /** Number of concurrent requests of the engine, as known to the asking entry. */
   slots: number;
   /** Rate limit of the engine in requests per second, as the asking entry knows it; undefined if it knows of none. */
   rateLimit?: number | undefined;
 }
 
-/** What becomes of a request for a slot. */
+/** The decision on a request for a slot. */
 export type SlotDecision =
-  /** The slot is its own until it is released. */
+  /** The request holds a slot until it is released. */
   | { type: 'granted'; id: string }
-  /** It waits for one. */
+  /** The request waits for a slot. */
   | { type: 'queued'; id: string }
-  /** The engine takes no requests now, or none that could still be granted in time. */
+  /** The engine accepts no requests now, or cannot accept this one in time. */
   | { type: 'refused'; id: string }
-  /** Nothing is known of the engine yet: it may take requests. */
+  /** The state of the engine is not known yet; it may accept requests. */
   | { type: 'unready'; id: string };
 
-/** The state of the engine, as its agent reads it. */
+/** The state of the engine, as read by its agent. */
 export interface ObservedEngine {
-  /** Its start; undefined where it does not tell it. */
+  /** Its start; undefined if it does not report one. */
   start?: BackEndIdentity['start'];
-  /** False while it takes no new requests, as during a switch of versions. */
+  /** False while it accepts no new requests, for example during a version switch. */
   isServing: boolean;
-  /** Requests of all callers that run or wait there. */
+  /** Number of requests that run or wait at the engine. */
   load: number;
   /** Rate limit in requests per second that the engine names to its agent; undefined if it names none. */
   rateLimit?: number | undefined;
 }
 
-/** Where the slots of one engine are. */
+/** Metrics of the slots of one engine. */
 export interface SlotFigures {
-  /** As entries tell; 0 until one has asked. */
+  /** Number of slots, as stated by entries; 0 until one has asked. */
   slots: number;
-  /** Given out. */
+  /** Granted slots. */
   granted: number;
-  /** Taken by requests that run there without a slot from here. */
+  /** Slots taken by requests that run without a grant. */
   others: number;
-  /** Requests of all callers that ran or waited at the engine, as it told last. */
+  /** Requests that ran or waited at the engine, as last reported. */
   running: number;
   /** Requests that wait for a slot. */
   waiting: number;
@@ -82,7 +84,7 @@
   namedAt: number;
 }
 
-/** A slot that is given out. */
+/** A granted slot. */
 interface Lease {
   grantedAt: number;
   /** The limiter that issued its permit; undefined if it was granted without a rate limit. */
@@ -91,26 +93,26 @@
 
 /** The slots of one engine. */
 export class SlotTable {
-  /** The slots that are given out, the earliest first. */
+  /** The granted slots, earliest first. */
   readonly #leases = new Map<string, Lease>();
   readonly #waiting = new Map<string, SlotAsk>();
   #slots = 0;
   #start: BackEndIdentity['start'];
   /** Undefined until the engine has been observed. */
   #isServing: boolean | undefined;
-  /** Requests that run there without a slot from here: of entries that do not ask, or from before a restart. */
+  /** Requests that run without a grant: sent by entries that do not ask for slots, or before a restart of the agent. */
   #unleased = 0;
   #load = 0;
-  /** When slots were released lately: the engine may still tell of these requests. */
+  /** Times of recent releases: the engine may still report these requests. */
   #releasedAt: number[] = [];
-  /** Slots given out that the engine did not seem to use at the latest look. */
+  /** Granted slots that the engine did not seem to use when it was last observed. */
   #unused = 0;
-  /** Undefined if none is known. */
+  /** The engine's rate limit; undefined if none is known. */
   #limit: EngineLimit | undefined;
-  /** Whether the engine has shown if it has a limit. Until then, an agent that has restarted uses the limit that entries know. */
+  /** Whether the engine has shown if it has a limit. Until then, a restarted agent uses the limit known to entries. */
   #isLimitObserved = false;
 
-  /** Where the slots are. */
+  /** The current metrics. */
   get figures(): SlotFigures {
     return {
       slots: this.#slots,
@@ -133,7 +135,7 @@
       : undefined;
   }
 
-  /** A request asks for a slot; one that is told again is answered again. */
+  /** Handles a request for a slot. A repeated message is answered again. */
   ask(ask: SlotAsk, now: number): SlotDecision[] {
     this.#slots = ask.slots;
     if (this.#leases.has(ask.id)) return [{ type: 'granted', id: ask.id }];
@@ -147,7 +149,7 @@
   }
 
   /**
-   * A request does not need its slot any more, or does not wait for one.
+   * Releases the slot of a request, or removes it from the queue.
    * @param wasUsed - false if nothing was sent to the engine with the slot; its permit is then returned
    */
   release(id: string, now: number, wasUsed = true): SlotDecision[] {
@@ -176,18 +178,18 @@
     return this.grantFree(now);
   }
 
-  /** All requests that have a slot or wait for one. */
+  /** The ids of all requests that have a slot or wait for one. */
   ids(): string[] {
     return [...this.#leases.keys(), ...this.#waiting.keys()];
   }
 
-  /** A request has a slot that is not known here, as its entry says: it runs at the engine. */
+  /** Records a slot that a request holds according to its entry, although it may be unknown here. */
   adopt(id: string, now: number): void {
     this.#waiting.delete(id);
     if (!this.#leases.has(id)) this.#leases.set(id, { grantedAt: now, limiter: undefined });
   }
 
-  /** Takes back the slots and places of requests of which it is not known whether they have ended. */
+  /** Takes back the slots and queue positions of requests that may or may not have ended. */
   forget(ids: readonly string[], now: number): SlotDecision[] {
     for (const id of ids) {
       this.#waiting.delete(id);
@@ -196,20 +198,20 @@
     return this.grantFree(now);
   }
 
-  /** A request waits for an answer that may have been lost: says again what became of it, unless it waits here. */
+  /** Repeats the decision on a request whose answer may have been lost, unless the request is still queued here. */
   repeat(id: string): SlotDecision[] {
     if (this.#waiting.has(id)) return [];
     return [{ type: this.#leases.has(id) ? 'granted' : 'refused', id }];
   }
 
-  /** Nothing is known of the engine: what waits goes elsewhere, and slots are given out once it has been observed again. */
+  /** Handles the loss of the engine's state: refuses queued requests, and grants none until it is observed again. */
   lose(): SlotDecision[] {
     const refused = this.refuseAll();
     this.#isServing = undefined;
     return refused;
   }
 
-  /** Takes what was read of the engine: slots of entries that have vanished come free, others' requests count. */
+  /** Applies the observed state of the engine: reclaims unused slots and counts requests that run without a grant. */
   observe({ start, isServing, load, rateLimit }: ObservedEngine, now: number): SlotDecision[] {
     if (!isSameStart(start, this.#start)) this.#forgetLeases();
     this.#start = start ?? this.#start;
@@ -222,7 +224,7 @@
     return isServing ? this.grantFree(now) : this.refuseAll();
   }
 
-  /** Takes no requests any more: those that wait are to go elsewhere. */
+  /** Stops granting slots and refuses all queued requests. */
   refuseAll(): SlotDecision[] {
     this.#isServing = false;
     const refused = [...this.#waiting.keys()];
@@ -230,7 +232,7 @@
     return refused.map((id) => ({ type: 'refused', id }));
   }
 
-  /** The engine has started again: what ran there did not survive it. */
+  /** Handles a restart of the engine, which ended all requests there. */
   #forgetLeases(): void {
     this.#leases.clear();
     this.#releasedAt = [];
@@ -251,13 +253,13 @@
     this.#limit = { rate, limiter, namedAt: now };
   }
 
-  /** Whether the rate limit delays a request past its `endsAt`, given the requests that already wait. */
+  /** Whether the rate limit delays a request past its `endsAt`, given the requests already queued. */
   #wouldMissEnd({ id, endsAt }: SlotAsk): boolean {
     const ahead = this.#waiting.has(id) ? this.#waiting.size - 1 : this.#waiting.size;
     return this.#limit !== undefined && this.#limit.limiter.dueAt(ahead) > endsAt;
   }
 
-  /** Takes back slots whose requests the engine did not run at this look nor at the one before. */
+  /** Takes back slots that the engine used neither in this observation nor in the previous one. */
   #reclaim(load: number, now: number): void {
     const settled = [...this.#leases].filter(([, { grantedAt }]) => now - grantedAt >= REPORT_LAG);
     const unused = Math.max(0, settled.length - load);
@@ -284,7 +286,7 @@
     return decisions;
   }
 
-  /** The request that goes next; forgets those that are not wanted any more. */
+  /** The request to grant next; removes expired requests. */
   #next(now: number): SlotAsk | undefined {
     let next: SlotAsk | undefined;
     for (const ask of this.#waiting.values()) {
--- a/test/systems/slot-table.test.ts
+++ b/test/systems/slot-table.test.ts
@@ -1,9 +1,9 @@
-/** The slots of one engine: who gets the next, and what becomes of those whose entry has gone. */
+/** Tests the slots of one engine: which request is granted the next one, and how slots of lost entries are reclaimed. */
 import { describe, expect, it } from 'vitest';
 import { type SlotAsk, type SlotDecision, SlotTable } from '../../src/systems/slot-table.js';
 
 const SLOTS = 2;
-/** Longer than the agent's reading of its engine lags, in milliseconds. */
+/** Longer than the lag of the load that the agent reads from its engine, in milliseconds. */
 const SETTLED = 1_000;
 
 function ask(id: string, changes: Partial<SlotAsk> = {}): SlotAsk {
@@ -20,18 +20,18 @@
   return decisions.filter(({ type }) => type === 'granted').map(({ id }) => id);
 }
 
-describe('the slots of an engine that started again', () => {
-  it('are free, though the former start had given them out and not all come back', () => {
+describe('the slots of a restarted engine', () => {
+  it('are free, although slots granted before the restart are not all released', () => {
     const table = new SlotTable();
     table.observe({ start: 100, isServing: true, load: 0 }, 0);
     for (const id of ['a', 'b', 'c']) table.ask(ask(id), 0);
     expect(granted(table.observe({ start: 200, isServing: true, load: 0 }, 10))).toEqual(['c']);
     expect(table.figures.granted).toBe(1);
-    // A slot of the former start that is given back late is none of these.
+    // A late release of a slot granted before the restart does not count.
     expect(table.release('a', 20)).toEqual([]);
     expect(table.ask(ask('d'), 20).at(-1)?.type).toBe('granted');
     expect(table.ask(ask('e'), 20).at(-1)?.type).toBe('queued');
-    // That the engine does not answer for a while, or does not tell its start, says nothing of a restart.
+    // An engine that does not answer for some time, or does not report its start, has not necessarily restarted.
     table.lose();
     table.observe({ isServing: true, load: 2 }, 30);
     table.observe({ start: 200, isServing: true, load: 2 }, 40);
@@ -40,7 +40,7 @@
 });
 
 describe('the slots of an engine', () => {
-  it('are filled and no further; a request that ends lets the next one in', () => {
+  it('are never exceeded; a request that ends frees a slot for the next one', () => {
     const table = servingTable();
     expect(['a', 'b', 'c'].map((id) => table.ask(ask(id), 0).at(-1)?.type)).toEqual([
       'granted',
@@ -51,7 +51,7 @@
     expect(table.release('b', 20)).toEqual([]);
   });
 
-  it('go to the more urgent first, then to whoever has waited longest', () => {
+  it('are granted to the more urgent request first, then to the one that has waited longest', () => {
     const table = servingTable();
     for (const id of ['a', 'b']) table.ask(ask(id), 0);
     table.ask(ask('late', { urgency: 8, waitsSince: -500 }), 0);
@@ -61,7 +61,7 @@
     expect(order).toEqual(['old', 'young', 'late']);
   });
 
-  it('go to nobody whose patience is over', () => {
+  it('are not granted to expired requests', () => {
     const table = servingTable();
     for (const id of ['a', 'b']) table.ask(ask(id), 0);
     table.ask(ask('gone', { endsAt: 50 }), 0);
@@ -76,25 +76,25 @@
     expect(table.figures.granted).toBe(1);
   });
 
-  it('count requests that run there without one', () => {
+  it('are reduced by requests that run without a slot', () => {
     const table = servingTable(1);
     expect(granted(table.ask(ask('a'), 0))).toEqual(['a']);
     expect(granted(table.ask(ask('b'), 0))).toEqual([]);
     expect(granted(table.observe({ isServing: true, load: 1 }, SETTLED))).toEqual(['b']);
   });
 
-  it('do not count a request twice that has just ended', () => {
+  it('do not count a request that has just ended twice', () => {
     const table = servingTable();
     for (const id of ['a', 'b', 'c']) table.ask(ask(id), 0);
     table.observe({ isServing: true, load: 2 }, SETTLED);
     table.release('a', SETTLED);
-    // The engine still tells of the one that has ended.
+    // The engine still reports the request that has ended.
     table.observe({ isServing: true, load: 3 }, SETTLED + 10);
     expect(granted(table.release('b', SETTLED + 20))).toEqual([]);
     expect(granted(table.ask(ask('d'), SETTLED + 20))).toEqual(['d']);
   });
 
-  it('come free where an entry has vanished and the engine does not run its requests', () => {
+  it('are reclaimed if an entry has vanished and the engine does not run its requests', () => {
     const table = servingTable();
     for (const id of ['a', 'b', 'c']) table.ask(ask(id), 0);
     table.observe({ isServing: true, load: 1 }, SETTLED);
@@ -102,18 +102,18 @@
     expect(granted(table.observe({ isServing: true, load: 1 }, SETTLED + 300))).toEqual(['c']);
   });
 
-  it('stay with a request that the engine was just not seen to run yet', () => {
+  it('are kept by a request that is not visible in the reported load yet', () => {
     const table = servingTable();
     table.ask(ask('a'), 0);
     for (const at of [100, 200, 300]) table.observe({ isServing: true, load: 0 }, at);
     expect(table.figures.granted).toBe(1);
   });
 
-  it('are not given out before anything is known of the engine, which may serve all the same', () => {
+  it('are not granted before the engine has been observed, although it may be serving', () => {
     expect(new SlotTable().ask(ask('a'), 0)).toEqual([{ type: 'unready', id: 'a' }]);
   });
 
-  it('are given out again once an engine that did not answer its agent does', () => {
+  it('are granted again once an engine answers its agent again', () => {
     const table = servingTable();
     for (const id of ['a', 'b', 'c']) table.ask(ask(id), 0);
     expect(table.lose()).toEqual([{ type: 'refused', id: 'c' }]);
@@ -123,7 +123,7 @@
     expect(granted(table.ask(ask('e'), 40))).toEqual(['e']);
   });
 
-  it('are refused to all while the engine takes nothing new', () => {
+  it('are refused to all requests while the engine accepts no new ones', () => {
     const table = servingTable();
     for (const id of ['a', 'b', 'c']) table.ask(ask(id), 0);
     expect(table.observe({ isServing: false, load: 2 }, 10)).toEqual([{ type: 'refused', id: 'c' }]);
