--- a/src/systems/slot-holders.ts
+++ b/src/systems/slot-holders.ts
@@ -1,28 +1,28 @@
 /**
- * The entries that hold or want slots of one engine, as its agent hears them: corrects the slot table by what each says of
- * itself, and takes back what belongs to a process that has ended. No clock but the agent's own is believed. Times are in
- * milliseconds of the steady clock.
+ * Tracks, at an engine's agent, the entries that hold or request slots. It corrects the slot table by their statements and
+ * releases the slots of processes that have ended. Only the agent's own clock is used. Times are in milliseconds of the
+ * steady clock.
  *
- * - A statement lists all that a process has open: whatever else of it the table has is released, a grant that did not
- *   arrive is told again, and who waits in a line that has no such place is sent elsewhere.
- * - The first word of a process frees what another one had at the same address.
- * - Who is not heard any more has ended, or cannot be reached: its slots are given to others. If it is heard again, its
- *   first statement is believed as a whole, as it is where the agent itself has just started.
+ * - A statement lists all open claims of a process. Other claims of that process in the table are released, lost grants
+ *   are repeated, and claims that wait according to the statement but are not in the table are refused.
+ * - The first message of a new process releases the claims of the previous process at the same address.
+ * - An entry that is silent has stopped or is unreachable, and its slots are given to others. When it is heard again, its
+ *   first statement is accepted in full, as it is after a restart of the agent.
  */
 import { claimId, processOf, type SlotStatement } from './slot-claims.js';
 import type { SlotDecision, SlotTable } from './slot-table.js';
 
 /**
- * An entry that has slots or waits for them is heard every 100 ms; one that is not heard for this has ended: of three
- * statements one arrives while a link is full for 400 ms; of seven entries that share the slots of an engine, one that is
- * killed costs 0.3 s times its seventh, 43 ms of the engine's time.
+ * Time without a message after which an entry is considered stopped. Entries with claims send a statement every 100 ms;
+ * one of three arrives even if a link is saturated for 400 ms. If seven entries share the slots of an engine, one that is
+ * killed wastes a seventh of the slots for 0.3 s, or 43 ms of the engine's time.
  */
 const SILENCE_LIMIT = 300;
 
 interface Holder {
   process: number;
   heardAt: number;
-  /** It has said all that it has open: from then on the table knows its slots. */
+  /** True once it has sent a statement; from then on the table knows all its slots. */
   isKnown: boolean;
 }
 
@@ -31,13 +31,13 @@
   return `${entry}/${id}`;
 }
 
-/** Entry and claim of an id in the slot table. */
+/** The entry and the claim of an id in the slot table. */
 export function claimOf(tableId: string): { entry: string; id: number } {
   const [entry, id] = tableId.split('/');
   return { entry, id: Number(id) };
 }
 
-/** The entries that hold or want slots of one engine. */
+/** The entries that hold or request slots of one engine. */
 export class SlotHolders {
   readonly #table: SlotTable;
   readonly #holders = new Map<string, Holder>();
@@ -46,13 +46,13 @@
     this.#table = table;
   }
 
-  /** `entry` has asked for a slot with the claim `id`. */
+  /** Records that `entry` has requested a slot with the claim `id`. */
   noteAsk(entry: string, id: number, now: number): SlotDecision[] {
     const { decisions } = this.#hear(entry, processOf(id), now);
     return decisions;
   }
 
-  /** Takes what `entry` says that it has open. */
+  /** Applies a statement of `entry`. */
   takeStatement(entry: string, statement: SlotStatement, now: number): SlotDecision[] {
     const { holder, decisions } = this.#hear(entry, statement.process, now);
     const idOf = (number: number) => tableId(entry, claimId(statement.process, number));
@@ -70,14 +70,15 @@
   }
 
   /**
-   * Takes back what belongs to entries that are not heard any more.
-   * @param runningTime - the time since a moment in which this process ran: what came in a standstill is not read yet
+   * Takes back the claims of silent entries.
+   * @param runningTime - returns the time since a moment during which this process was running. Pauses of the process do
+   * not count, as messages that arrived during one have not been read yet.
    */
   check(now: number, runningTime: (since: number) => number): SlotDecision[] {
     const silent = [...this.#holders].filter(([, { heardAt }]) => runningTime(heardAt) >= SILENCE_LIMIT);
     const ids = silent.flatMap(([entry]) => this.#idsOf(entry));
     for (const [entry] of silent) this.#holders.delete(entry);
-    // Whether their requests run on is not known: those that do count as others' until they are heard again.
+    // Their requests may still be running; until the entry is heard again, these count as requests without a slot.
     return this.#table.forget(ids, now);
   }
 
--- a/test/systems/slot-holders.test.ts
+++ b/test/systems/slot-holders.test.ts
@@ -1,4 +1,4 @@
-/** The slots of entries that are not heard, start again, or whose messages are lost. */
+/** Tests the slots of entries that are silent, restart, or whose messages are lost. */
 import { describe, expect, it } from 'vitest';
 import { claimId, type SlotStatement } from '../../src/systems/slot-claims.js';
 import { claimOf, SlotHolders, tableId } from '../../src/systems/slot-holders.js';
@@ -41,7 +41,7 @@
 }
 
 describe('the slots of entries', () => {
-  it('come free by the next statement where a release was lost', () => {
+  it('are released by the next statement if a release was lost', () => {
     const agent = new Agent();
     agent.ask('a:1', 1, 0);
     agent.ask('a:1', 2, 0);
@@ -49,7 +49,7 @@
     expect(agent.state('a:1', 100, { held: [2] })).toEqual([{ type: 'granted', id: id('b:1', 1) }]);
   });
 
-  it('stay with what was asked for after the statement had been made', () => {
+  it('are kept if they were requested after the statement was made', () => {
     const agent = new Agent();
     agent.ask('a:1', 1, 0);
     agent.ask('a:1', 2, 1);
@@ -57,20 +57,20 @@
     expect(agent.table.figures.granted).toBe(2);
   });
 
-  it('are granted again to whoever waits for a grant that was lost', () => {
+  it('are granted again if the grant was lost', () => {
     const agent = new Agent();
     agent.ask('a:1', 1, 0);
     expect(agent.state('a:1', 100, { waiting: [1] })).toEqual([{ type: 'granted', id: id('a:1', 1) }]);
   });
 
-  it('are refused to whoever waits in a line that has no such place, and to nobody that has one', () => {
+  it('are refused to claims that are not queued, and not to those that are', () => {
     const agent = new Agent();
     for (const number of [1, 2, 3]) agent.ask('a:1', number, 0);
     const told = agent.state('a:1', 100, { held: [1, 2], waiting: [3, 4] });
     expect(told).toEqual([{ type: 'refused', id: id('a:1', 4) }]);
   });
 
-  it('come free as another process speaks at the address', () => {
+  it('are released when another process sends a message from the same address', () => {
     const agent = new Agent();
     for (const number of [1, 2, 3]) agent.ask('a:1', number, 0, FORMER);
     agent.ask('b:1', 1, 10);
@@ -84,7 +84,7 @@
     expect(agent.table.figures).toMatchObject({ granted: 2, waiting: 0 });
   });
 
-  it('go to others where the entry is not heard any more', () => {
+  it('are granted to others if the entry is silent', () => {
     const agent = new Agent();
     agent.ask('a:1', 1, 0);
     agent.ask('a:1', 2, 0);
@@ -93,14 +93,14 @@
     expect(agent.check(310)).toEqual([{ type: 'granted', id: id('b:1', 1) }]);
   });
 
-  it('stay with an entry whose messages lie unread as the agent itself stood still', () => {
+  it('are kept by an entry whose messages are unread because the agent itself was paused', () => {
     const agent = new Agent();
     agent.ask('a:1', 1, 0);
     expect(agent.holders.check(900, () => 40)).toEqual([]);
     expect(agent.table.figures.granted).toBe(1);
   });
 
-  it('are its own again once it is heard, also beyond the slots, which are then given to nobody', () => {
+  it('are returned to the entry once it is heard again, even beyond the number of slots; no others are granted then', () => {
     const agent = new Agent();
     agent.ask('a:1', 1, 0);
     agent.ask('a:1', 2, 0);
@@ -113,7 +113,7 @@
     expect(agent.table.release(id('a:1', 2), 350)).toEqual([{ type: 'granted', id: id('b:1', 2) }]);
   });
 
-  it('are known to an agent that has just started, by what entries say', () => {
+  it('are learnt from statements by an agent that has just started', () => {
     const agent = new Agent(SLOTS, 2);
     agent.state('a:1', 50, { held: [1, 2] });
     expect(agent.table.figures.granted).toBe(2);
@@ -121,7 +121,7 @@
     expect(agent.table.figures).toMatchObject({ granted: 2, waiting: 1 });
   });
 
-  it('of one of seven entries that is killed cost less than 100 ms of the engine', () => {
+  it('waste less than 100 ms of the engine if one of seven entries is killed', () => {
     const slots = 16;
     const entries = Array.from({ length: 7 }, (_, number) => `entry-${number}:1`);
     const [killed, ...others] = entries;
