--- a/src/systems/slot-claims.ts
+++ b/src/systems/slot-claims.ts
@@ -1,10 +1,10 @@
 /**
- * What one entry has asked of agents and not given back: requests that wait for slots, and slots that are theirs. Messages
- * about slots may be lost, so the entry repeats the whole of it to each agent now and then; an agent that has not heard of an
- * end, or whose grant was lost, learns of it from the next statement.
+ * The open slot claims of one entry: requests that wait for a slot at an agent, and slots granted to them. Messages about
+ * slots may be lost, so the entry periodically sends each agent a statement of all its claims there. An agent that missed
+ * a release, or whose grant was lost, recovers at the next statement.
  *
- * The loss that this answers: a slot whose release was lost stayed taken. While entries restarted in turn, and drew weights
- * over links that were full then, 17 in 100 slots were idle at engines for which requests waited (nine engines, 30 s).
+ * Without statements, a slot whose release was lost remained taken. During a rolling restart of the entries, with links
+ * saturated by weights, 17 % of the slots were idle at engines for which requests waited (nine engines, 30 s).
  *
  * ```ts
  * const id = claims.open(agent);
@@ -15,21 +15,22 @@
  */
 import type { Random } from '../model/random.js';
 
-/** Numbers of claims of one process: 1,000 a second would use them up in twelve days, and others go on after them. */
+/** Claim numbers of one process. At 1,000 per second they last for twelve days; ids then run into the next process's. */
 const CLAIMS_OF_PROCESS = 2 ** 30;
-/** Processes are told apart by chance: of two that start after one another at an address, one in a million is mistaken. */
+/** Process numbers are random: two consecutive processes at an address have the same with a probability of 1 in a million. */
 const PROCESSES = 2 ** 20;
-/** An agent at which nothing is open any more is told so in this many statements: each of them may be lost. */
+/** Number of empty statements sent to an agent once no claim is open there, as each of them may be lost. */
 const FAREWELLS = 3;
 
-/** All that an entry has open at one agent. */
+/** All open claims of an entry at one agent. */
 export interface SlotStatement {
-  /** The process that says so: one that starts at the same address later is another. */
+  /** The process that sends the statement; a later process at the same address has another number. */
   process: number;
-  /** Claims below this number are known here; of those, whatever is not listed has ended. */
+  /** Number of the next claim: claims below it that are not listed have ended. */
   next: number;
-  /** Numbers of the claims that have a slot, and of those that wait for one. */
+  /** Numbers of the claims that have a slot. */
   held: number[];
+  /** Numbers of the claims that wait for a slot. */
   waiting: number[];
 }
 
@@ -53,7 +54,7 @@
 export class SlotClaims {
   readonly #process: number;
   readonly #claims = new Map<number, OpenClaim>();
-  /** Statements that are still owed to each agent once nothing is open there. */
+  /** Number of statements still to be sent to each agent if no claim is open there. */
   readonly #owed = new Map<string, number>();
   #next = 0;
 
@@ -61,7 +62,7 @@
     this.#process = random.below(PROCESSES);
   }
 
-  /** A request asks `agent` for a slot; returns the claim's id. */
+  /** Opens a claim for a slot at `agent`; returns the claim's id. */
   open(agent: string): number {
     const number = this.#next++;
     const id = claimId(this.#process, number);
@@ -70,7 +71,7 @@
     return id;
   }
 
-  /** The claim has a slot; false where it had one before, or is not open any more. */
+  /** Records that the claim has a slot; false if it had one already, or is no longer open. */
   noteGranted(id: number): boolean {
     const claim = this.#claims.get(id);
     if (claim === undefined || claim.isGranted) return false;
@@ -78,17 +79,16 @@
     return true;
   }
 
-  /** True until the claim is closed. */
   isOpen(id: number): boolean {
     return this.#claims.has(id);
   }
 
-  /** The claim is given back, or was refused; false where it was closed before. */
+  /** Closes a claim that was released or refused; false if it was closed before. */
   close(id: number): boolean {
     return this.#claims.delete(id);
   }
 
-  /** What is to be told to agents now. */
+  /** The statements to send to agents now. */
   statements(): Array<{ agent: string; statement: SlotStatement }> {
     const statements = new Map<string, SlotStatement>();
     for (const agent of this.#owed.keys())
