--- a/src/systems/slot-search.ts
+++ b/src/systems/slot-search.ts
@@ -1,37 +1,41 @@
 /**
- * One request's search for a slot: which engines' agents it asks, when it asks more of them, and which it does without.
+ * One request's search for a slot: which engines' agents it asks, when it asks more of them, and which it gives up on.
  *
- * The load that this answers is that of the slot table: entries that cannot know what the others have just sent. Two agents
- * are asked, of the own zone where there is no reason against it, by chance among those that nothing tells apart, and the
- * first slot is taken. Where none is free within a moment the zone is busy, and others are asked beside them, elsewhere too:
- * five in all, as more brought nothing in virtual time. Times are in milliseconds of the steady clock.
+ * As explained at the slot table, entries cannot know which requests the others have just sent. The search first asks two
+ * agents, in its own zone unless their cost is higher, chosen at random among those of equal cost, and takes the first slot
+ * granted. If none is free after a short time, the zone is busy, and more agents are asked, also in other zones: five in
+ * total, as more brought no improvement in simulation. Times are in milliseconds of the steady clock.
  */
 import type { Random } from '../model/random.js';
 
-/** Agents that are asked first: one alone would leave slots empty that others wait for; each is a message pair. */
+/** Agents asked first. With only one, slots would stay free while requests wait; each costs a pair of messages. */
 const FIRST_ASKED = 2;
-/** Agents that are asked besides, once none of the first had a slot: one of the own zone, the others elsewhere. */
+/** Additional agents asked if none of the first had a free slot: one in the own zone, the others in other zones. */
 const NEAR_ASKED_LATER = 1;
 const FAR_ASKED_LATER = 2;
-/** More agents are asked after this, above a message pair between zones (4 ms by the users' sheets) and the turn of
- * a busy agent. */
+/**
+ * Time after which more agents are asked. It is above the round trip between zones (4 ms by the users' specifications)
+ * plus the response time of a busy agent.
+ */
 const WIDEN_AFTER = 25;
-/** An agent that has not said a word after this is taken for silent: above the 100 ms that two pieces of weights
- * take on an agent's link. */
+/**
+ * Time without a response after which an agent is considered silent. It is above the 100 ms that two pieces of weights
+ * take on an agent's link.
+ */
 const SILENT_AFTER = 120;
 
 /** An engine whose agent may be asked. */
 export interface SlotCandidate {
   id: string;
-  /** It is in the zone of the request. */
+  /** Whether it is in the zone of the request. */
   isNear: boolean;
-  /** What speaks against it: its place, failures, slowness, a switch that is due, its load where that is known for fresh. */
+  /** Cost of using it: its location, failures, slowness, a pending version switch, and its load if that is up to date. */
   cost: number;
-  /** Costs closer than this do not tell two of them apart. */
+  /** Candidates whose costs differ by less than this are considered equal. */
   spread: number;
 }
 
-/** An agent that refused, or was silent, is not asked by the same request again for this: about the time of a switch. */
+/** Time for which a request does not ask an agent again after it refused or was silent: about the time of a switch. */
 const ASKED_AGAIN_AFTER = 500;
 
 interface AskedRow {
@@ -39,14 +43,14 @@
   state: 'asked' | 'queued' | 'failed';
 }
 
-/** The search. */
+/** The slot search of one request. */
 export class SlotSearch {
   readonly #asked = new Map<string, AskedRow>();
   readonly #random: Random;
   readonly #startedAt: number;
   #hasWidened = false;
 
-  /** @param startedAt - when the request began to look for a slot */
+  /** @param startedAt - when the search started */
   constructor(startedAt: number, random: Random) {
     this.#startedAt = startedAt;
     this.#random = random;
@@ -57,35 +61,35 @@
     return this.#startedAt + WIDEN_AFTER;
   }
 
-  /** Agents that have been asked. */
+  /** Number of agents that have been asked. */
   get asked(): number {
     return this.#asked.size;
   }
 
-  /** Whether more agents are to be asked now, if there are any. */
+  /** Whether more agents should be asked now, if there are any. */
   wantsMore(now: number): boolean {
     return this.#pendingCount < FIRST_ASKED || (now >= this.widensAt && !this.#hasWidened);
   }
 
-  /** True while an agent may still grant a slot. */
+  /** Whether an agent may still grant a slot. */
   get isPending(): boolean {
     return this.#pendingCount > 0;
   }
 
-  /** Those of `candidates` whose agents are to be asked now. */
+  /** The ids of the candidates whose agents are to be asked now. */
   next(candidates: readonly SlotCandidate[], now: number): string[] {
     const chosen = this.#choose(candidates, now);
     for (const id of chosen) this.#asked.set(id, { askedAt: now, state: 'asked' });
     return chosen;
   }
 
-  /** The agent of `id` has said that the request waits there. */
+  /** Records that the agent of `id` has queued the request. */
   noteQueued(id: string): void {
     const row = this.#asked.get(id);
     if (row !== undefined) row.state = 'queued';
   }
 
-  /** The engine `id` takes nothing now, or its agent is silent: another is asked in its place. */
+  /** Records that the engine `id` accepts no requests or its agent is silent; another one is asked in its place. */
   noteFailed(id: string): void {
     const row = this.#asked.get(id);
     if (row !== undefined) row.state = 'failed';
@@ -93,7 +97,8 @@
 
   /**
    * Engines whose agents have been silent for too long.
-   * @param runningTime - the time since a moment in which this process ran: answers that came in a standstill are not read yet
+   * @param runningTime - returns the time since a moment during which this process was running. Pauses of the process do
+   * not count, as answers that arrived during one have not been read yet.
    */
   silent(runningTime: (since: number) => number): string[] {
     const rows = [...this.#asked].filter(
@@ -120,7 +125,7 @@
     return [...near.slice(0, NEAR_ASKED_LATER), ...far.slice(0, FAR_ASKED_LATER)];
   }
 
-  /** By their cost, those that it does not tell apart by chance. */
+  /** Sorts candidates by cost, in random order among those of similar cost. */
   #inOrder(candidates: readonly SlotCandidate[]): SlotCandidate[] {
     const costs = new Map(
       candidates.map((one) => [one, one.cost + one.spread * this.#random.fraction()] as const),
--- a/test/systems/slot-search.test.ts
+++ b/test/systems/slot-search.test.ts
@@ -1,4 +1,4 @@
-/** A request's search for a slot: whom it asks, when it asks more, and whom it leaves out. */
+/** Tests a request's search for a slot: which agents it asks, when it asks more, and which it leaves out. */
 import { describe, expect, it } from 'vitest';
 import { seededRandom } from '../../src/model/random.js';
 import { type SlotCandidate, SlotSearch } from '../../src/systems/slot-search.js';
@@ -16,7 +16,7 @@
   spread: 40,
 }));
 const ALL = [...NEAR, ...FAR];
-/** After this a search has asked more, and after this an agent is silent, in milliseconds. */
+/** Times after which a search asks more agents, and after which an agent is considered silent, in milliseconds. */
 const WIDENED = 30;
 const SILENT = 150;
 
@@ -27,7 +27,7 @@
 const isNear = (id: string) => id.startsWith('n');
 
 describe('a search for a slot', () => {
-  it('asks two agents of its zone first, and others elsewhere only once these have none free', () => {
+  it('asks two agents of its zone first, and agents in other zones only if these have no free slot', () => {
     const one = search();
     const first = one.next(ALL, 0);
     expect(first.map(isNear)).toEqual([true, true]);
@@ -39,7 +39,7 @@
     expect(new Set([...first, ...later]).size).toBe(5);
   });
 
-  it('asks others in place of those that refuse or are silent', () => {
+  it('asks other agents in place of those that refuse or are silent', () => {
     const one = search();
     const [refusing, silent] = one.next(ALL, 0);
     one.noteFailed(refusing);
@@ -51,7 +51,7 @@
     expect(one.next(ALL, SILENT).length).toBeGreaterThan(0);
   });
 
-  it('asks elsewhere at once where its zone has too few', () => {
+  it('asks in other zones immediately if its zone has too few agents', () => {
     expect(
       search()
         .next([NEAR[0], ...FAR], 0)
@@ -60,24 +60,24 @@
     expect(search().next(FAR, 0)).toHaveLength(2);
   });
 
-  it('leaves out what is slow or fails while there are others', () => {
+  it('leaves out slow or failing engines while there are others', () => {
     const slow = { ...NEAR[0], cost: 400 };
     for (let seed = 0; seed < 20; seed++) expect(search(seed).next([slow, ...FAR], 0)).not.toContain('n1');
     expect(search().next([slow], 0)).toEqual(['n1']);
   });
 
-  it('asks those first whose load is known to be less', () => {
+  it('asks engines with a lower known load first', () => {
     const fresh = NEAR.map((one, index) => ({ ...one, cost: 10 * index, spread: 2 }));
     for (let seed = 0; seed < 20; seed++) expect(search(seed).next(fresh, 0)).toEqual(['n1', 'n2']);
   });
 
-  it('spreads over all of a zone', () => {
+  it('spreads over all engines of a zone', () => {
     const random = seededRandom(1);
     const asked = new Set(Array.from({ length: 40 }, () => new SlotSearch(0, random).next(ALL, 0)).flat());
     expect([...asked].sort()).toEqual(['n1', 'n2', 'n3', 'n4']);
   });
 
-  it('has nothing to wait for when nobody may grant', () => {
+  it('is not pending if no agent can grant a slot', () => {
     const one = search();
     expect(one.isPending).toBe(false);
     for (const id of one.next(NEAR.slice(0, 2), 0)) one.noteFailed(id);
