--- a/src/systems/upload-limit.ts
+++ b/src/systems/upload-limit.ts
@@ -1,38 +1,39 @@
 /**
- * How much a process sends of weights at the same time. As a version comes to the first entry of a zone, all others want it from
- * there: nine that ask for two batches of 590 kB each share a link of 40 Mbit/s, so that every batch takes longer than the 2 s
- * after which it is given up, and nobody has anything of it. Here as many batches go out as the link carries soon, and the others
- * are refused at once: whoever is refused asks an entry that has a batch by then. In virtual time ten entries with links of 28
- * Mbit/s have a version after 2.1 s; without this they do not within 15 s, and 108 batches are given up on their way.
+ * Limits the weights that a process uploads concurrently. When a version arrives at the first entry of a zone, all others
+ * request it from there. If nine entries requested two batches of 590 kB each over a link of 40 Mbit/s, every batch would
+ * take longer than its timeout of 2 s, and none would be received. Therefore only as many batches are sent as the link can
+ * carry soon, and the others are refused immediately; a refused entry asks one that has received a batch by then. In
+ * simulation, ten entries with links of 28 Mbit/s have a version after 2.1 s; without the limit they do not have it within
+ * 15 s, and 108 batches time out in transit.
  */
 
-/** Bytes of batches for entries that are on their way at the same time: 0.4 s of a link of 40 Mbit/s. */
+/** Maximum number of bytes of batches for entries in transit at the same time: 0.4 s of a link of 40 Mbit/s. */
 const MOST_BYTES = 2_000_000;
 /**
- * Pieces that agents ask for at a time. Their links are narrow, so that those which an entry serves do not fill its own: such
- * batches are not refused.
+ * Largest batch, in pieces, that is never refused: agents request no more at a time. Agents' links are narrow, so the
+ * agents that an entry serves cannot saturate its link.
  */
 export const SMALL_BATCH = 3;
 
-/** What one process sends. */
+/** Tracks the batches that one process is uploading. */
 export class UploadLimit {
   #bytes = 0;
 
-  /** Bytes of large batches on their way. */
+  /** Bytes of large batches in transit. */
   get bytes(): number {
     return this.#bytes;
   }
 
-  /** Whether a batch of `pieces` with `bytes` in all may go out now; if so, `end` must be called with the same numbers. */
+  /** Whether a batch of `pieces` with `bytes` in total may be sent now. If so, `end` must be called with the same values. */
   begin(pieces: number, bytes: number): boolean {
     if (pieces <= SMALL_BATCH) return true;
-    // One batch goes out however large it is.
+    // A single batch is sent regardless of its size.
     if (this.#bytes > 0 && this.#bytes + bytes > MOST_BYTES) return false;
     this.#bytes += bytes;
     return true;
   }
 
-  /** A batch has gone out, or was given up. */
+  /** Records that a batch was sent completely or abandoned. */
   end(pieces: number, bytes: number): void {
     if (pieces > SMALL_BATCH) this.#bytes -= bytes;
   }
--- a/test/systems/upload-limit.test.ts
+++ b/test/systems/upload-limit.test.ts
@@ -1,18 +1,18 @@
-/** How much of weights a process sends at the same time. */
+/** Tests the limit of the weights that a process uploads concurrently. */
 import { expect, it } from 'vitest';
 import { SMALL_BATCH, UploadLimit } from '../../src/systems/upload-limit.js';
 
 const BATCH = 12;
 const BYTES = 590_000;
 
-it('a process sends some large batches at a time, and others once these have gone out', () => {
+it('a process sends a limited number of large batches at a time, and others once these have been sent', () => {
   const uploads = new UploadLimit();
   expect([1, 2, 3, 4].map(() => uploads.begin(BATCH, BYTES))).toEqual([true, true, true, false]);
   uploads.end(BATCH, BYTES);
   expect(uploads.begin(BATCH, BYTES)).toBe(true);
 });
 
-it('small batches always go out, and count for nothing', () => {
+it('small batches are always sent and do not count', () => {
   const uploads = new UploadLimit();
   while (uploads.begin(BATCH, BYTES));
   const { bytes } = uploads;
@@ -21,7 +21,7 @@
   expect(uploads.bytes).toBe(bytes);
 });
 
-it('one batch goes out however large it is', () => {
+it('a single batch is sent regardless of its size', () => {
   const uploads = new UploadLimit();
   expect(uploads.begin(BATCH, 80_000_000)).toBe(true);
   expect(uploads.begin(BATCH, BYTES)).toBe(false);
