--- a/test/simulation/outage.test.ts
+++ b/test/simulation/outage.test.ts
@@ -1,8 +1,8 @@
-/** The load after a loss of power: entries take requests 4.3 s before the first engine has its weights. */
+/** Simulates the load after a power loss: entries accept requests 4.3 s before the first engine has its weights. */
 import { describe, expect, it } from 'vitest';
 import { type OutageInit, simulateOutage } from '../../bench/simulation/outage-simulation.js';
 
-/** Nine entries before 15 engines of 16 slots, as the users have them. */
+/** Nine entries in front of 15 engines with 16 slots each, as in the users' deployment. */
 const LOAD: Omit<OutageInit, 'policy' | 'seed'> = {
   outage: 4_300,
   lateEstimate: 300,
@@ -12,25 +12,17 @@
 };
 const SEEDS = [1, 2, 3];
 
-describe('callers that come while no engine serves', () => {
-  it.each(SEEDS)(
-    'are served, most of them, where they wait before they are told to come back: seed %i',
-    (seed) => {
-      expect(simulateOutage({ ...LOAD, policy: 'wait', seed }).served).toBeGreaterThan(0.95);
-    },
-  );
+describe('callers that send requests while no engine serves', () => {
+  it.each(SEEDS)('are mostly served if their requests wait before they are refused: seed %i', (seed) => {
+    expect(simulateOutage({ ...LOAD, policy: 'wait', seed }).served).toBeGreaterThan(0.95);
+  });
 
-  it.each(SEEDS)(
-    'are served as far as the engines have slots for them after a longer outage: seed %i',
-    (seed) => {
-      expect(simulateOutage({ ...LOAD, outage: 4_900, policy: 'wait', seed }).served).toBeGreaterThan(0.85);
-      expect(simulateOutage({ ...LOAD, outage: 4_900, policy: 'refuseFirst', seed }).served).toBeLessThan(
-        0.8,
-      );
-    },
-  );
+  it.each(SEEDS)('are served within the capacity of the engines after a longer outage: seed %i', (seed) => {
+    expect(simulateOutage({ ...LOAD, outage: 4_900, policy: 'wait', seed }).served).toBeGreaterThan(0.85);
+    expect(simulateOutage({ ...LOAD, outage: 4_900, policy: 'refuseFirst', seed }).served).toBeLessThan(0.8);
+  });
 
-  it.each(SEEDS)('are refused twice where first tries are refused at once: seed %i', (seed) => {
+  it.each(SEEDS)('are often refused twice if first attempts are refused immediately: seed %i', (seed) => {
     expect(simulateOutage({ ...LOAD, policy: 'refuseFirst', seed }).served).toBeLessThan(0.9);
   });
 });
--- a/test/simulation/restarts.test.ts
+++ b/test/simulation/restarts.test.ts
@@ -1,14 +1,14 @@
-/** Entries that restart in turn, and draw weights over links that are full then, while the engines are as loaded as they bear. */
+/** Simulates a rolling restart of entries that fetch weights over saturated links, while the engines are at full load. */
 import { describe, expect, it } from 'vitest';
 import { simulatePlacement } from '../../bench/simulation/placement-simulation.js';
 
-/** Time for two plays in virtual time, in milliseconds: far above what they need, as they wait for nothing but a processor. */
+/** Timeout of two simulations, in milliseconds. It is far above what they need, as they depend on processor time only. */
 const PLAY_LIMIT = 240_000;
-/** Shares of the peak that are 0.9, 1 and 1.1 of what the 84 engines can do. */
+/** Loads as shares of the peak; they are 0.9, 1 and 1.1 of the capacity of the 84 engines. */
 const LOADS = [0.69, 0.76, 0.84];
 
-describe.each([1, 2])('restarts of entries in turn, seed %i', { timeout: PLAY_LIMIT }, (seed) => {
-  it.each(LOADS)('leave few slots idle while somebody waits, at %f of the peak', (load) => {
+describe.each([1, 2])('rolling restarts of entries, seed %i', { timeout: PLAY_LIMIT }, (seed) => {
+  it.each(LOADS)('leave few slots idle while requests wait, at %f of the peak', (load) => {
     const figures = { policy: 'slots', load, seed, addedEngines: 0 } as const;
     const restarts = simulatePlacement({ ...figures, areEntriesRestarted: true });
     const calm = simulatePlacement(figures);
