--- a/src/entry/entry-mesh.ts
+++ b/src/entry/entry-mesh.ts
@@ -80,7 +80,7 @@
   /** True once this entry hears of every zone, or has waited long for those that it does not hear of. */
   get isSettled(): boolean {
     const own = this.#components.self().zone;
-    const missing = [...this.#zones].filter((zone) => zone !== own && !this.#membership.hears(zone));
+    const missing = [...this.#zones].filter((zone) => zone !== own && !this.#membership.isZoneOffered(zone));
     return missing.length === 0 || performance.now() - this.#startedAt > SETTLING_LIMIT;
   }
 
@@ -134,7 +134,7 @@
   #review(): void {
     const now = performance.now();
     this.#membership.expire(now);
-    this.#links.closeRedundant((zone, link) => this.#membership.hears(zone, link.id));
+    this.#links.closeRedundant((zone, link) => this.#membership.isZoneOffered(zone, link.id));
     if (now - this.#loadsToldAt >= LOADS_INTERVAL) {
       this.#loadsToldAt = now;
       this.#sendLoads();
--- a/src/systems/membership/agent-candidates.ts
+++ b/src/systems/membership/agent-candidates.ts
@@ -17,12 +17,12 @@
   readonly #byAddress = new Map<string, AgentCandidate[]>();
   /** Order in which agent processes were first seen, by process identity. */
   readonly #appearance = new Map<string, number>();
-  #appeared = 0;
+  #processCount = 0;
 
   /** Records a status reported by a home; returns the agent's address. */
   set(home: string, status: AgentStatus): string {
     const { id, address } = status.info;
-    if (!this.#appearance.has(id)) this.#appearance.set(id, ++this.#appeared);
+    if (!this.#appearance.has(id)) this.#appearance.set(id, ++this.#processCount);
     const others = this.#at(address).filter((known) => known.home !== home || known.status.info.id !== id);
     this.#byAddress.set(address, [...others, { status, home }]);
     return address;
--- a/src/systems/membership/home-record.ts
+++ b/src/systems/membership/home-record.ts
@@ -24,7 +24,7 @@
   | 'gap';
 
 /** An update with the full record, for receivers that may not have a copy. */
-export function wholeNews(record: HomeRecord): HomeNews {
+export function fullRecordNews(record: HomeRecord): HomeNews {
   const { info, version, agents } = record;
   return {
     type: 'homeNews',
@@ -38,7 +38,7 @@
 }
 
 /** The result of applying an update to a record; undefined if there is no copy of the record yet. */
-export function judgeNews(record: HomeRecord | undefined, news: HomeNews): NewsOutcome {
+export function classifyNews(record: HomeRecord | undefined, news: HomeNews): NewsOutcome {
   if (record !== undefined && record.version >= news.version) return 'known';
   if (news.base === 0) return news.info === undefined ? 'gap' : 'applied';
   return record?.version === news.base ? 'applied' : 'gap';
--- a/src/systems/membership/membership.ts
+++ b/src/systems/membership/membership.ts
@@ -18,13 +18,13 @@
  */
 import type { AgentStatus, EntryInfo, HomeNews, MembershipMessage } from '../../protocol/messages.js';
 import { type AgentCandidate, AgentCandidates } from './agent-candidates.js';
-import { digestPart, type HomeRecord, judgeNews, wholeNews } from './home-record.js';
+import { classifyNews, digestPart, fullRecordNews, type HomeRecord } from './home-record.js';
 import { LINK_CLASSES, type LinkClass, type OfferLink, Offers } from './offers.js';
 
 /** Time for which the agents of a dead entry are kept, so that they can report to another home, in milliseconds. */
-export const DIED_GRACE = 5_000;
+export const DEAD_ENTRY_GRACE = 5_000;
 /** Time for which records that no link offers are kept if their entry is not known to be dead, in milliseconds. */
-export const UNREACHED_GRACE = 10_000;
+export const UNREACHABLE_GRACE = 10_000;
 
 /** Callbacks of a {@link Membership}. */
 export interface MembershipOutput {
@@ -81,7 +81,7 @@
   }
 
   /** Whether any link other than `without` offers a record of the zone. */
-  hears(zone: string, without?: string): boolean {
+  isZoneOffered(zone: string, without?: string): boolean {
     return [...this.#offers.links.values()].some((link) => {
       return link.id !== without && this.#offeredOf(link, zone).length > 0;
     });
@@ -133,7 +133,7 @@
   /** Handles a new link to another entry. */
   linkOpened(id: string, linkClass: LinkClass): void {
     const link = this.#offers.open(id, linkClass);
-    for (const record of this.#offeredTo(linkClass)) this.#output.send(id, wholeNews(record));
+    for (const record of this.#offeredTo(linkClass)) this.#output.send(id, fullRecordNews(record));
     if (linkClass === 'far') this.#sendOffered(link, this.#own.info.zone);
   }
 
@@ -197,10 +197,10 @@
     const outcome = this.#apply(news);
     if (outcome === 'gap') return this.#output.send(link.id, { type: 'homeWanted', home });
     link.offered.set(home, version);
-    this.#reveal(home);
+    this.#cancelRetirement(home);
     for (const linkClass of this.#offers.classesFor(home)) {
       // Entries to which the record was not offered before may have no copy of it.
-      if (!before.has(linkClass)) this.#sendToClass(linkClass, wholeNews(this.#records.get(home)!));
+      if (!before.has(linkClass)) this.#sendToClass(linkClass, fullRecordNews(this.#records.get(home)!));
       else if (outcome === 'applied') this.#sendToClass(linkClass, news);
     }
   }
@@ -208,7 +208,7 @@
   #apply(news: HomeNews): 'applied' | 'known' | 'gap' {
     const { home, info, base, version, statuses, gone } = news;
     const known = this.#records.get(home);
-    const outcome = judgeNews(known, news);
+    const outcome = classifyNews(known, news);
     if (outcome !== 'applied') return outcome;
     const record = known ?? { info: info!, version, agents: new Map<string, AgentStatus>() };
     this.#records.set(home, record);
@@ -250,8 +250,8 @@
     for (const linkClass of before) {
       if (!after.has(linkClass)) this.#sendToClass(linkClass, { type: 'homesGone', homes: [home], died });
     }
-    if (this.#offers.isHeard(home)) return;
-    this.#retirements.set(home, { at: now + (died ? DIED_GRACE : UNREACHED_GRACE), died });
+    if (this.#offers.isOffered(home)) return;
+    this.#retirements.set(home, { at: now + (died ? DEAD_ENTRY_GRACE : UNREACHABLE_GRACE), died });
     if (died) this.#output.onEntriesChanged();
   }
 
@@ -259,25 +259,25 @@
   #markDied(home: string, now: number): boolean {
     const retirement = this.#retirements.get(home);
     if (retirement === undefined || retirement.died) return false;
-    this.#retirements.set(home, { at: Math.min(retirement.at, now + DIED_GRACE), died: true });
+    this.#retirements.set(home, { at: Math.min(retirement.at, now + DEAD_ENTRY_GRACE), died: true });
     this.#output.onEntriesChanged();
     return true;
   }
 
-  #reveal(home: string): void {
+  #cancelRetirement(home: string): void {
     const retirement = this.#retirements.get(home);
     if (retirement === undefined) return;
     this.#retirements.delete(home);
     if (retirement.died) this.#output.onEntriesChanged();
   }
 
-  #onDigest(link: OfferLink, told: ReadonlyMap<string, number>): void {
+  #onDigest(link: OfferLink, received: ReadonlyMap<string, number>): void {
     const offered = [...link.offered].map(
       ([home, version]): DigestRow => [this.#records.get(home)!.info.zone, home, version],
     );
     const known = digestsByZone(offered);
-    for (const zone of new Set([...told.keys(), ...known.keys()])) {
-      if (told.get(zone) !== known.get(zone)) this.#output.send(link.id, { type: 'homesWanted', zone });
+    for (const zone of new Set([...received.keys(), ...known.keys()])) {
+      if (received.get(zone) !== known.get(zone)) this.#output.send(link.id, { type: 'homesWanted', zone });
     }
   }
 
@@ -291,7 +291,7 @@
     for (const home of this.#offeredOf(link, zone)) {
       if (!homes.has(home)) this.#withdraw(link, home, false, now);
     }
-    if (link.linkClass === 'far') this.#noteMissing(zone, homes, now);
+    if (link.linkClass === 'far') this.#markMissingAsDied(zone, homes, now);
     for (const [home, version] of homes) {
       const known = this.#records.get(home);
       if (link.offered.get(home) === version || known === this.#own) continue;
@@ -302,7 +302,7 @@
   }
 
   /** Marks as dead the unreachable entries of a zone that the zone no longer lists. */
-  #noteMissing(zone: string, homes: ReadonlyMap<string, number>, now: number): void {
+  #markMissingAsDied(zone: string, homes: ReadonlyMap<string, number>, now: number): void {
     for (const home of this.#retirements.keys()) {
       const isOfZone = this.#records.get(home)!.info.zone === zone;
       if (!isOfZone || homes.has(home) || !this.#markDied(home, now)) continue;
@@ -313,7 +313,7 @@
   #onWanted(link: OfferLink, home: string): void {
     const record = this.#records.get(home);
     if (record !== undefined && this.#offers.isOfferedTo(link.linkClass, home)) {
-      return this.#output.send(link.id, wholeNews(record));
+      return this.#output.send(link.id, fullRecordNews(record));
     }
     this.#output.send(link.id, { type: 'homesGone', homes: [home], died: false });
   }
--- a/src/systems/membership/offers.ts
+++ b/src/systems/membership/offers.ts
@@ -35,7 +35,7 @@
   }
 
   /** Whether the record of a home is offered on any link. */
-  isHeard(home: string): boolean {
+  isOffered(home: string): boolean {
     return [...this.links.values()].some(({ offered }) => offered.has(home));
   }
 
--- a/test/systems/membership.test.ts
+++ b/test/systems/membership.test.ts
@@ -1,7 +1,7 @@
 import fc from 'fast-check';
 import { describe, expect, it } from 'vitest';
 import type { AgentStatus, EntryInfo, MembershipMessage } from '../../src/protocol/messages.js';
-import { DIED_GRACE, Membership, UNREACHED_GRACE } from '../../src/systems/membership/membership.js';
+import { DEAD_ENTRY_GRACE, Membership, UNREACHABLE_GRACE } from '../../src/systems/membership/membership.js';
 import { peer } from '../support.js';
 
 /** A message in transit. */
@@ -77,7 +77,7 @@
   /** Advances the time until unreachable records are dropped and digests have resolved all differences. */
   heal(): void {
     this.settle();
-    this.now += UNREACHED_GRACE;
+    this.now += UNREACHABLE_GRACE;
     for (let round = 0; round < 3; round++) {
       for (const membership of this.entries.values()) {
         membership.expire(this.now);
@@ -192,7 +192,7 @@
     made.settle();
     expect(made.entries.get('c1')!.entries.map(({ id }) => id)).not.toContain('a3');
     expect(made.entries.get('c1')!.agentAt('agent')).toBeDefined();
-    made.now += DIED_GRACE;
+    made.now += DEAD_ENTRY_GRACE;
     made.entries.get('c1')!.expire(made.now);
     expect(made.entries.get('c1')!.agentAt('agent')).toBeUndefined();
   });
@@ -203,10 +203,10 @@
     made.settle();
     made.cut('a1', 'b1');
     made.settle();
-    made.now += UNREACHED_GRACE - 1;
+    made.now += UNREACHABLE_GRACE - 1;
     made.entries.get('a3')!.expire(made.now);
     expect(made.entries.get('a3')!.agentAt('agent')?.home).toBe('b2');
-    expect(made.entries.get('a3')!.hears('b')).toBe(false);
+    expect(made.entries.get('a3')!.isZoneOffered('b')).toBe(false);
     made.connect('a2', 'b2');
     made.heal();
     expect(made.entries.get('a3')!.agentAt('agent')?.home).toBe('b2');
