--- a/bench/simulation/outage-simulation.ts
+++ b/bench/simulation/outage-simulation.ts
@@ -5,7 +5,7 @@
  */
 import { RequestTiming } from '../../src/forwarding/request-timing.js';
 import { seededRandom } from '../../src/model/random.js';
-import { LONGEST_RETURN } from '../../src/systems/capacity-wait.js';
+import { MAX_RETRY_DELAY } from '../../src/systems/capacity-wait.js';
 import { STREAM_ROUTE } from './stream-route.js';
 
 /** Requests wait for capacity as entries let them, or first ones are refused at once, as before. */
@@ -59,7 +59,7 @@
     if (attempt.isSecond) return;
     const { endsAt } = attempt.timing;
     const soon = SHORTEST_RETURN * (1 + random.fraction());
-    const pause = Math.min(LONGEST_RETURN, soon + capacityIn, RETURN_SHARE * (endsAt - now));
+    const pause = Math.min(MAX_RETRY_DELAY, soon + capacityIn, RETURN_SHARE * (endsAt - now));
     returning.push({ at: now + pause, endsAt });
   };
 
--- a/bench/simulation/placement-simulation.ts
+++ b/bench/simulation/placement-simulation.ts
@@ -454,7 +454,7 @@
     this.#deliver(entry, engine, () => {
       if (engine.isAgentSilent) return;
       const name = String(entry.number);
-      this.#tell(engine, engine.holders.noteAsk(name, claim, this.#clock.now));
+      this.#tell(engine, engine.holders.noteRequest(name, claim, this.#clock.now));
       const id = tableId(name, claim);
       const ask = { id, urgency, waitsSince: caller.startedAt, endsAt, slots: ENGINE_PACE.slots };
       this.#tell(engine, engine.slots.ask(ask, this.#clock.now));
--- a/src/forwarding/forwarded-request.ts
+++ b/src/forwarding/forwarded-request.ts
@@ -12,7 +12,7 @@
 import type { IncomingMessage, ServerResponse } from 'node:http';
 import type { Readable } from 'node:stream';
 import type { Standstills } from '../model/standstills.js';
-import { latestBegin } from '../systems/capacity-wait.js';
+import { latestStart } from '../systems/capacity-wait.js';
 import type { Fingerprint } from '../systems/poison-requests.js';
 import { type AdmittedRequest, admit, headersToSend, type RejectedRequest } from './admitted-request.js';
 import { type AnswerHead, type AnswerSummary, Attempt, type AttemptFailure, wentOut } from './attempt.js';
@@ -511,7 +511,7 @@
   /** Whether another back end may resume a begun answer before its caller gives up. */
   #canGoOnLater(): boolean {
     const { route, timing } = this.#admitted;
-    const latest = latestBegin(this.#answer.forwardedAt, timing.endsAt, route.patience);
+    const latest = latestStart(this.#answer.forwardedAt, timing.endsAt, route.patience);
     if (performance.now() + SEARCH_INTERVAL > latest) return false;
     return this.#policy.mayRunAgain && this.#components.selector.mayTakeLater(this.#policy.requirements());
   }
--- a/src/forwarding/poison-guard.ts
+++ b/src/forwarding/poison-guard.ts
@@ -164,7 +164,7 @@
   /** What quarantines rest on, for an entry that may not have heard of it. */
   allNews(): PoisonNews[] {
     const now = performance.now();
-    return this.#requests.blamedCrashes().map((crash) => newsOf(crash, now));
+    return this.#requests.crashesOfQuarantined().map((crash) => newsOf(crash, now));
   }
 
   /** The strictest of what its fingerprints say, as each stands for the whole content. */
--- a/src/forwarding/request-timing.ts
+++ b/src/forwarding/request-timing.ts
@@ -4,7 +4,7 @@
  * whatever is free before its time is over. Times are in milliseconds of the steady clock.
  */
 import type { Route } from '../fleet/configuration.js';
-import { latestBegin, waitsForCapacity } from '../systems/capacity-wait.js';
+import { latestStart, shouldWaitForCapacity } from '../systems/capacity-wait.js';
 
 /** Requests are not let wait at a back end for longer than this before they begin, in milliseconds. */
 const LONGEST_WAIT = 1_800;
@@ -88,7 +88,7 @@
     const { arrivedAt, endsAt } = this;
     const { patience } = this.#route;
     const comesAgain = this.isLastChance;
-    return waitsForCapacity({ arrivedAt, endsAt, patience, comesAgain }, now, now + capacityIn);
+    return shouldWaitForCapacity({ arrivedAt, endsAt, patience, isRetry: comesAgain }, now, now + capacityIn);
   }
 
   /**
@@ -103,7 +103,7 @@
 
   /** Latest time at which a back end may begin with it. */
   get latestBegin(): number {
-    return latestBegin(this.arrivedAt, this.endsAt, this.#route.patience);
+    return latestStart(this.arrivedAt, this.endsAt, this.#route.patience);
   }
 
   /**
--- a/src/forwarding/retry-after.ts
+++ b/src/forwarding/retry-after.ts
@@ -1,6 +1,6 @@
 /** When callers of requests that have not run are told to come back, in seconds. */
 import type { Random } from '../model/random.js';
-import { LONGEST_RETURN } from '../systems/capacity-wait.js';
+import { MAX_RETRY_DELAY } from '../systems/capacity-wait.js';
 import type { BackEndSelector } from './back-end-selector.js';
 
 /**
@@ -23,5 +23,5 @@
   const capacity = selector.expectedCapacity(service) ?? 0;
   const soon = RETRY_AFTER * (1 + random.fraction());
   const delay = Math.max(soon + capacity, selector.requestInterval(service));
-  return Math.min(LONGEST_RETURN, delay) / MILLISECONDS;
+  return Math.min(MAX_RETRY_DELAY, delay) / MILLISECONDS;
 }
--- a/src/forwarding/time-to-end.ts
+++ b/src/forwarding/time-to-end.ts
@@ -39,7 +39,7 @@
     const sentAt = now + wait;
     const timeLeft = this.#endsAt - sentAt;
     const expected = durations.expected(this.#route, this.#answerTokens, timeLeft, now) ?? timeLeft;
-    return drain.canEnd(sentAt, Math.min(timeLeft, expected));
+    return drain.canComplete(sentAt, Math.min(timeLeft, expected));
   }
 
   /** An attempt is sent. */
--- a/src/peers/entry-peers.ts
+++ b/src/peers/entry-peers.ts
@@ -21,7 +21,11 @@
 import type { Message } from '../protocol/messages.js';
 import type { EntryReport } from '../protocol/reports.js';
 import type { StoreNews } from '../protocol/store-news.js';
-import { lacksAddresses, toldInTurn, toldOfNew } from '../systems/address-gossip.js';
+import {
+  lacksAddresses,
+  recipientsOfAllAddresses,
+  recipientsOfNewAddress,
+} from '../systems/address-gossip.js';
 import type { EntriesKnown } from '../systems/entry-retry-window.js';
 import { Dialling } from './dialling.js';
 import { FleetWish } from './fleet-wish.js';
@@ -160,7 +164,7 @@
     const heardSeeds = seeds.filter((seed) => seed === address || this.#rows.get(seed)?.report !== undefined);
     return {
       known: Math.max(this.#rows.size + 1, ...told),
-      hasHeardMostSeeds: 2 * heardSeeds.length > seeds.length || seeds.length === 0,
+      hasSeedMajority: 2 * heardSeeds.length > seeds.length || seeds.length === 0,
     };
   }
 
@@ -235,7 +239,7 @@
   #tellAddresses(): void {
     this.#addressesToldAt = performance.now();
     const message = this.#encodedAddresses();
-    for (const { connection } of toldInTurn(this.#connected(), this.#options.random))
+    for (const { connection } of recipientsOfAllAddresses(this.#connected(), this.#options.random))
       connection?.sendEncoded(message);
   }
 
@@ -257,7 +261,8 @@
       if (lacksAddresses(report?.entriesKnown ?? 0, known)) connection?.sendEncoded(all);
     const addresses = newcomers.map(({ address }) => address);
     const message = encodeForMany({ type: 'entryAddresses', addresses }, context);
-    for (const { connection } of toldOfNew(this.#connected(), random)) connection?.sendEncoded(message);
+    for (const { connection } of recipientsOfNewAddress(this.#connected(), random))
+      connection?.sendEncoded(message);
   }
 
   #connected(): PeerRow[] {
--- a/src/peers/slot-server.ts
+++ b/src/peers/slot-server.ts
@@ -74,7 +74,9 @@
 
   /** Takes what the agent has read of its engine; undefined where that did not answer. */
   observe(engine: ObservedEngine | undefined): void {
-    this.#tell(engine === undefined ? this.#table.lose() : this.#table.observe(engine, performance.now()));
+    this.#tell(
+      engine === undefined ? this.#table.invalidate() : this.#table.observe(engine, performance.now()),
+    );
     const { figures } = this;
     if (figures.granted > 0 || figures.waiting > 0) this.#log.info('slots', figures);
   }
@@ -96,7 +98,7 @@
     if (message.type === 'slotsStated') return this.#tell(this.#holders.takeStatement(from, message, now));
     if (message.type !== 'slotAsked') return;
     const { id, urgency, waitedFor, patience, slots, rateLimit } = message;
-    this.#tell(this.#holders.noteAsk(from, id, now));
+    this.#tell(this.#holders.noteRequest(from, id, now));
     const ask = {
       id: tableId(from, id),
       urgency,
--- a/src/roles/direct-entry.ts
+++ b/src/roles/direct-entry.ts
@@ -221,7 +221,7 @@
     this.#drain.begin(orderedAt);
     this.#peers.announce('all');
     log.info('entry leaves', { inProgress: this.#forwarding.active });
-    while (this.#drain.takesConnections(performance.now(), this.#forwarding.quietFor)) await pause();
+    while (this.#drain.acceptsConnections(performance.now(), this.#forwarding.quietFor)) await pause();
     await this.#forwarding.close();
     while (performance.now() < this.#drain.endsAt && !this.#forwarding.isSettled) await pause();
     log.info('entry stops', {
--- a/src/systems/address-gossip.ts
+++ b/src/systems/address-gossip.ts
@@ -7,26 +7,26 @@
 import { shuffle } from '../model/random.js';
 
 /** Number of other entries up to which messages are sent to all of them. */
-const ALL_TOLD = 12;
+const BROADCAST_LIMIT = 12;
 /**
  * In larger fleets, number of entries that are sent a new address. Every receiver forwards it to as many others, so that
  * one entry in 3,000 is missed.
  */
-const TOLD_OF_NEW = 8;
+const NEW_ADDRESS_FANOUT = 8;
 /**
  * In larger fleets, number of entries that are sent all addresses in each round. An entry that missed a new address
  * learns it within a few rounds.
  */
-const TOLD_IN_TURN = 2;
+const ALL_ADDRESSES_FANOUT = 2;
 
 /** The entries of `others` to send new addresses to. */
-export function toldOfNew<T>(others: readonly T[], random: Random): T[] {
-  return some(others, TOLD_OF_NEW, random);
+export function recipientsOfNewAddress<T>(others: readonly T[], random: Random): T[] {
+  return sampleRecipients(others, NEW_ADDRESS_FANOUT, random);
 }
 
 /** The entries of `others` to send all addresses to in this round. */
-export function toldInTurn<T>(others: readonly T[], random: Random): T[] {
-  return some(others, TOLD_IN_TURN, random);
+export function recipientsOfAllAddresses<T>(others: readonly T[], random: Random): T[] {
+  return sampleRecipients(others, ALL_ADDRESSES_FANOUT, random);
 }
 
 /**
@@ -38,6 +38,6 @@
   return itsCount < ownCount;
 }
 
-function some<T>(others: readonly T[], count: number, random: Random): T[] {
-  return others.length <= ALL_TOLD ? [...others] : shuffle([...others], random).slice(0, count);
+function sampleRecipients<T>(others: readonly T[], count: number, random: Random): T[] {
+  return others.length <= BROADCAST_LIMIT ? [...others] : shuffle([...others], random).slice(0, count);
 }
--- a/src/systems/admission.ts
+++ b/src/systems/admission.ts
@@ -78,7 +78,7 @@
     if (isFirst && this.#mayStart(request)) return [this.#start(request)];
     const ownQueued = this.#queue.filter((row) => row.tenant === request.tenant).length;
     if (ownQueued >= limits.queued) return [{ type: 'refuse', id: request.id, reason: 'tenantLimit' }];
-    const shed = this.#queue.length >= this.#limits.queued ? this.#lowest(request) : undefined;
+    const shed = this.#queue.length >= this.#limits.queued ? this.#shedCandidate(request) : undefined;
     if (this.#queue.length >= this.#limits.queued && shed === undefined) {
       return [{ type: 'refuse', id: request.id, reason: 'entryFull' }];
     }
@@ -119,12 +119,12 @@
     let best: QueuedRow | undefined;
     for (const row of this.#queue) {
       if (!this.#mayStart(row)) continue;
-      if (best === undefined || this.#goesBefore(row, best)) best = row;
+      if (best === undefined || this.#precedes(row, best)) best = row;
     }
     return best;
   }
 
-  #goesBefore(a: QueuedRow, b: QueuedRow): boolean {
+  #precedes(a: QueuedRow, b: QueuedRow): boolean {
     if (a.priority !== b.priority) return a.priority > b.priority;
     return this.#runningFor(a.tenant) < this.#runningFor(b.tenant);
   }
@@ -145,7 +145,7 @@
   }
 
   /** The latest queued request of the lowest priority, if that priority is lower than that of `request`. */
-  #lowest(request: AdmissionRequest): QueuedRow | undefined {
+  #shedCandidate(request: AdmissionRequest): QueuedRow | undefined {
     let lowest: QueuedRow | undefined;
     for (const row of this.#queue) {
       if (lowest === undefined || row.priority <= lowest.priority) lowest = row;
--- a/src/systems/capacity-forecast.ts
+++ b/src/systems/capacity-forecast.ts
@@ -7,9 +7,9 @@
  */
 
 /** An estimate that has moved by more than this is unreliable. After a power loss it moved by 0.7 s at most (measured). */
-const MOST_PUT_OFF = 1_000;
+const MAX_POSTPONEMENT = 1_000;
 /** If no estimate was queried for this long, the outage is over: requests arrive several times a second. */
-const OVER_AFTER = 1_000;
+const OUTAGE_OVER_AFTER = 1_000;
 
 /** Tracks the estimated end of an outage of one service. */
 export class CapacityForecast {
@@ -19,9 +19,9 @@
 
   /** Records that, as of `now`, back ends are expected to serve from `expectedAt`; returns whether this is reliable. */
   note(expectedAt: number, now: number): boolean {
-    if (now - this.#notedAt > OVER_AFTER) this.#earliest = Number.POSITIVE_INFINITY;
+    if (now - this.#notedAt > OUTAGE_OVER_AFTER) this.#earliest = Number.POSITIVE_INFINITY;
     this.#notedAt = now;
     this.#earliest = Math.min(this.#earliest, expectedAt);
-    return expectedAt - this.#earliest <= MOST_PUT_OFF;
+    return expectedAt - this.#earliest <= MAX_POSTPONEMENT;
   }
 }
--- a/src/systems/capacity-wait.ts
+++ b/src/systems/capacity-wait.ts
@@ -15,11 +15,11 @@
 /** Part of the caller's patience reserved for the time to the first event, in milliseconds; without an event, it leaves. */
 const TIME_TO_FIRST_EVENT = 700;
 /** Callers honour a retry delay up to this share of their remaining time, as the users' callers do. */
-const RETURN_SHARE = 1 / 3;
+const RETRY_DELAY_SHARE = 1 / 3;
 /** Maximum retry delay that callers are asked for, in milliseconds. */
-export const LONGEST_RETURN = 2_000;
+export const MAX_RETRY_DELAY = 2_000;
 /** Capacity may be available this much earlier than estimated, in milliseconds: 0.2 to 0.4 s were measured 1 to 4 s ahead. */
-const LATE_ESTIMATE = 300;
+const ESTIMATE_ERROR = 300;
 
 /** Time constraints of a request. */
 export interface CallerTime {
@@ -29,11 +29,11 @@
   /** Time without an event after which the caller leaves. */
   patience: number;
   /** True if the caller was refused before; it does not retry again. */
-  comesAgain: boolean;
+  isRetry: boolean;
 }
 
 /** Latest time at which a back end can start a request so that its caller still receives the answer. */
-export function latestBegin(arrivedAt: number, endsAt: number, patience: number): number {
+export function latestStart(arrivedAt: number, endsAt: number, patience: number): number {
   return Math.min(endsAt - TIME_TO_SERVE, arrivedAt + patience - TIME_TO_FIRST_EVENT);
 }
 
@@ -41,17 +41,17 @@
  * Whether a request waits at the entry for capacity expected at `capacityAt`. Otherwise it is refused immediately, and its
  * caller is told to retry by then.
  */
-export function waitsForCapacity(caller: CallerTime, now: number, capacityAt: number): boolean {
-  const soonest = capacityAt - LATE_ESTIMATE;
-  const heldUntil = latestBegin(caller.arrivedAt, caller.endsAt, caller.patience);
+export function shouldWaitForCapacity(caller: CallerTime, now: number, capacityAt: number): boolean {
+  const earliest = capacityAt - ESTIMATE_ERROR;
+  const heldUntil = latestStart(caller.arrivedAt, caller.endsAt, caller.patience);
   if (now >= heldUntil) return false;
-  if (caller.comesAgain) return soonest < heldUntil;
-  if (capacityAt <= latestByReturn(caller, now)) return false;
-  return soonest <= latestByReturn(caller, heldUntil);
+  if (caller.isRetry) return earliest < heldUntil;
+  if (capacityAt <= latestStartByRetry(caller, now)) return false;
+  return earliest <= latestStartByRetry(caller, heldUntil);
 }
 
 /** Latest start of a request whose caller is refused at `refusedAt` and retries after the longest permitted delay. */
-function latestByReturn({ endsAt, patience }: CallerTime, refusedAt: number): number {
-  const pause = Math.min(LONGEST_RETURN, RETURN_SHARE * Math.max(0, endsAt - refusedAt));
-  return latestBegin(refusedAt + pause, endsAt, patience);
+function latestStartByRetry({ endsAt, patience }: CallerTime, refusedAt: number): number {
+  const retryDelay = Math.min(MAX_RETRY_DELAY, RETRY_DELAY_SHARE * Math.max(0, endsAt - refusedAt));
+  return latestStart(refusedAt + retryDelay, endsAt, patience);
 }
--- a/src/systems/copy-spread.ts
+++ b/src/systems/copy-spread.ts
@@ -10,18 +10,18 @@
  * Entries that fetch pieces from the same one. Three copies of 2.4 MB over 40 Mbit/s take 1.4 s, and a tree of 20 entries
  * is 3 levels deep.
  */
-const CHILDREN = 3;
+const FAN_OUT = 3;
 /** Engines served by one entry's copy. By the users' specifications, an entry's link has four times an agent's bandwidth. */
-const ENGINES_OF_HOLDER = 3;
+const ENGINES_PER_COPY = 3;
 /** Additional entries that hold a copy, so that some may be lost. */
-const SPARE_HOLDERS = 2;
+const SPARE_COPIES = 2;
 
 /** Position of the entry from which the entry at position `place` of the zone's order fetches; undefined for the first. */
 export function parentOf(place: number): number | undefined {
-  return place <= 0 ? undefined : Math.floor((place - 1) / CHILDREN);
+  return place <= 0 ? undefined : Math.floor((place - 1) / FAN_OUT);
 }
 
 /** Whether the entry at position `place` of the zone's order (from 0) holds a copy, given the engines of the zone. */
 export function holdsCopy(place: number, engines: number): boolean {
-  return place < Math.ceil(engines / ENGINES_OF_HOLDER) + SPARE_HOLDERS;
+  return place < Math.ceil(engines / ENGINES_PER_COPY) + SPARE_COPIES;
 }
--- a/src/systems/drain-schedule.ts
+++ b/src/systems/drain-schedule.ts
@@ -7,13 +7,13 @@
 /** The process exits this long before it would be killed, to allow for late timers and for the exit itself. */
 const KILL_MARGIN = 700;
 /** Some callers keep using an address for up to this many times its lifetime. */
-const KEPT_LONGER = 3;
+const ADDRESS_OVERUSE_FACTOR = 3;
 /** After its lifetime, an address is considered unused once no request has arrived for this long. */
-const QUIET = 800;
+const QUIET_PERIOD = 800;
 /** Time reserved for the last accepted requests: the longest streams measured under full load took this long. */
-const CLOSING_TIME = 3_100;
+const LAST_REQUESTS_TIME = 3_100;
 /** Upper bound of the address lifetime; a longer one would save few look-ups. */
-const LONGEST_ADDRESS_LIFETIME = 2_000;
+const MAX_ADDRESS_LIFETIME = 2_000;
 const SECOND = 1_000;
 
 /** Parameters of a shutdown. */
@@ -29,8 +29,8 @@
  * the callers that keep the address longest complete before the process exits.
  */
 export function addressLifetimeFor(graceTime: number): number {
-  const fitting = (graceTime - KILL_MARGIN - CLOSING_TIME) / KEPT_LONGER;
-  return Math.max(SECOND, Math.floor(Math.min(LONGEST_ADDRESS_LIFETIME, fitting) / SECOND) * SECOND);
+  const fitting = (graceTime - KILL_MARGIN - LAST_REQUESTS_TIME) / ADDRESS_OVERUSE_FACTOR;
+  return Math.max(SECOND, Math.floor(Math.min(MAX_ADDRESS_LIFETIME, fitting) / SECOND) * SECOND);
 }
 
 /** The state of a shutdown. */
@@ -72,7 +72,7 @@
   }
 
   /** Whether a request that starts at `now` and takes `duration` completes before the process exits. */
-  canEnd(now: number, duration: number): boolean {
+  canComplete(now: number, duration: number): boolean {
     return now + duration <= this.endsAt;
   }
 
@@ -80,11 +80,11 @@
    * Whether connections are accepted: callers may still use the address, or have sent requests recently.
    * @param quietFor - time since the latest request
    */
-  takesConnections(now: number, quietFor: number): boolean {
+  acceptsConnections(now: number, quietFor: number): boolean {
     const elapsed = this.elapsed(now);
     if (elapsed === undefined) return true;
     const { addressLifetime } = this.#limits;
-    if (now >= this.endsAt || elapsed >= KEPT_LONGER * addressLifetime) return false;
-    return elapsed < addressLifetime || quietFor <= QUIET;
+    if (now >= this.endsAt || elapsed >= ADDRESS_OVERUSE_FACTOR * addressLifetime) return false;
+    return elapsed < addressLifetime || quietFor <= QUIET_PERIOD;
   }
 }
--- a/src/systems/entry-retry-window.ts
+++ b/src/systems/entry-retry-window.ts
@@ -8,7 +8,7 @@
  *   most one partition has a majority, and the entries in it know each other.
  * - An entry that has just started gets none, as its previous process may have used the share within the same span.
  */
-import { LONGEST_TO_ARRIVE, RetryWindow } from './retry-window.js';
+import { MAX_ARRIVAL_DELAY, RetryWindow } from './retry-window.js';
 
 /** Retry limit of all entries together for one service. */
 export interface SharedRetryLimits {
@@ -25,7 +25,7 @@
   /** The largest number of entries known, since its start, to it or to any entry that has contacted it. */
   known: number;
   /** Whether a majority of the seeds has contacted it since its start; only one partition of a system can have that. */
-  hasHeardMostSeeds: boolean;
+  hasSeedMajority: boolean;
 }
 
 /** Share of the slack that is distributed; the rest is reserved for new entries that are not known yet. */
@@ -41,10 +41,10 @@
   entries: () => EntriesKnown,
   startedAt: number,
 ): RetryWindow {
-  const slackFrom = startedAt + span + LONGEST_TO_ARRIVE;
+  const slackFrom = startedAt + span + MAX_ARRIVAL_DELAY;
   const slackShare = (now: number) => {
-    const { known, hasHeardMostSeeds } = entries();
-    return hasHeardMostSeeds && now >= slackFrom ? (SLACK_SHARE * slack) / known : 0;
+    const { known, hasSeedMajority } = entries();
+    return hasSeedMajority && now >= slackFrom ? (SLACK_SHARE * slack) / known : 0;
   };
   return new RetryWindow({ span, share, slack: slackShare });
 }
--- a/src/systems/held-back-news.ts
+++ b/src/systems/held-back-news.ts
@@ -13,17 +13,17 @@
 }
 
 /** Tables whose changes other processes see early enough by reading them themselves. */
-const PATIENT_TABLES: ReadonlySet<string> = new Set(['leases']);
+const DEFERRABLE_TABLES: ReadonlySet<string> = new Set(['leases']);
 
 /** The changes held back on one kind of link. */
 export class HeldBackNews {
-  readonly #longest: number;
+  readonly #maxDelay: number;
   #held: ConfigurationNews | undefined;
   #heldSince = 0;
 
-  /** @param longest - maximum delay, in milliseconds */
-  constructor(longest: number) {
-    this.#longest = longest;
+  /** @param maxDelay - maximum delay, in milliseconds */
+  constructor(maxDelay: number) {
+    this.#maxDelay = maxDelay;
   }
 
   /** Adds changes; returns the changes to send now, if any. */
@@ -35,8 +35,8 @@
       this.#held = news;
       this.#heldSince = now;
     }
-    const isUrgent = news.rows.some(({ table }) => !PATIENT_TABLES.has(table));
-    if (!isUrgent && now - this.#heldSince < this.#longest) return undefined;
+    const isUrgent = news.rows.some(({ table }) => !DEFERRABLE_TABLES.has(table));
+    if (!isUrgent && now - this.#heldSince < this.#maxDelay) return undefined;
     const due = this.#held;
     this.#held = undefined;
     return due;
--- a/src/systems/longest-durations.ts
+++ b/src/systems/longest-durations.ts
@@ -6,12 +6,12 @@
 /** Durations older than one to two periods are dropped, so that back ends are not considered slow for ever. */
 const PERIOD = 10_000;
 /** A request may take longer than all previous ones by this factor: 2.3 s was followed by 3.1 s within 10 s. */
-const PROLONGATION = 1.35;
+const SAFETY_FACTOR = 1.35;
 /** Minimum number of requests for an estimate: after this many, the next is longer than all with a probability of 1/17. */
-const ENOUGH_REQUESTS = 16;
+const MIN_REQUESTS = 16;
 
 /** Durations of the requests of one kind and size within a period. */
-interface Seen {
+interface DurationStats {
   /** Since when such requests have been sent, without a gap of a whole period. */
   since: number;
   count: number;
@@ -20,8 +20,8 @@
 
 /** The longest recent durations by kind and size. */
 export class LongestDurations {
-  #current = new Map<string, Seen>();
-  #previous = new Map<string, Seen>();
+  #current = new Map<string, DurationStats>();
+  #previous = new Map<string, DurationStats>();
   #periodEndsAt = Number.NEGATIVE_INFINITY;
   #largestSize = 0;
 
@@ -52,19 +52,19 @@
     this.#forget(now);
     let count = 0;
     let longest = 0;
-    for (let size = sizeOf(tokens); size <= this.#largestSize && count < ENOUGH_REQUESTS; size++) {
+    for (let size = sizeOf(tokens); size <= this.#largestSize && count < MIN_REQUESTS; size++) {
       const key = keyOf(kind, size);
-      const both = [this.#current.get(key), this.#previous.get(key)].filter((seen) => seen !== undefined);
-      if (both.length === 0 || now - both[0].since < limit) continue;
-      for (const seen of both) {
+      const periods = [this.#current.get(key), this.#previous.get(key)].filter((seen) => seen !== undefined);
+      if (periods.length === 0 || now - periods[0].since < limit) continue;
+      for (const seen of periods) {
         count += seen.count;
         longest = Math.max(longest, seen.longest);
       }
     }
-    return count < ENOUGH_REQUESTS ? undefined : longest * PROLONGATION;
+    return count < MIN_REQUESTS ? undefined : longest * SAFETY_FACTOR;
   }
 
-  #seen(kind: string, tokens: number, now: number): Seen {
+  #seen(kind: string, tokens: number, now: number): DurationStats {
     this.#forget(now);
     const size = sizeOf(tokens);
     this.#largestSize = Math.max(this.#largestSize, size);
--- a/src/systems/origin-draw.ts
+++ b/src/systems/origin-draw.ts
@@ -11,26 +11,26 @@
 import { rendezvousOrder } from '../model/random.js';
 
 /** The next entry in the order takes over when no piece has arrived for this long; this applies to the first three. */
-const STAND_IN_PATIENCE = 300;
-export const QUICK_STAND_INS = 3;
+const TAKEOVER_DELAY = 300;
+export const QUICK_TAKEOVERS = 3;
 /** Each further entry waits this much longer. */
-const LATE_STAND_IN_PATIENCE = 1_200;
+const LATE_TAKEOVER_DELAY = 1_200;
 /** Extra delay if another entry holds or draws pieces: they come from there, and a second fetch would halve both rates. */
-const DRAWN_ELSEWHERE_PATIENCE = 300;
+const DRAWN_ELSEWHERE_DELAY = 300;
 /** Extra delay if engines already hold the version. */
-const HELD_ELSEWHERE_PATIENCE = 10_000;
+const SERVED_DELAY = 10_000;
 /** Concurrent pieces of the first entry in the order: a piece in transit hides the latency of the next request. */
 const FIRST_PARALLEL = 5;
 /** Concurrent pieces of each other entry: even if all of them fetch, a piece arrives within its timeout of 1.5 s. */
-const STAND_IN_PARALLEL = 1;
+const TAKEOVER_PARALLEL = 1;
 /**
  * Time without a piece after which the first entry in the order also fetches pieces that others are reported to hold or
  * draw; each next entry does so one step later. A holder that was disconnected is still reported for seconds, although its
  * pieces are not available. The value is above the transfer time of a batch over a shared link.
  */
-const DRAW_DESPITE_OTHERS = 700;
+const REDUNDANT_DRAW_DELAY = 700;
 /** Number of entries that do so: with more, a slow link would cause one extra copy for each. */
-const MOST_DRAWING_DESPITE = 4;
+const MAX_REDUNDANT_DRAWERS = 4;
 /** Offset between the first pieces of consecutive entries, as a share of the version (golden ratio, for any number). */
 const DRAW_STRIDE = 0.618;
 
@@ -51,8 +51,8 @@
   const classOf = new Map(
     entries.map(({ id, linkRate }) => [id, Math.floor(Math.log2(Math.max(1, linkRate)))]),
   );
-  const byChance = rendezvousOrder(key, [...classOf.keys()]);
-  return byChance.sort((one, other) => classOf.get(other)! - classOf.get(one)!);
+  const byHash = rendezvousOrder(key, [...classOf.keys()]);
+  return byHash.sort((one, other) => classOf.get(other)! - classOf.get(one)!);
 }
 
 /** Situation of an entry among those that may fetch a version. */
@@ -66,9 +66,9 @@
 }
 
 /** Time without a piece after which the entry at position `place` takes over. */
-export function drawPatience(place: number): number {
-  const quick = Math.min(place, QUICK_STAND_INS) * STAND_IN_PATIENCE;
-  return quick + Math.max(0, place - QUICK_STAND_INS) * LATE_STAND_IN_PATIENCE;
+export function drawDelay(place: number): number {
+  const quick = Math.min(place, QUICK_TAKEOVERS) * TAKEOVER_DELAY;
+  return quick + Math.max(0, place - QUICK_TAKEOVERS) * LATE_TAKEOVER_DELAY;
 }
 
 /** How an entry fetches from the origin. */
@@ -83,11 +83,11 @@
 
 /** The plan of an entry in this situation. */
 export function drawPlan({ place, isServed, isDrawnElsewhere }: DrawSituation): DrawPlan {
-  const served = isServed ? HELD_ELSEWHERE_PATIENCE : 0;
-  const drawn = place > 0 && isDrawnElsewhere ? DRAWN_ELSEWHERE_PATIENCE : 0;
+  const served = isServed ? SERVED_DELAY : 0;
+  const drawn = place > 0 && isDrawnElsewhere ? DRAWN_ELSEWHERE_DELAY : 0;
   return {
-    patience: served + drawn + drawPatience(place),
-    parallel: place === 0 ? FIRST_PARALLEL : STAND_IN_PARALLEL,
+    patience: served + drawn + drawDelay(place),
+    parallel: place === 0 ? FIRST_PARALLEL : TAKEOVER_PARALLEL,
     firstOf: (pieces) => Math.floor(((place * DRAW_STRIDE) % 1) * pieces),
   };
 }
@@ -100,5 +100,5 @@
  */
 export function isDrawn(isElsewhere: boolean, quietFor: number, place: number): boolean {
   if (!isElsewhere) return true;
-  return place < MOST_DRAWING_DESPITE && quietFor >= DRAW_DESPITE_OTHERS * (1 + place);
+  return place < MAX_REDUNDANT_DRAWERS && quietFor >= REDUNDANT_DRAW_DELAY * (1 + place);
 }
--- a/src/systems/ownership.ts
+++ b/src/systems/ownership.ts
@@ -64,8 +64,8 @@
 ): string[] {
   const serving = candidates.filter((machine) => !machine.leaving).map((machine) => machine.address);
   const connected = new Set(candidates.map((machine) => machine.address));
-  const outOfSight = (row?.owners ?? []).filter((address) => !connected.has(address) && !dead.has(address));
-  return [...new Set([...serving, ...outOfSight])].sort();
+  const disconnected = (row?.owners ?? []).filter((address) => !connected.has(address) && !dead.has(address));
+  return [...new Set([...serving, ...disconnected])].sort();
 }
 
 function sameList(a: readonly string[], b: readonly string[]): boolean {
--- a/src/systems/poison-requests.ts
+++ b/src/systems/poison-requests.ts
@@ -52,9 +52,9 @@
 /** Shared crashes after which a content is quarantined even if all of them were part of waves. */
 const CRASHES_IN_WAVES_TO_QUARANTINE = 3;
 /** Crashes counted against a content after which no further trials are made. */
-const CRASHES_WITHOUT_DOUBT = 3;
+const CRASHES_TO_BLOCK = 3;
 /** Maximum number of trials of a content; a trial may be inconclusive because its caller left or an entry stopped. */
-const MOST_TRIALS = 2;
+const MAX_TRIALS = 2;
 /** Time from the latest crash to a trial, in milliseconds: short enough that a user hit twice by chance is still waiting. */
 const QUARANTINE_TIME = 10_000;
 /** Retry delay if no trial will be made, in milliseconds: by then an operator may have fixed the back ends. */
@@ -64,17 +64,17 @@
  * broken connection followed by a refused one (at most 20 ms, measured); a single request takes at least 150 ms from one
  * crash to the next.
  */
-const WAVE = 60;
+const WAVE_WINDOW = 60;
 /** Reports within this time refer to the same crash of a back end, in milliseconds: a restart takes longer. */
-const SAME_END = 2_000;
+const SAME_CRASH_WINDOW = 2_000;
 /** Maximum duration of a trial, in milliseconds: above the time to the first response of an engine under load. */
 const TRIAL_TIME = 3_000;
 /** Delay between the times at which consecutive entries in a content's order may make a trial, in milliseconds. */
 const TRIAL_STEP = 250;
 /** Number of crashes kept, whatever their age: a content that is sent rarely crashes one back end each time. */
-const MOST_CRASHES = 500;
+const MAX_CRASHES = 500;
 /** Suspects kept for each crash, two for each request; back ends run fewer concurrent requests than that allows. */
-export const MOST_SUSPECTS = 128;
+export const MAX_SUSPECTS = 128;
 const ALLOWED: PoisonDecision = { type: 'allowed' };
 
 interface KnownCrash {
@@ -125,20 +125,20 @@
 
   /** Records a crash, or further suspects of a known one; returns the contents that are quarantined as a result. */
   noteCrash(crash: BackEndCrash): Fingerprint[] {
-    const known = this.#find(crash) ?? this.#begin(crash);
-    const suspects = crash.suspects.slice(0, MOST_SUSPECTS - known.suspects.size);
+    const known = this.#findCrash(crash) ?? this.#addCrash(crash);
+    const suspects = crash.suspects.slice(0, MAX_SUSPECTS - known.suspects.size);
     const added = suspects.filter((fingerprint) => !known.suspects.has(fingerprint));
-    const wereBlamed = added.filter((fingerprint) => this.isQuarantined(fingerprint));
+    const wereQuarantined = added.filter((fingerprint) => this.isQuarantined(fingerprint));
     for (const fingerprint of added) this.#addSuspect(fingerprint, known);
-    return added.filter((one) => this.isQuarantined(one) && !wereBlamed.includes(one));
+    return added.filter((one) => this.isQuarantined(one) && !wereQuarantined.includes(one));
   }
 
   /** Decides on a request with this content. */
   decide(fingerprint: Fingerprint, now: number): PoisonDecision {
     if (!this.#crashesBySuspect.has(fingerprint) || !this.isQuarantined(fingerprint)) return ALLOWED;
     const trials = this.#trials.get(fingerprint);
-    const isBeyondDoubt = this.#crashesAgainst(fingerprint).length >= CRASHES_WITHOUT_DOUBT;
-    if (isBeyondDoubt || this.trialsOf(fingerprint) >= MOST_TRIALS)
+    const isBlocked = this.#crashesAgainst(fingerprint).length >= CRASHES_TO_BLOCK;
+    if (isBlocked || this.trialsOf(fingerprint) >= MAX_TRIALS)
       return { type: 'quarantined', retryAfter: RETRY_WITHOUT_TRIAL };
     const retryAt = Math.max(this.#quarantineEnd(fingerprint), trials?.endsAt ?? now);
     return now < retryAt ? { type: 'quarantined', retryAfter: retryAt - now } : { type: 'trial' };
@@ -182,7 +182,7 @@
   }
 
   /** The crashes that led to quarantines, with only the quarantined suspects: what other entries need to refuse them. */
-  blamedCrashes(): BackEndCrash[] {
+  crashesOfQuarantined(): BackEndCrash[] {
     const blamed = new Set(this.quarantined());
     return this.crashes()
       .map((crash) => ({ ...crash, suspects: crash.suspects.filter((one) => blamed.has(one)) }))
@@ -190,17 +190,19 @@
   }
 
   /** Finds a known crash. Reports without the start of the back end have another key, so nearby crashes are compared too. */
-  #find(crash: BackEndCrash): KnownCrash | undefined {
+  #findCrash(crash: BackEndCrash): KnownCrash | undefined {
     const exact = this.#crashes.get(keyOf(crash));
     if (exact !== undefined) return exact;
     const isSame = ({ backEnd, start, at }: KnownCrash) =>
-      backEnd === crash.backEnd && isSameStart(start, crash.start) && Math.abs(at - crash.at) < SAME_END;
+      backEnd === crash.backEnd &&
+      isSameStart(start, crash.start) &&
+      Math.abs(at - crash.at) < SAME_CRASH_WINDOW;
     return [...this.#crashes.values()].find(isSame);
   }
 
-  #begin({ backEnd, start, at }: BackEndCrash): KnownCrash {
-    if (this.#crashes.size >= MOST_CRASHES) this.#forgetOne();
-    const sameMoment = [...this.#crashes.values()].filter((other) => Math.abs(other.at - at) < WAVE);
+  #addCrash({ backEnd, start, at }: BackEndCrash): KnownCrash {
+    if (this.#crashes.size >= MAX_CRASHES) this.#evictOne();
+    const sameMoment = [...this.#crashes.values()].filter((other) => Math.abs(other.at - at) < WAVE_WINDOW);
     for (const other of sameMoment) other.isPartOfWave = true;
     const crash = { backEnd, start, at, isPartOfWave: sameMoment.length > 0, suspects: new Set<string>() };
     this.#crashes.set(keyOf(crash), crash);
@@ -236,18 +238,18 @@
   #crashesAgainst(fingerprint: Fingerprint): KnownCrash[] {
     const all = this.#crashesOf(fingerprint);
     const isShared = (crash: KnownCrash) =>
-      all.some((other) => other !== crash && Math.abs(other.at - crash.at) < WAVE);
+      all.some((other) => other !== crash && Math.abs(other.at - crash.at) < WAVE_WINDOW);
     return all.filter((crash) => !crash.isPartOfWave || isShared(crash));
   }
 
   /** Removes the earliest crash that no quarantine depends on, so that many suspects cannot end a quarantine. */
-  #forgetOne(): void {
+  #evictOne(): void {
     const all = [...this.#crashes.values()];
     const isNeeded = ({ suspects }: KnownCrash) => [...suspects].some((one) => this.isQuarantined(one));
-    this.#forget(all.find((crash) => !isNeeded(crash)) ?? all[0]);
+    this.#evict(all.find((crash) => !isNeeded(crash)) ?? all[0]);
   }
 
-  #forget(crash: KnownCrash): void {
+  #evict(crash: KnownCrash): void {
     for (const fingerprint of [...crash.suspects]) this.#removeSuspect(fingerprint, crash);
     this.#crashes.delete(keyOf(crash));
   }
--- a/src/systems/retry-budget.ts
+++ b/src/systems/retry-budget.ts
@@ -6,12 +6,12 @@
 /** Limits of a retry budget. */
 export interface RetryBudgetLimits {
   /** Retries earned by each request. */
-  earnedByRequest: number;
+  earnedPerRequest: number;
   /** Maximum number of retries that can be saved up. */
-  savedAtMost: number;
+  maxSaved: number;
 }
 
-const DEFAULT_LIMITS: RetryBudgetLimits = { earnedByRequest: 0.1, savedAtMost: 20 };
+const DEFAULT_LIMITS: RetryBudgetLimits = { earnedPerRequest: 0.1, maxSaved: 20 };
 
 /** The budget of one entry. */
 export class RetryBudget {
@@ -20,12 +20,12 @@
 
   constructor(limits: RetryBudgetLimits = DEFAULT_LIMITS) {
     this.#limits = limits;
-    this.#saved = limits.savedAtMost;
+    this.#saved = limits.maxSaved;
   }
 
   /** Records a routed request. */
   earn(): void {
-    this.#saved = Math.min(this.#limits.savedAtMost, this.#saved + this.#limits.earnedByRequest);
+    this.#saved = Math.min(this.#limits.maxSaved, this.#saved + this.#limits.earnedPerRequest);
   }
 
   /** Takes one retry from the budget; false if none is left. */
--- a/src/systems/retry-window.ts
+++ b/src/systems/retry-window.ts
@@ -22,9 +22,9 @@
  * Longest time from the grant of a retry to its arrival at the back end, in milliseconds: a new connection is abandoned
  * after 400 ms, by a check that runs every 50 ms.
  */
-export const LONGEST_TO_ARRIVE = 500;
+export const MAX_ARRIVAL_DELAY = 500;
 /** Longest time from sending by a caller to being counted here, in milliseconds: several hops of 3 ms and a short queue. */
-const LONGEST_TO_COUNT = 500;
+const MAX_COUNT_DELAY = 500;
 
 interface Part {
   /** Number of the part, counted from time 0. */
@@ -47,8 +47,8 @@
   constructor(limits: RetryWindowLimits) {
     this.#limits = limits;
     const partLength = limits.span / PARTS;
-    this.#arrivalParts = Math.ceil(LONGEST_TO_ARRIVE / partLength);
-    const countParts = Math.ceil(LONGEST_TO_COUNT / partLength);
+    this.#arrivalParts = Math.ceil(MAX_ARRIVAL_DELAY / partLength);
+    const countParts = Math.ceil(MAX_COUNT_DELAY / partLength);
     this.#earningParts = Math.max(0, PARTS - this.#arrivalParts - countParts - 1);
   }
 
--- a/src/systems/slot-claims.ts
+++ b/src/systems/slot-claims.ts
@@ -20,7 +20,7 @@
 /** Process numbers are random: two consecutive processes at an address have the same with a probability of 1 in a million. */
 const PROCESSES = 2 ** 20;
 /** Number of empty statements sent to an agent once no claim is open there, as each of them may be lost. */
-const FAREWELLS = 3;
+const FINAL_STATEMENTS = 3;
 
 /** All open claims of an entry at one agent. */
 export interface SlotStatement {
@@ -55,7 +55,7 @@
   readonly #process: number;
   readonly #claims = new Map<number, OpenClaim>();
   /** Number of statements still to be sent to each agent if no claim is open there. */
-  readonly #owed = new Map<string, number>();
+  readonly #remainingStatements = new Map<string, number>();
   #next = 0;
 
   constructor(random: Random) {
@@ -67,7 +67,7 @@
     const number = this.#next++;
     const id = claimId(this.#process, number);
     this.#claims.set(id, { agent, number, isGranted: false });
-    this.#owed.set(agent, FAREWELLS);
+    this.#remainingStatements.set(agent, FINAL_STATEMENTS);
     return id;
   }
 
@@ -91,19 +91,20 @@
   /** The statements to send to agents now. */
   statements(): Array<{ agent: string; statement: SlotStatement }> {
     const statements = new Map<string, SlotStatement>();
-    for (const agent of this.#owed.keys())
+    for (const agent of this.#remainingStatements.keys())
       statements.set(agent, { process: this.#process, next: this.#next, held: [], waiting: [] });
     for (const { agent, number, isGranted } of this.#claims.values()) {
       const statement = statements.get(agent);
       (isGranted ? statement?.held : statement?.waiting)?.push(number);
     }
-    for (const [agent, { held, waiting }] of statements) this.#noteTold(agent, held.length + waiting.length);
+    for (const [agent, { held, waiting }] of statements)
+      this.#countStatement(agent, held.length + waiting.length);
     return [...statements].map(([agent, statement]) => ({ agent, statement }));
   }
 
-  #noteTold(agent: string, open: number): void {
-    const owed = open > 0 ? FAREWELLS : this.#owed.get(agent)! - 1;
-    if (owed > 0) this.#owed.set(agent, owed);
-    else this.#owed.delete(agent);
+  #countStatement(agent: string, open: number): void {
+    const remaining = open > 0 ? FINAL_STATEMENTS : this.#remainingStatements.get(agent)! - 1;
+    if (remaining > 0) this.#remainingStatements.set(agent, remaining);
+    else this.#remainingStatements.delete(agent);
   }
 }
--- a/src/systems/slot-holders.ts
+++ b/src/systems/slot-holders.ts
@@ -47,14 +47,14 @@
   }
 
   /** Records that `entry` has requested a slot with the claim `id`. */
-  noteAsk(entry: string, id: number, now: number): SlotDecision[] {
-    const { decisions } = this.#hear(entry, processOf(id), now);
+  noteRequest(entry: string, id: number, now: number): SlotDecision[] {
+    const { decisions } = this.#noteMessage(entry, processOf(id), now);
     return decisions;
   }
 
   /** Applies a statement of `entry`. */
   takeStatement(entry: string, statement: SlotStatement, now: number): SlotDecision[] {
-    const { holder, decisions } = this.#hear(entry, statement.process, now);
+    const { holder, decisions } = this.#noteMessage(entry, statement.process, now);
     const idOf = (number: number) => tableId(entry, claimId(statement.process, number));
     const held = new Set(statement.held.map(idOf));
     const waiting = new Set(statement.waiting.map(idOf));
@@ -82,7 +82,7 @@
     return this.#table.forget(ids, now);
   }
 
-  #hear(entry: string, process: number, now: number): { holder: Holder; decisions: SlotDecision[] } {
+  #noteMessage(entry: string, process: number, now: number): { holder: Holder; decisions: SlotDecision[] } {
     const known = this.#holders.get(entry);
     if (known?.process === process) {
       known.heardAt = now;
--- a/src/systems/slot-search.ts
+++ b/src/systems/slot-search.ts
@@ -112,7 +112,7 @@
   }
 
   #choose(candidates: readonly SlotCandidate[], now: number): string[] {
-    const open = this.#inOrder(candidates.filter(({ id }) => this.#mayAsk(id, now)));
+    const open = this.#sortByCost(candidates.filter(({ id }) => this.#mayAsk(id, now)));
     const first = open.slice(0, Math.max(0, FIRST_ASKED - this.#pendingCount));
     const later = now < this.widensAt || this.#hasWidened ? [] : this.#widen(open.slice(first.length));
     return [...first, ...later].map(({ id }) => id);
@@ -126,7 +126,7 @@
   }
 
   /** Sorts candidates by cost, in random order among those of similar cost. */
-  #inOrder(candidates: readonly SlotCandidate[]): SlotCandidate[] {
+  #sortByCost(candidates: readonly SlotCandidate[]): SlotCandidate[] {
     const costs = new Map(
       candidates.map((one) => [one, one.cost + one.spread * this.#random.fraction()] as const),
     );
--- a/src/systems/slot-table.ts
+++ b/src/systems/slot-table.ts
@@ -205,7 +205,7 @@
   }
 
   /** Handles the loss of the engine's state: refuses queued requests, and grants none until it is observed again. */
-  lose(): SlotDecision[] {
+  invalidate(): SlotDecision[] {
     const refused = this.refuseAll();
     this.#isServing = undefined;
     return refused;
@@ -291,13 +291,13 @@
     let next: SlotAsk | undefined;
     for (const ask of this.#waiting.values()) {
       if (ask.endsAt <= now) this.#waiting.delete(ask.id);
-      else if (next === undefined || goesBefore(ask, next)) next = ask;
+      else if (next === undefined || precedes(ask, next)) next = ask;
     }
     return next;
   }
 }
 
-function goesBefore(one: SlotAsk, other: SlotAsk): boolean {
+function precedes(one: SlotAsk, other: SlotAsk): boolean {
   if (one.urgency !== other.urgency) return one.urgency < other.urgency;
   return one.waitsSince < other.waitsSince;
 }
--- a/src/systems/store-readers.ts
+++ b/src/systems/store-readers.ts
@@ -8,9 +8,9 @@
 import { rendezvousOrder } from '../model/random.js';
 
 /** Maximum interval of messages from an entry that reads the store successfully: longest wait of a call, and latency. */
-const USUAL_NEWS = 1_000;
+const USUAL_NEWS_INTERVAL = 1_000;
 /** Silence after which the second entry of a zone reads: the usual interval plus the time to resend a lost packet. */
-const FIRST_TAKEOVER = USUAL_NEWS + 300;
+const FIRST_TAKEOVER = USUAL_NEWS_INTERVAL + 300;
 /** Each further entry waits this much longer, so that only one takes over if it can. */
 const TAKEOVER_STEP = 350;
 /** Entries beyond this step all read after the same time, so that none waits longer than the shortest bound of 2 s. */
--- a/src/systems/upload-limit.ts
+++ b/src/systems/upload-limit.ts
@@ -8,7 +8,7 @@
  */
 
 /** Maximum number of bytes of batches for entries in transit at the same time: 0.4 s of a link of 40 Mbit/s. */
-const MOST_BYTES = 2_000_000;
+const MAX_BYTES = 2_000_000;
 /**
  * Largest batch, in pieces, that is never refused: agents request no more at a time. Agents' links are narrow, so the
  * agents that an entry serves cannot saturate its link.
@@ -28,7 +28,7 @@
   begin(pieces: number, bytes: number): boolean {
     if (pieces <= SMALL_BATCH) return true;
     // A single batch is sent regardless of its size.
-    if (this.#bytes > 0 && this.#bytes + bytes > MOST_BYTES) return false;
+    if (this.#bytes > 0 && this.#bytes + bytes > MAX_BYTES) return false;
     this.#bytes += bytes;
     return true;
   }
--- a/src/weights/collection-duty.ts
+++ b/src/weights/collection-duty.ts
@@ -15,7 +15,7 @@
 import type { EngineAgentRow } from '../peers/engine-agents.js';
 import type { EntryReport, HeldPieces } from '../protocol/reports.js';
 import { holdsCopy, parentOf } from '../systems/copy-spread.js';
-import { drawOrder, drawPatience, QUICK_STAND_INS } from '../systems/origin-draw.js';
+import { drawDelay, drawOrder, QUICK_TAKEOVERS } from '../systems/origin-draw.js';
 import {
   type EntryHolding,
   entrySources,
@@ -182,7 +182,7 @@
     const held = library.open(manifest);
     collection.held = held;
     // All others wait for the manifest of whoever draws.
-    onHeldChanged(this.#place(collection).overall <= QUICK_STAND_INS);
+    onHeldChanged(this.#place(collection).overall <= QUICK_TAKEOVERS);
     collection.fetcher = new PieceFetcher({
       held,
       library,
@@ -213,7 +213,7 @@
     const { library, objects } = this.#options;
     const { version, begunAt } = collection;
     const age = () => performance.now() - begunAt;
-    const mayAskOrigin = () => age() >= drawPatience(this.#place(collection).overall);
+    const mayAskOrigin = () => age() >= drawDelay(this.#place(collection).overall);
     const mayAskObjects = () => age() >= this.#place(collection).inZone * STAND_IN_PATIENCE;
     return findManifest(
       version,
@@ -316,7 +316,7 @@
     const collection = this.#collections.get(keyOf(held.manifest));
     if (collection === undefined) return;
     const place = this.#place(collection).overall;
-    this.#options.onHeldChanged(place <= QUICK_STAND_INS);
+    this.#options.onHeldChanged(place <= QUICK_TAKEOVERS);
     if (place === 0) void this.#putParts(collection, held, collection.stopped.signal);
   }
 
--- a/test/forwarding/restart-order.test.ts
+++ b/test/forwarding/restart-order.test.ts
@@ -389,7 +389,7 @@
           if (one.type === 'ask')
             table.ask({ id, urgency: 0, waitsSince: now, endsAt: now + 400, slots: 4 }, now);
           else if (one.type === 'release') table.release(id, now);
-          else if (one.type === 'lose') table.lose();
+          else if (one.type === 'lose') table.invalidate();
           else if (one.type === 'observe') table.observe({ start, ...one }, now);
           else {
             table.observe({ start: ++start, isServing: false, load: 0 }, now);
--- a/test/peers/entry-peers.test.ts
+++ b/test/peers/entry-peers.test.ts
@@ -213,14 +213,14 @@
 it('an entry takes in how many the others know, and forgets none that it does not hear any more', async () => {
   const [seed, one, silent] = await Promise.all([freeAddress(), freeAddress(), freeAddress()]);
   const first = await startEntry('one', one, [seed, silent, one]);
-  expect(first.known()).toEqual({ known: 3, hasHeardMostSeeds: false });
+  expect(first.known()).toEqual({ known: 3, hasSeedMajority: false });
   const hub = await startEntry('seed', seed, []);
-  expect(hub.known().hasHeardMostSeeds).toBe(true);
+  expect(hub.known().hasSeedMajority).toBe(true);
   await until(() => first.live().length === 1, 'the first to hear the seed');
-  expect(first.known()).toEqual({ known: KNOWN_ELSEWHERE, hasHeardMostSeeds: true });
+  expect(first.known()).toEqual({ known: KNOWN_ELSEWHERE, hasSeedMajority: true });
   await hub.stop();
   await until(() => first.live().length === 0, 'the first to hear nobody');
-  expect(first.known()).toEqual({ known: KNOWN_ELSEWHERE, hasHeardMostSeeds: true });
+  expect(first.known()).toEqual({ known: KNOWN_ELSEWHERE, hasSeedMajority: true });
 });
 
 describe.each(['zone-a', 'zone-b'])('entries in zone-a and %s', (zone) => {
--- a/test/systems/address-gossip.test.ts
+++ b/test/systems/address-gossip.test.ts
@@ -1,7 +1,7 @@
 /** Tests that entries that start at the same time learn each other's addresses without broadcasting all of them. */
 import { describe, expect, it } from 'vitest';
 import { seededRandom } from '../../src/model/random.js';
-import { toldInTurn, toldOfNew } from '../../src/systems/address-gossip.js';
+import { recipientsOfAllAddresses, recipientsOfNewAddress } from '../../src/systems/address-gossip.js';
 
 const ENTRIES = 100;
 
@@ -9,15 +9,15 @@
 function spread(first: number, seed: number): { known: number; messages: number } {
   const random = seededRandom(seed);
   const knows = new Set(Array.from({ length: first }, (_, entry) => entry));
-  const untold = [...knows];
+  const pending = [...knows];
   let messages = 0;
-  for (let entry = untold.shift(); entry !== undefined; entry = untold.shift()) {
+  for (let entry = pending.shift(); entry !== undefined; entry = pending.shift()) {
     const others = Array.from({ length: ENTRIES }, (_, other) => other).filter((other) => other !== entry);
-    for (const other of toldOfNew(others, random)) {
+    for (const other of recipientsOfNewAddress(others, random)) {
       messages++;
       if (knows.has(other)) continue;
       knows.add(other);
-      untold.push(other);
+      pending.push(other);
     }
   }
   return { known: knows.size, messages };
@@ -33,14 +33,16 @@
 
   it('sends addresses to all entries if there are few', () => {
     const others = [1, 2, 3, 4, 5, 6];
-    expect(toldOfNew(others, seededRandom(1))).toEqual(others);
-    expect(toldInTurn(others, seededRandom(1))).toEqual(others);
+    expect(recipientsOfNewAddress(others, seededRandom(1))).toEqual(others);
+    expect(recipientsOfAllAddresses(others, seededRandom(1))).toEqual(others);
   });
 
   it('eventually sends all addresses to each entry, including those that missed a new one', () => {
     const random = seededRandom(5);
     const others = Array.from({ length: ENTRIES - 1 }, (_, other) => other);
-    const told = new Set(Array.from({ length: 400 }, () => toldInTurn(others, random)).flat());
-    expect(told.size).toBe(ENTRIES - 1);
+    const reached = new Set(
+      Array.from({ length: 400 }, () => recipientsOfAllAddresses(others, random)).flat(),
+    );
+    expect(reached.size).toBe(ENTRIES - 1);
   });
 });
--- a/test/systems/deadly-content.test.ts
+++ b/test/systems/deadly-content.test.ts
@@ -12,24 +12,24 @@
 const DEADLY = 'deadly';
 const THIRD = 3;
 /** Maximum number of sends after the third crash, without a time limit. */
-const MOST_RETRIES = 3;
+const MAX_RETRIES = 3;
 const DAY = 86_400_000;
 /** Time from a send to the crash of its back end, in milliseconds. */
 const TIME_TO_CRASH = 100;
 
 /** Reports other crashes shortly before or after a crash of the content. */
-type Beside = (poison: PoisonRequests, crashAt: number) => void;
+type ReportOtherCrashes = (poison: PoisonRequests, crashAt: number) => void;
 
-const nothing: Beside = () => {};
+const nothing: ReportOtherCrashes = () => {};
 
 /**
  * Sends the content every `interval` milliseconds, if permitted, for a day or until the maximum is exceeded; returns the
  * number of sends.
  */
-function sendsInADay(interval: number, beside: Beside = nothing): number {
+function sendsInADay(interval: number, beside: ReportOtherCrashes = nothing): number {
   const poison = new PoisonRequests(() => 0);
   let sends = 0;
-  for (let now = 0; now < DAY && sends <= THIRD + MOST_RETRIES; now += interval) {
+  for (let now = 0; now < DAY && sends <= THIRD + MAX_RETRIES; now += interval) {
     const decision = poison.decide(DEADLY, now);
     if (decision.type === 'quarantined') continue;
     if (decision.type === 'trial') poison.noteTrial(DEADLY, now);
@@ -43,17 +43,17 @@
 
 describe('a content that always crashes back ends', () => {
   it('is sent at most three times more after the third crash, however long its callers repeat it', () => {
-    expect(sendsInADay(500)).toBeLessThanOrEqual(THIRD + MOST_RETRIES);
+    expect(sendsInADay(500)).toBeLessThanOrEqual(THIRD + MAX_RETRIES);
   });
 
   it('is sent at most three times more after the third crash if it is sent rarely', () => {
-    expect(sendsInADay(70_000)).toBeLessThanOrEqual(THIRD + MOST_RETRIES);
+    expect(sendsInADay(70_000)).toBeLessThanOrEqual(THIRD + MAX_RETRIES);
   });
 
   it('is sent at most three times more after the third crash if other back ends crash at the same moments', () => {
-    const sameMoment: Beside = (poison, at) =>
+    const sameMoment: ReportOtherCrashes = (poison, at) =>
       poison.noteCrash({ backEnd: `other ${at}`, at: at - 20, suspects: [`unlucky ${at}`] });
-    expect(sendsInADay(500, sameMoment)).toBeLessThanOrEqual(THIRD + MOST_RETRIES);
+    expect(sendsInADay(500, sameMoment)).toBeLessThanOrEqual(THIRD + MAX_RETRIES);
   });
 
   it('is sent at most three times more after the third crash, whatever else crashes and however often it is sent', () => {
@@ -61,12 +61,12 @@
     const distances = fc.array(fc.integer({ min: -200, max: 200 }), { maxLength: 4 });
     fc.assert(
       fc.property(interval, distances, (every, others) => {
-        const beside: Beside = (poison, at) =>
+        const beside: ReportOtherCrashes = (poison, at) =>
           others.forEach((distance, index) => {
             const crash = { backEnd: `other ${at} ${index}`, at: at + distance, suspects: [`unlucky ${at}`] };
             poison.noteCrash(crash);
           });
-        return sendsInADay(every, beside) <= THIRD + MOST_RETRIES;
+        return sendsInADay(every, beside) <= THIRD + MAX_RETRIES;
       }),
       { seed: 36, numRuns: 40 },
     );
--- a/test/systems/drain-schedule.test.ts
+++ b/test/systems/drain-schedule.test.ts
@@ -15,8 +15,8 @@
 describe('a drain', () => {
   it('has no end before the order to stop, and a second order does not move the end', () => {
     const drain = new DrainSchedule({ graceTime: GRACE_TIME, addressLifetime: LIFETIME });
-    expect(drain.canEnd(ORDERED_AT, 60_000)).toBe(true);
-    expect(drain.takesConnections(ORDERED_AT, 60_000)).toBe(true);
+    expect(drain.canComplete(ORDERED_AT, 60_000)).toBe(true);
+    expect(drain.acceptsConnections(ORDERED_AT, 60_000)).toBe(true);
     drain.begin(ORDERED_AT);
     const { endsAt } = drain;
     expect(endsAt).toBeLessThan(ORDERED_AT + GRACE_TIME);
@@ -26,30 +26,30 @@
 
   it('permits only requests that complete before it ends', () => {
     const drain = ordered();
-    expect(drain.canEnd(ORDERED_AT + 3_000, drain.endsAt - ORDERED_AT - 3_000)).toBe(true);
-    expect(drain.canEnd(ORDERED_AT + 3_000, drain.endsAt - ORDERED_AT - 2_999)).toBe(false);
+    expect(drain.canComplete(ORDERED_AT + 3_000, drain.endsAt - ORDERED_AT - 3_000)).toBe(true);
+    expect(drain.canComplete(ORDERED_AT + 3_000, drain.endsAt - ORDERED_AT - 2_999)).toBe(false);
   });
 
   it('accepts connections for the address lifetime, and three times as long while requests arrive', () => {
     const drain = ordered();
-    expect(drain.takesConnections(ORDERED_AT + LIFETIME - 1, 60_000)).toBe(true);
-    expect(drain.takesConnections(ORDERED_AT + LIFETIME, 60_000)).toBe(false);
-    expect(drain.takesConnections(ORDERED_AT + 3 * LIFETIME - 1, 10)).toBe(true);
-    expect(drain.takesConnections(ORDERED_AT + 3 * LIFETIME, 10)).toBe(false);
+    expect(drain.acceptsConnections(ORDERED_AT + LIFETIME - 1, 60_000)).toBe(true);
+    expect(drain.acceptsConnections(ORDERED_AT + LIFETIME, 60_000)).toBe(false);
+    expect(drain.acceptsConnections(ORDERED_AT + 3 * LIFETIME - 1, 10)).toBe(true);
+    expect(drain.acceptsConnections(ORDERED_AT + 3 * LIFETIME, 10)).toBe(false);
   });
 
   it('permits no requests once it is finished, even before its latest end', () => {
     const drain = ordered();
     drain.finish(ORDERED_AT + 1_500);
-    expect(drain.canEnd(ORDERED_AT + 1_510, 1)).toBe(false);
-    expect(drain.takesConnections(ORDERED_AT + 1_510, 10)).toBe(false);
+    expect(drain.canComplete(ORDERED_AT + 1_510, 1)).toBe(false);
+    expect(drain.acceptsConnections(ORDERED_AT + 1_510, 10)).toBe(false);
   });
 
   it('accepts no connections after its end, however long the address lifetime', () => {
     const drain = new DrainSchedule({ graceTime: GRACE_TIME, addressLifetime: 60_000 });
     drain.begin(ORDERED_AT);
-    expect(drain.takesConnections(drain.endsAt - 1, 10)).toBe(true);
-    expect(drain.takesConnections(drain.endsAt, 10)).toBe(false);
+    expect(drain.acceptsConnections(drain.endsAt - 1, 10)).toBe(true);
+    expect(drain.acceptsConnections(drain.endsAt, 10)).toBe(false);
   });
 });
 
--- a/test/systems/entry-retry-window.test.ts
+++ b/test/systems/entry-retry-window.test.ts
@@ -30,7 +30,7 @@
 describe('the budget that was reported (84f9ecc)', () => {
   it('let 42 entries together exceed the limit, each within its own', () => {
     // The budget of that commit: 0.75 of the share earned by each request, and at most a 16th of the slack saved up.
-    const reported = () => new RetryBudget({ earnedByRequest: 0.15, savedAtMost: LIMITS.slack / 16 });
+    const reported = () => new RetryBudget({ earnedPerRequest: 0.15, maxSaved: LIMITS.slack / 16 });
     const fleet = new RetryFleet(LIMITS, ENTRIES, 1, reported);
     // The 4,013 requests in the reported span are 95.5 per entry; every fourth is refused by engines.
     for (let index = 0; index < 95; index++) {
@@ -54,7 +54,7 @@
 
   it('stay within the limit if every entry keeps running and is partitioned from the others', () => {
     const fleet = new RetryFleet(LIMITS, ENTRIES, 3);
-    for (let entry = 0; entry < ENTRIES; entry++) fleet.hear(entry, true);
+    for (let entry = 0; entry < ENTRIES; entry++) fleet.setPartitioned(entry, true);
     repeatAll(fleet, LATER);
     expect(fleet.worstExcess()).toBeLessThanOrEqual(0);
   });
@@ -118,7 +118,7 @@
           const end = Math.min(size, first + Math.ceil((countPercent * size) / 100));
           for (let entry = first; entry < end; entry++) {
             for (let index = 0; index < requests; index++) fleet.request(entry, now);
-            happen(fleet, entry, event, now);
+            applyEvent(fleet, entry, event, now);
             fleet.repeat(entry, wanted, now);
           }
         }
@@ -129,8 +129,8 @@
   });
 });
 
-function happen(fleet: RetryFleet, entry: number, event: string, now: number): void {
+function applyEvent(fleet: RetryFleet, entry: number, event: string, now: number): void {
   const views: Record<string, View> = { restart: 'all', restartCut: 'cutFromStart' };
   if (event in views) fleet.restart(entry, now, views[event]);
-  if (event === 'cut' || event === 'heal') fleet.hear(entry, event === 'cut');
+  if (event === 'cut' || event === 'heal') fleet.setPartitioned(entry, event === 'cut');
 }
--- a/test/systems/poison-requests.test.ts
+++ b/test/systems/poison-requests.test.ts
@@ -1,7 +1,7 @@
 /** Tests that contents that crash back ends are distinguished from those that merely ran at the same time. */
 import fc from 'fast-check';
 import { describe, expect, it } from 'vitest';
-import { type BackEndCrash, MOST_SUSPECTS, PoisonRequests } from '../../src/systems/poison-requests.js';
+import { type BackEndCrash, MAX_SUSPECTS, PoisonRequests } from '../../src/systems/poison-requests.js';
 
 const FIRST_QUARANTINE = 10_000;
 /** Time between two consecutive crashes caused by one request, in milliseconds. */
@@ -145,16 +145,13 @@
     const poison = blamed();
     for (let index = 0; index < 5_000; index++) {
       const at = 2 * APART + index;
-      const suspects = Array.from(
-        { length: 2 * MOST_SUSPECTS },
-        (_, suspect) => `random ${index} ${suspect}`,
-      );
+      const suspects = Array.from({ length: 2 * MAX_SUSPECTS }, (_, suspect) => `random ${index} ${suspect}`);
       poison.noteCrash(crashOf(`c${index}`, at, ...suspects));
     }
     expect(poison.decide('deadly', 9_999).type).toBe('quarantined');
     const crashes = poison.crashes();
     expect(crashes.length).toBeLessThanOrEqual(500);
-    for (const { suspects } of crashes) expect(suspects.length).toBeLessThanOrEqual(MOST_SUSPECTS);
+    for (const { suspects } of crashes) expect(suspects.length).toBeLessThanOrEqual(MAX_SUSPECTS);
   });
 
   it('lead to the same decisions at an entry that starts later', () => {
--- a/test/systems/retry-fleet.ts
+++ b/test/systems/retry-fleet.ts
@@ -64,7 +64,7 @@
   }
 
   /** Disconnects a running entry from the others, or connects it again. */
-  hear(entry: number, isCut: boolean): void {
+  setPartitioned(entry: number, isCut: boolean): void {
     const view = this.#views[entry];
     if (view !== 'cutFromStart') this.#views[entry] = isCut ? 'cutLater' : 'all';
   }
@@ -101,8 +101,8 @@
 
   #known(entry: number): EntriesKnown {
     const isCut = this.#views[entry] === 'cutFromStart';
-    if (!isCut) return { known: this.size, hasHeardMostSeeds: true };
-    return { known: Math.min(this.size, SEEDS + 1), hasHeardMostSeeds: this.size === 1 };
+    if (!isCut) return { known: this.size, hasSeedMajority: true };
+    return { known: Math.min(this.size, SEEDS + 1), hasSeedMajority: this.size === 1 };
   }
 }
 
--- a/test/systems/slot-holders.test.ts
+++ b/test/systems/slot-holders.test.ts
@@ -21,7 +21,7 @@
 
   ask(entry: string, number: number, now: number, process = PROCESS): SlotDecision[] {
     const id = claimId(process, number);
-    const freed = this.holders.noteAsk(entry, id, now);
+    const freed = this.holders.noteRequest(entry, id, now);
     const ask = { id: tableId(entry, id), urgency: 0, waitsSince: now, endsAt: 60_000, slots: this.slots };
     return [...freed, ...this.table.ask(ask, now)];
   }
--- a/test/systems/slot-table.test.ts
+++ b/test/systems/slot-table.test.ts
@@ -32,7 +32,7 @@
     expect(table.ask(ask('d'), 20).at(-1)?.type).toBe('granted');
     expect(table.ask(ask('e'), 20).at(-1)?.type).toBe('queued');
     // An engine that does not answer for some time, or does not report its start, has not necessarily restarted.
-    table.lose();
+    table.invalidate();
     table.observe({ isServing: true, load: 2 }, 30);
     table.observe({ start: 200, isServing: true, load: 2 }, 40);
     expect(table.figures.granted).toBe(2);
@@ -116,7 +116,7 @@
   it('are granted again once an engine answers its agent again', () => {
     const table = servingTable();
     for (const id of ['a', 'b', 'c']) table.ask(ask(id), 0);
-    expect(table.lose()).toEqual([{ type: 'refused', id: 'c' }]);
+    expect(table.invalidate()).toEqual([{ type: 'refused', id: 'c' }]);
     expect(table.ask(ask('d'), 10)).toEqual([{ type: 'unready', id: 'd' }]);
     table.observe({ isServing: true, load: 2 }, 20);
     expect(granted(table.release('a', 30))).toEqual([]);
--- a/test/weights/weights.test.ts
+++ b/test/weights/weights.test.ts
@@ -7,7 +7,7 @@
 import { failure, success } from '../../src/model/result.js';
 import { silentLog } from '../../src/observability/log.js';
 import type { EngineReport, WeightsPlan } from '../../src/protocol/reports.js';
-import { drawPatience } from '../../src/systems/origin-draw.js';
+import { drawDelay } from '../../src/systems/origin-draw.js';
 import { EngineLoader } from '../../src/weights/engine-loader.js';
 import { HeldWeights, type PieceManifest, WeightsLibrary } from '../../src/weights/held-weights.js';
 import { PieceFetcher } from '../../src/weights/piece-fetcher.js';
@@ -58,8 +58,8 @@
 
 describe('draws from the origin', () => {
   it('pass to the next three entries soon when no piece comes, to the others later', () => {
-    expect([0, 1, 2, 3].map(drawPatience)).toEqual([0, 300, 600, 900]);
-    expect(drawPatience(4) - drawPatience(3)).toBeGreaterThan(1_000);
+    expect([0, 1, 2, 3].map(drawDelay)).toEqual([0, 300, 600, 900]);
+    expect(drawDelay(4) - drawDelay(3)).toBeGreaterThan(1_000);
   });
 });
 
--- a/tools/guard-table.mjs
+++ b/tools/guard-table.mjs
@@ -150,15 +150,15 @@
   {
     fault: 'all that step in as the origin returns draw as much as the first',
     file: 'src/systems/origin-draw.ts',
-    find: 'parallel: place === 0 ? FIRST_PARALLEL : STAND_IN_PARALLEL,',
+    find: 'parallel: place === 0 ? FIRST_PARALLEL : TAKEOVER_PARALLEL,',
     replace: 'parallel: FIRST_PARALLEL,',
     test: 'test/systems/origin-draw.test.ts',
   },
   {
     fault: 'a narrow link draws a version while a wide one is there',
     file: 'src/systems/origin-draw.ts',
-    find: 'return byChance.sort((one, other) => classOf.get(other)! - classOf.get(one)!);',
-    replace: 'return byChance;',
+    find: 'return byHash.sort((one, other) => classOf.get(other)! - classOf.get(one)!);',
+    replace: 'return byHash;',
     test: 'test/systems/origin-draw.test.ts',
   },
   {
@@ -293,7 +293,7 @@
   {
     fault: 'trials of a content have no end',
     file: 'src/systems/poison-requests.ts',
-    find: 'this.trialsOf(fingerprint) >= MOST_TRIALS',
+    find: 'this.trialsOf(fingerprint) >= MAX_TRIALS',
     replace: 'false',
     test: 'test/systems/poison-requests.test.ts',
   },
@@ -820,8 +820,8 @@
   {
     fault: 'a request that comes again is refused although capacity is in sight',
     file: 'src/systems/capacity-wait.ts',
-    find: 'if (caller.comesAgain) return soonest < heldUntil;',
-    replace: 'if (caller.comesAgain) return false;',
+    find: 'if (caller.isRetry) return earliest < heldUntil;',
+    replace: 'if (caller.isRetry) return false;',
     test: 'test/forwarding/capacity.test.ts',
   },
   {
@@ -890,14 +890,14 @@
   {
     fault: 'an entry that starts again has a fresh part of the slack',
     file: 'src/systems/entry-retry-window.ts',
-    find: 'hasHeardMostSeeds && now >= slackFrom',
-    replace: 'hasHeardMostSeeds',
+    find: 'hasSeedMajority && now >= slackFrom',
+    replace: 'hasSeedMajority',
     test: 'test/systems/entry-retry-window.test.ts',
   },
   {
     fault: 'an entry that has heard nobody takes the slack of all',
     file: 'src/systems/entry-retry-window.ts',
-    find: 'hasHeardMostSeeds && now >= slackFrom',
+    find: 'hasSeedMajority && now >= slackFrom',
     replace: 'now >= slackFrom',
     test: 'test/systems/entry-retry-window.test.ts',
   },
@@ -939,7 +939,7 @@
   {
     fault: 'long requests are taken for short ones while only short ones have ended',
     file: 'src/systems/longest-durations.ts',
-    find: ' || now - both[0].since < limit',
+    find: ' || now - periods[0].since < limit',
     replace: '',
     test: 'test/systems/longest-durations.test.ts',
   },
@@ -1086,7 +1086,7 @@
   {
     fault: 'callers are told to come back before an engine can serve them',
     file: 'src/systems/capacity-wait.ts',
-    find: 'return soonest <= latestByReturn(caller, heldUntil);',
+    find: 'return earliest <= latestStartByRetry(caller, heldUntil);',
     replace: 'return false;',
     test: 'test/simulation/outage.test.ts',
   },
@@ -1107,7 +1107,7 @@
   {
     fault: 'an entry sends weights to all others of its zone at the same time',
     file: 'src/systems/upload-limit.ts',
-    find: 'if (this.#bytes > 0 && this.#bytes + bytes > MOST_BYTES) return false;',
+    find: 'if (this.#bytes > 0 && this.#bytes + bytes > MAX_BYTES) return false;',
     replace: '',
     test: 'test/simulation/spread.test.ts',
   },
@@ -1128,7 +1128,7 @@
   {
     fault: 'requests wait for engines that are put off again and again',
     file: 'src/systems/capacity-forecast.ts',
-    find: 'return expectedAt - this.#earliest <= MOST_PUT_OFF;',
+    find: 'return expectedAt - this.#earliest <= MAX_POSTPONEMENT;',
     replace: 'return true;',
     test: 'test/systems/capacity-forecast.test.ts',
   },
