--- a/src/forwarding/completion-estimate.ts
+++ b/src/forwarding/completion-estimate.ts
@@ -43,7 +43,7 @@
     const sentAt = now + wait;
     const timeLeft = this.#deadline - sentAt;
     const expected = durations.expected(this.#route, this.#answerTokens, timeLeft, now) ?? timeLeft;
-    return drain.canEnd(sentAt, Math.min(timeLeft, expected));
+    return drain.canComplete(sentAt, Math.min(timeLeft, expected));
   }
 
   /** Records that an attempt is sent. */
--- a/src/forwarding/forwarded-request.ts
+++ b/src/forwarding/forwarded-request.ts
@@ -13,7 +13,7 @@
 import type { IncomingMessage, ServerResponse } from 'node:http';
 import type { Readable } from 'node:stream';
 import type { Standstills } from '../model/standstills.js';
-import { latestBegin } from '../systems/capacity-wait.js';
+import { latestStart } from '../systems/capacity-wait.js';
 import type { Fingerprint } from '../systems/poison-requests.js';
 import { type AdmittedRequest, admit, headersToSend, type RejectedRequest } from './admitted-request.js';
 import {
@@ -530,7 +530,7 @@
   /** Whether another back end may resume an answer that has begun before the caller loses patience. */
   #canResumeLater(): boolean {
     const { route, timing } = this.#admitted;
-    const latest = latestBegin(this.#answer.forwardedAt, timing.deadline, route.patience);
+    const latest = latestStart(this.#answer.forwardedAt, timing.deadline, route.patience);
     if (performance.now() + SEARCH_INTERVAL > latest) return false;
     return (
       this.#policy.mayRunAgain && this.#components.selector.mayBecomeEligible(this.#policy.requirements())
--- a/src/forwarding/poison-guard.ts
+++ b/src/forwarding/poison-guard.ts
@@ -167,7 +167,7 @@
   /** The crashes that current quarantines are based on, to send on a new connection. */
   allNews(): PoisonNews[] {
     const now = performance.now();
-    return this.#requests.blamedCrashes().map((crash) => newsOf(crash, now));
+    return this.#requests.crashesOfQuarantined().map((crash) => newsOf(crash, now));
   }
 
   /** The strictest of the decisions on its fingerprints, because each fingerprint identifies the whole content. */
--- a/src/forwarding/request-timing.ts
+++ b/src/forwarding/request-timing.ts
@@ -4,7 +4,7 @@
  * end as long as it can still be served before its deadline. Times are in milliseconds of the monotonic clock.
  */
 import type { Route } from '../fleet/configuration.js';
-import { latestBegin, waitsForCapacity } from '../systems/capacity-wait.js';
+import { latestStart, shouldWaitForCapacity } from '../systems/capacity-wait.js';
 
 /**
  * Maximum wait at a back end before it starts a request, in milliseconds. For a slot of an engine, retries of callers and
@@ -93,7 +93,7 @@
     const { arrivedAt, deadline: endsAt } = this;
     const { patience } = this.#route;
     const comesAgain = this.isCallerRetry;
-    return waitsForCapacity({ arrivedAt, endsAt, patience, comesAgain }, now, now + capacityIn);
+    return shouldWaitForCapacity({ arrivedAt, endsAt, patience, isRetry: comesAgain }, now, now + capacityIn);
   }
 
   /**
@@ -108,7 +108,7 @@
 
   /** Latest time at which a back end may start the request. */
   get latestBegin(): number {
-    return latestBegin(this.arrivedAt, this.deadline, this.#route.patience);
+    return latestStart(this.arrivedAt, this.deadline, this.#route.patience);
   }
 
   /**
--- a/src/forwarding/retry-after.ts
+++ b/src/forwarding/retry-after.ts
@@ -1,6 +1,6 @@
 /** Values of `Retry-After` for requests that have not run, in seconds. */
 import type { Random } from '../model/random.js';
-import { LONGEST_RETURN } from '../systems/capacity-wait.js';
+import { MAX_RETRY_DELAY } from '../systems/capacity-wait.js';
 import type { BackEndSelector } from './back-end-selector.js';
 
 /**
@@ -23,5 +23,5 @@
   const capacity = selector.timeToCapacity(service) ?? 0;
   const minDelay = RETRY_DELAY * (1 + random.fraction());
   const delay = Math.max(minDelay + capacity, selector.requestInterval(service));
-  return Math.min(LONGEST_RETURN, delay) / MILLISECONDS;
+  return Math.min(MAX_RETRY_DELAY, delay) / MILLISECONDS;
 }
--- a/src/peers/slot-server.ts
+++ b/src/peers/slot-server.ts
@@ -81,7 +81,7 @@
   /** Applies the engine's state; undefined if the engine did not answer. */
   observe(engine: ObservedEngine | undefined): void {
     this.#sendDecisions(
-      engine === undefined ? this.#table.lose() : this.#table.observe(engine, performance.now()),
+      engine === undefined ? this.#table.invalidate() : this.#table.observe(engine, performance.now()),
     );
     const { figures } = this;
     if (figures.granted > 0 || figures.waiting > 0) this.#log.info('slots', figures);
@@ -105,7 +105,7 @@
       return this.#sendDecisions(this.#holders.takeStatement(from, message, now));
     if (message.type !== 'slotAsked') return;
     const { id, urgency, waitedFor, patience, slots, rateLimit } = message;
-    this.#sendDecisions(this.#holders.noteAsk(from, id, now));
+    this.#sendDecisions(this.#holders.noteRequest(from, id, now));
     const ask = {
       id: tableId(from, id),
       urgency,
--- a/src/systems/distribution/coordinator.ts
+++ b/src/systems/distribution/coordinator.ts
@@ -1,7 +1,8 @@
 /**
- * The coordinator of a burst: it knows who takes part, rations the draws from the origin, and lets each chunk
- * cross into each region once. Two coordinators at the same time cost bytes, never correctness, so the duty
- * needs no lease: machines choose the entry by rendezvous hash among those they reach.
+ * Coordinator of a burst, that is, of many machines that load the same model version at the same time. It tracks the
+ * members, limits concurrent fetches from the origin, and has each chunk transferred into each region once. Two
+ * coordinators at the same time cause extra transfers but no errors, so no lease is needed: each machine picks the
+ * coordinating entry by rendezvous hash among the entries it can reach.
  *
  * @example
  * ```ts
@@ -18,40 +19,40 @@
 
 /** Limits of a coordinator. Durations are in milliseconds. */
 export interface CoordinatorLimits {
-  /** Neighbours that a joining machine is told of. */
+  /** Number of neighbours assigned to a joining machine. */
   neighbourDegree: number;
-  /** Draws from the origin that are open at the same time, over all machines. */
-  originDraws: number;
-  /** Grants that one machine holds at the same time. */
+  /** Concurrent fetches from the origin, over all machines. */
+  maxOriginFetches: number;
+  /** Concurrent grants held by one machine. */
   grantsPerMember: number;
-  /** Grants that use one machine as their source at the same time. */
+  /** Concurrent grants that use one machine as their source. */
   servingPerMember: number;
   /**
-   * With more machines than this, `fastest` draws each chunk once, too: four copies instead of one shorten the
-   * bound by less than 1 in 100 there.
+   * Number of members above which the objective `fastest` also fetches each chunk from the origin only once: at that
+   * size, fetching four copies instead of one shortens the lower bound of the transfer time by less than 1 %.
    */
-  furtherDrawsUpTo: number;
-  /** A grant that has not ended by then is given to another machine. */
+  extraFetchMemberLimit: number;
+  /** Time after which a grant that has not ended is reassigned to another machine. */
   grantTimeout: number;
-  /** After a failed draw the origin is tried again after this time, doubled with each further failure. */
+  /** Delay before the origin is retried after a failed fetch; doubles with each further failure. */
   originBackoff: number;
-  /** Longest time between two tries of an origin that fails. */
+  /** Upper bound of the retry delay. */
   originBackoffCeiling: number;
 }
 
 /** Defaults, measured with `thistleway bench burst`; see docs/design/distribution.md. */
 export const DEFAULT_COORDINATOR_LIMITS: CoordinatorLimits = {
   neighbourDegree: 6,
-  originDraws: 16,
+  maxOriginFetches: 16,
   grantsPerMember: 8,
   servingPerMember: 2,
-  furtherDrawsUpTo: 300,
+  extraFetchMemberLimit: 300,
   grantTimeout: 25_000,
   originBackoff: 500,
   originBackoffCeiling: 15_000,
 };
 
-/** What a coordinator is created from. */
+/** Parameters of a coordinator. */
 export interface BurstCoordinatorInit {
   chunkCount: number;
   objective: Objective;
@@ -60,7 +61,7 @@
   random: Random;
 }
 
-/** One decision of a tick. */
+/** A command issued by a tick, to be sent to a member. */
 export type CoordinatorCommand =
   | { type: 'neighbours'; member: PeerId; peers: PeerInfo[] }
   | { type: 'grant'; member: PeerId; grant: Grant };
@@ -70,17 +71,17 @@
   readonly members = new Map<PeerId, MemberRow>();
   readonly #regions = new Map<string, RegionRow>();
   readonly #grants = new Map<number, GrantRow>();
-  /** Chunks that no machine is known to have, in the order in which they are drawn. */
-  #undrawn: number[];
-  /** Entries into regions that wait for a source or a machine with room. */
-  #crossings: Array<{ region: RegionRow; chunk: number }> = [];
-  /** For each chunk, the members known to have it. */
+  /** Chunks that no member is known to have, in the order in which they are fetched from the origin. */
+  #unfetched: number[];
+  /** Chunks to be transferred into a region that wait for a source or a member with spare capacity. */
+  #pendingRegionSeeds: Array<{ region: RegionRow; chunk: number }> = [];
+  /** Members known to have each chunk, indexed by chunk. */
   readonly #holders: PeerId[][];
-  #originDrawsOpen = 0;
-  /** Draws that failed since the last one that succeeded. */
+  #openOriginFetches = 0;
+  /** Failed origin fetches since the last successful one. */
   #originFailures = 0;
   #originRetryAt = 0;
-  #joined = 0;
+  #joinCount = 0;
   #nextGrantId = 1;
   #now = 0;
   #commands: CoordinatorCommand[] = [];
@@ -88,21 +89,21 @@
 
   constructor(init: BurstCoordinatorInit) {
     this.#init = init;
-    this.#undrawn = Array.from({ length: init.chunkCount }, (_, chunk) => chunk);
-    this.#holders = this.#undrawn.map(() => []);
+    this.#unfetched = Array.from({ length: init.chunkCount }, (_, chunk) => chunk);
+    this.#holders = this.#unfetched.map(() => []);
   }
 
-  /** A machine joins with the chunks that it has, at first or after its coordinator changed. */
+  /** Adds a machine with the chunks it already has. Machines also rejoin when their coordinator has changed. */
   onJoin(info: PeerInfo, have: ChunkSet): void {
     if (this.members.has(info.id)) this.onLeave(info.id);
     const member: MemberRow = {
       info,
-      joinIndex: this.#joined++,
+      joinIndex: this.#joinCount++,
       known: have,
       have: have.size,
       degree: 0,
       grants: 0,
-      grantsEver: 0,
+      totalGrants: 0,
       serving: 0,
     };
     const { strategy, limits, random } = this.#init;
@@ -116,7 +117,7 @@
     for (const chunk of have.values()) this.#markPresent(region, chunk, info.id);
   }
 
-  /** A machine is gone: its grants are given to others. */
+  /** Removes a machine and reassigns its grants. */
   onLeave(id: PeerId): void {
     const member = this.members.get(id);
     if (member === undefined) return;
@@ -128,20 +129,20 @@
     }
   }
 
-  /** A machine tells how many chunks it has, and which ones nobody offers it. */
+  /** Handles a progress report: the number of chunks a machine has, and the chunks that none of its neighbours offers. */
   onReport(id: PeerId, have: number, starving: readonly number[]): void {
     const member = this.members.get(id);
     if (member === undefined) return;
     member.have = have;
     if (this.#init.strategy !== 'swarm') return;
-    for (const chunk of starving) this.#relieve(member, chunk);
+    for (const chunk of starving) this.#grantStarvingChunk(member, chunk);
   }
 
-  /** A grant has ended. `chunk` tells which one was taken where the machine could choose. */
+  /** Handles the end of a grant. `chunk` is the chunk that was fetched, which the machine may have chosen itself. */
   onGrantEnded(id: PeerId, grantId: number, chunk: number | undefined, succeeded: boolean): void {
     const grant = this.#grants.get(grantId);
     if (grant === undefined || grant.member !== id) return;
-    if (grant.source.type === 'origin') this.#noteDraw(succeeded);
+    if (grant.source.type === 'origin') this.#recordOriginFetch(succeeded);
     this.#endGrant(grant, succeeded, chunk);
   }
 
@@ -153,26 +154,26 @@
     return this.members.size > 0;
   }
 
-  /** True when a tick would do nothing: every member is complete and no decision waits to be sent. */
+  /** True when a tick would do nothing: every member is complete and no command or grant is pending. */
   get idle(): boolean {
     return this.complete && this.#commands.length === 0 && this.#grants.size === 0;
   }
 
-  /** Grants what the limits allow; `now` is in milliseconds. */
+  /** Expires overdue grants and issues new ones within the limits; `now` is in milliseconds. */
   tick(now: number): CoordinatorCommand[] {
     this.#now = now;
     for (const grant of [...this.#grants.values()]) {
       if (grant.deadline <= now) this.#expireGrant(grant);
     }
-    if (this.#init.strategy === 'swarm') this.#grantCrossings();
-    this.#grantDraws();
+    if (this.#init.strategy === 'swarm') this.#grantRegionSeeds();
+    this.#grantOriginFetches();
     const commands = this.#commands;
     this.#commands = [];
     return commands;
   }
 
   #expireGrant(grant: GrantRow): void {
-    if (grant.source.type === 'origin') this.#noteDraw(false);
+    if (grant.source.type === 'origin') this.#recordOriginFetch(false);
     this.#endGrant(grant, false);
   }
 
@@ -181,15 +182,15 @@
     if (region === undefined) {
       region = { region: name, members: new Set(), seeds: new Uint8Array(this.#init.chunkCount) };
       this.#regions.set(name, region);
-      this.#queueKnownChunks(region);
+      this.#queueSeedsForNewRegion(region);
     }
     return region;
   }
 
-  #queueKnownChunks(region: RegionRow): void {
+  #queueSeedsForNewRegion(region: RegionRow): void {
     for (let chunk = 0; chunk < this.#init.chunkCount; chunk++) {
       const elsewhere = [...this.#regions.values()].some((other) => other.seeds[chunk] === SeedState.Present);
-      if (elsewhere) this.#crossings.push({ region, chunk });
+      if (elsewhere) this.#pendingRegionSeeds.push({ region, chunk });
     }
   }
 
@@ -198,43 +199,43 @@
     if (region.seeds[chunk] === SeedState.Present) return;
     region.seeds[chunk] = SeedState.Present;
     for (const other of this.#regions.values()) {
-      if (other.seeds[chunk] === SeedState.Missing) this.#crossings.push({ region: other, chunk });
+      if (other.seeds[chunk] === SeedState.Missing) this.#pendingRegionSeeds.push({ region: other, chunk });
     }
   }
 
-  #grantCrossings(): void {
-    const waiting = this.#crossings;
-    this.#crossings = [];
-    for (const crossing of waiting) {
-      const { region, chunk } = crossing;
+  #grantRegionSeeds(): void {
+    const waiting = this.#pendingRegionSeeds;
+    this.#pendingRegionSeeds = [];
+    for (const pending of waiting) {
+      const { region, chunk } = pending;
       if (region.seeds[chunk] !== SeedState.Missing || region.members.size === 0) continue;
-      if (!this.#grantCrossing(region, chunk)) this.#crossings.push(crossing);
+      if (!this.#grantRegionSeed(region, chunk)) this.#pendingRegionSeeds.push(pending);
     }
   }
 
-  #grantCrossing(region: RegionRow, chunk: number): boolean {
+  #grantRegionSeed(region: RegionRow, chunk: number): boolean {
     const source = this.#bestSource(this.#liveHolders(chunk));
-    const member = this.#leastGranted(region);
+    const member = this.#leastGrantedMember(region);
     if (source === undefined || member === undefined) return false;
     region.seeds[chunk] = SeedState.Granted;
     this.#grant(member, chunk, { type: 'peer', peer: source.info });
     return true;
   }
 
-  #grantDraws(): void {
-    while (this.#originDrawsOpen < this.#drawsAllowed()) {
-      const granted = this.#grantFirstDraw() || this.#grantFurtherDraw();
+  #grantOriginFetches(): void {
+    while (this.#openOriginFetches < this.#allowedOriginFetches()) {
+      const granted = this.#grantFirstOriginFetch() || this.#grantExtraOriginFetch();
       if (!granted) return;
     }
   }
 
-  /** An origin that fails is tried with one draw at a time, less and less often. */
-  #drawsAllowed(): number {
-    if (this.#originFailures === 0) return this.#init.limits.originDraws;
+  /** Number of concurrent origin fetches allowed now. A failing origin is probed by one fetch at a time, with backoff. */
+  #allowedOriginFetches(): number {
+    if (this.#originFailures === 0) return this.#init.limits.maxOriginFetches;
     return this.#now < this.#originRetryAt ? 0 : 1;
   }
 
-  #noteDraw(succeeded: boolean): void {
+  #recordOriginFetch(succeeded: boolean): void {
     if (succeeded) {
       this.#originFailures = 0;
       return;
@@ -245,16 +246,16 @@
     this.#originRetryAt = this.#now + backoff;
   }
 
-  /** Draws a chunk that no machine has. */
-  #grantFirstDraw(): boolean {
+  /** Grants an origin fetch of a chunk that no member has. */
+  #grantFirstOriginFetch(): boolean {
     if (this.#init.strategy !== 'swarm') return false;
-    const chunk = this.#undrawn.shift();
+    const chunk = this.#unfetched.shift();
     if (chunk === undefined) return false;
-    if (this.#isPresentAnywhere(chunk)) return this.#grantFirstDraw();
-    const region = this.#leastSeededRegion();
-    const member = region === undefined ? undefined : this.#leastGranted(region);
+    if (this.#isPresentAnywhere(chunk)) return this.#grantFirstOriginFetch();
+    const region = this.#leastGrantedRegion();
+    const member = region === undefined ? undefined : this.#leastGrantedMember(region);
     if (region === undefined || member === undefined) {
-      this.#undrawn.unshift(chunk);
+      this.#unfetched.unshift(chunk);
       return false;
     }
     region.seeds[chunk] = SeedState.Granted;
@@ -262,12 +263,13 @@
     return true;
   }
 
-  /** Lets the machine that lags most draw a chunk of its choice, where the objective allows it. */
-  #grantFurtherDraw(): boolean {
+  /** Grants the slowest member an origin fetch of a chunk of its choice, if the objective allows it. */
+  #grantExtraOriginFetch(): boolean {
     const { objective, strategy, random } = this.#init;
-    // A machine that waits for a failing origin does not ask its peers for that chunk.
+    // While a machine waits for a failing origin, it does not request that chunk from its peers.
     if (this.#originFailures > 0 && strategy === 'swarm') return false;
-    const isWorthwhile = objective === 'fastest' && this.members.size <= this.#init.limits.furtherDrawsUpTo;
+    const isWorthwhile =
+      objective === 'fastest' && this.members.size <= this.#init.limits.extraFetchMemberLimit;
     if (strategy === 'swarm' && !isWorthwhile) return false;
     let best: MemberRow | undefined;
     let ties = 0;
@@ -291,15 +293,15 @@
     const deadline = this.#now + this.#init.limits.grantTimeout;
     this.#grants.set(grantId, { grantId, member: member.info.id, chunk, source, deadline });
     member.grants++;
-    member.grantsEver++;
-    if (source.type === 'origin') this.#originDrawsOpen++;
+    member.totalGrants++;
+    if (source.type === 'origin') this.#openOriginFetches++;
     else this.#sourceRow(source, (row) => row.serving++);
     this.#commands.push({ type: 'grant', member: member.info.id, grant: { grantId, chunk, source } });
   }
 
   #endGrant(grant: GrantRow, succeeded: boolean, taken = grant.chunk): void {
     this.#grants.delete(grant.grantId);
-    if (grant.source.type === 'origin') this.#originDrawsOpen--;
+    if (grant.source.type === 'origin') this.#openOriginFetches--;
     else this.#sourceRow(grant.source, (row) => row.serving--);
     const member = this.members.get(grant.member);
     if (member !== undefined) member.grants--;
@@ -308,16 +310,16 @@
       this.#markPresent(this.#regionOf(member.info.region), taken, member.info.id);
       return;
     }
-    if (grant.chunk !== undefined) this.#retrySeed(grant.chunk);
+    if (grant.chunk !== undefined) this.#requeueSeed(grant.chunk);
   }
 
-  /** Returns a chunk whose grant failed to the queue that it came from. */
-  #retrySeed(chunk: number): void {
+  /** Requeues a chunk whose grant failed. */
+  #requeueSeed(chunk: number): void {
     for (const region of this.#regions.values()) {
       if (region.seeds[chunk] !== SeedState.Granted || this.#hasOpenGrant(region, chunk)) continue;
       region.seeds[chunk] = SeedState.Missing;
-      if (this.#isPresentAnywhere(chunk)) this.#crossings.push({ region, chunk });
-      else this.#undrawn.push(chunk);
+      if (this.#isPresentAnywhere(chunk)) this.#pendingRegionSeeds.push({ region, chunk });
+      else this.#unfetched.push(chunk);
     }
   }
 
@@ -329,10 +331,10 @@
   }
 
   /**
-   * Helps a machine whose neighbours all lack a chunk that has entered its region, or seemed to. A holder in
-   * the region is the only source as long as one lives; it is not bypassed when it has no room.
+   * Grants a source for a chunk that is recorded as present in the member's region but that none of its neighbours has.
+   * While a holder in the region is alive, only such holders are used as the source, even if all of them are at capacity.
    */
-  #relieve(member: MemberRow, chunk: number): void {
+  #grantStarvingChunk(member: MemberRow, chunk: number): void {
     const region = this.#regionOf(member.info.region);
     if (region.seeds[chunk] !== SeedState.Present) return;
     if (member.grants >= this.#init.limits.grantsPerMember) return;
@@ -344,7 +346,7 @@
     this.#grant(member, chunk, { type: 'origin' });
   }
 
-  /** The members known to have a chunk. */
+  /** The members known to have a chunk; if none is known, all members that are complete. */
   #liveHolders(chunk: number): MemberRow[] {
     const holders = this.#holders[chunk].flatMap((id) => this.members.get(id) ?? []);
     return holders.length > 0 ? holders : [...this.#completeMembers()];
@@ -356,7 +358,7 @@
     }
   }
 
-  /** The candidate that serves the fewest grants, among those with room. */
+  /** The candidate that serves the fewest grants, among those with spare capacity. */
   #bestSource(candidates: readonly MemberRow[]): MemberRow | undefined {
     let best: MemberRow | undefined;
     for (const member of candidates) {
@@ -373,27 +375,27 @@
     return false;
   }
 
-  #leastSeededRegion(): RegionRow | undefined {
+  #leastGrantedRegion(): RegionRow | undefined {
     let best: RegionRow | undefined;
-    let bestSeeds = Number.POSITIVE_INFINITY;
+    let fewestGrants = Number.POSITIVE_INFINITY;
     for (const region of this.#regions.values()) {
       if (region.members.size === 0) continue;
       let grants = 0;
-      for (const id of region.members) grants += this.members.get(id)!.grantsEver;
+      for (const id of region.members) grants += this.members.get(id)!.totalGrants;
       const seeds = grants / region.members.size;
-      if (seeds >= bestSeeds) continue;
+      if (seeds >= fewestGrants) continue;
       best = region;
-      bestSeeds = seeds;
+      fewestGrants = seeds;
     }
     return best;
   }
 
-  #leastGranted(region: RegionRow): MemberRow | undefined {
+  #leastGrantedMember(region: RegionRow): MemberRow | undefined {
     let best: MemberRow | undefined;
     for (const id of region.members) {
       const member = this.members.get(id)!;
       if (member.grants >= this.#init.limits.grantsPerMember) continue;
-      if (best === undefined || member.grantsEver < best.grantsEver) best = member;
+      if (best === undefined || member.totalGrants < best.totalGrants) best = member;
     }
     return best;
   }
--- a/src/systems/distribution/node.ts
+++ b/src/systems/distribution/node.ts
@@ -1,6 +1,6 @@
 /**
- * The chunk exchange of one machine: event handlers that write the tables, and a tick that runs the systems
- * over them. It does no I/O and reads no clock; agents, the simulation and hollow processes all run it.
+ * The chunk exchange of one machine: event handlers that update its state, and a tick that derives commands from it.
+ * It does no I/O and reads no clock, so agents, the simulation and the processes of scale tests share it.
  *
  * @example
  * ```ts
@@ -17,7 +17,7 @@
 import type { DistributionCommand, RefusalReason } from './commands.js';
 import type { DistributionLimits } from './limits.js';
 import { expireRequests } from './request-expiry.js';
-import { forgetRequest, type RequestContext, selectRequests, useGrants } from './request-selection.js';
+import { applyGrants, type RequestContext, removeRequest, selectRequests } from './request-selection.js';
 import {
   createNeighbour,
   createTransfer,
@@ -32,10 +32,10 @@
 } from './transfer.js';
 import { selectUploads, type UploadTable } from './upload-selection.js';
 
-/** Weight of the newest answer time in the smoothed one. */
-const ANSWER_TIME_WEIGHT = 0.1;
+/** Weight of the latest response time in the exponentially smoothed one. */
+const RESPONSE_TIME_WEIGHT = 0.1;
 
-/** What a node is created from. */
+/** Parameters of a node. */
 export interface DistributionNodeInit {
   limits: DistributionLimits;
   random: Random;
@@ -45,7 +45,7 @@
 export interface ChunkRequest {
   version: Digest;
   chunk: number;
-  /** Chunks that the peer has. */
+  /** Number of chunks the peer has. */
   have: number;
   urgent: boolean;
 }
@@ -63,13 +63,13 @@
     this.#random = init.random;
   }
 
-  /** Starts a transfer, or updates priority and places of one that runs. */
+  /** Starts a transfer, or updates the priority and allowed places of a running one. */
   startTransfer(init: TransferInit, now: number): Transfer {
     const running = this.transfers.get(init.version);
     if (running !== undefined) {
       running.priority = init.priority;
       running.allowedPlaces = init.allowedPlaces;
-      this.#dropForbiddenNeighbours(running, now);
+      this.#dropDisallowedNeighbours(running, now);
       return running;
     }
     const transfer = createTransfer(init, now);
@@ -77,7 +77,7 @@
     return transfer;
   }
 
-  /** Ends a transfer: its open requests are cancelled and its queued uploads refused. */
+  /** Stops a transfer: cancels its open requests and refuses its queued uploads. */
   stopTransfer(version: Digest): void {
     const transfer = this.transfers.get(version);
     if (transfer === undefined) return;
@@ -90,7 +90,7 @@
     }
   }
 
-  /** Adds a peer that may be asked and greets it; peers in places that the version may not reach are left out. */
+  /** Adds a peer to request chunks from and greets it. Peers in places not allowed for the version are ignored. */
   addNeighbour(version: Digest, info: PeerInfo): void {
     const transfer = this.transfers.get(version);
     if (transfer === undefined || !transfer.allowedPlaces.has(info.place)) return;
@@ -99,7 +99,7 @@
     this.#commands.push({ type: 'greet', version, peer: info, have: transfer.have.toBytes() });
   }
 
-  /** A peer greets with all that it has; the greeting is returned once. */
+  /** Handles a greeting that lists all chunks of a peer. A peer that is not a neighbour yet is greeted in return. */
   onGreeting(info: PeerInfo, version: Digest, have: Uint8Array): void {
     this.addNeighbour(version, info);
     const transfer = this.transfers.get(version);
@@ -110,7 +110,7 @@
     }
   }
 
-  /** A neighbour told which chunks it has got. */
+  /** Handles a neighbour's announcement of new chunks. */
   onAnnounce(version: Digest, peer: PeerId, chunks: readonly number[], queueLength: number): void {
     const transfer = this.transfers.get(version);
     const neighbour = transfer?.neighbours.get(peer);
@@ -119,7 +119,7 @@
     for (const chunk of chunks) noteAvailable(transfer, neighbour, chunk);
   }
 
-  /** A peer asks for a chunk. Only machines in allowed places are served. */
+  /** Handles a peer's request for a chunk. Only machines in allowed places are served. */
   onRequest(peer: PeerInfo, request: ChunkRequest, now: number): void {
     const { version, chunk } = request;
     const transfer = this.transfers.get(version);
@@ -140,12 +140,12 @@
     });
   }
 
-  /** A peer no longer wants a chunk. */
+  /** Handles the cancellation of a peer's request. */
   onCancel(peer: PeerId, version: Digest, chunk: number): void {
     this.#takeQueued((row) => row.peer === peer && row.version === version && row.chunk === chunk);
   }
 
-  /** A peer will not send a chunk that was asked of it. */
+  /** Handles a peer's refusal to send a requested chunk. */
   onRefused(
     peer: PeerId,
     version: Digest,
@@ -165,7 +165,7 @@
     else removeNeighbour(transfer, peer, now);
   }
 
-  /** A chunk came whole and matched its digest. Returns false when it was not wanted any more. */
+  /** Handles a complete chunk that matches its digest. Returns false if it is no longer needed. */
   onChunk(
     version: Digest,
     chunk: number,
@@ -181,13 +181,13 @@
       neighbour.stalls = 0;
     }
     const request = transfer.requests.get(chunk);
-    if (request !== undefined) this.#answerRequest(transfer, request, peer, now);
+    if (request !== undefined) this.#completeRequest(transfer, request, peer, now);
     if (!transfer.have.add(chunk)) return false;
     transfer.unannounced.push(chunk);
     return true;
   }
 
-  /** A chunk came that did not match its digest: it is not kept, and its sender pays for it. */
+  /** Handles a chunk that does not match its digest: it is discarded, and its sender is suspended or removed. */
   onCorruptChunk(version: Digest, chunk: number, peer: PeerId | undefined, now: number): void {
     const transfer = this.transfers.get(version);
     if (transfer === undefined) return;
@@ -197,22 +197,22 @@
     if (neighbour === undefined) return;
     neighbour.corruptChunks++;
     neighbour.suspendedUntil = now + this.#limits.stallBackoff;
-    if (neighbour.corruptChunks >= this.#limits.corruptLimit)
+    if (neighbour.corruptChunks >= this.#limits.maxCorruptChunks)
       removeNeighbour(transfer, neighbour.info.id, now);
   }
 
-  /** A draw from the origin failed. */
-  onDrawFailed(version: Digest, chunk: number): void {
+  /** Handles a failed fetch from the origin. */
+  onOriginFetchFailed(version: Digest, chunk: number): void {
     const transfer = this.transfers.get(version);
     const request = transfer?.requests.get(chunk);
     if (transfer === undefined || request === undefined || request.peer !== undefined) return;
     this.#endRequest(transfer, request, false);
   }
 
-  /** The coordinator lets this machine fetch a chunk from outside its region or from the origin. */
+  /** Handles a grant of the coordinator to fetch a chunk from a given peer or from the origin. */
   onGrant(version: Digest, grant: Grant): void {
     const transfer = this.transfers.get(version);
-    if (transfer !== undefined && this.#mayUse(transfer, grant)) {
+    if (transfer !== undefined && this.#isAllowedSource(transfer, grant)) {
       transfer.grants.push(grant);
       return;
     }
@@ -220,7 +220,7 @@
     this.#commands.push({ type: 'grantEnded', version, grantId, chunk, succeeded: false });
   }
 
-  /** The connection to a peer is gone, or could not be made. */
+  /** Handles a lost or failed connection to a peer. */
   onPeerLost(peer: PeerId, now: number): void {
     this.#takeQueued((row) => row.peer === peer);
     for (const transfer of this.transfers.values()) {
@@ -231,12 +231,12 @@
     }
   }
 
-  /** An upload that a `send` command started has ended, whole or not. */
+  /** Handles the end of an upload started by a `send` command, whether or not it was complete. */
   onUploadEnded(): void {
     this.uploads.active--;
   }
 
-  /** Runs the systems over the tables; `now` is in milliseconds. */
+  /** Derives the next commands from the state; `now` is in milliseconds. */
   tick(now: number): DistributionCommand[] {
     const commands = this.#commands;
     this.#commands = [];
@@ -249,7 +249,7 @@
     };
     for (const transfer of this.#byPriority()) {
       expireRequests(transfer, context);
-      useGrants(transfer, context);
+      applyGrants(transfer, context);
       if (!transfer.have.complete) selectRequests(transfer, context);
       announceChunks(transfer, now, this.#limits, this.uploads.queued.length, commands);
       reportProgress(transfer, now, this.#limits, commands);
@@ -258,7 +258,7 @@
     return commands;
   }
 
-  #mayUse(transfer: Transfer, grant: Grant): boolean {
+  #isAllowedSource(transfer: Transfer, grant: Grant): boolean {
     return grant.source.type === 'origin' || transfer.allowedPlaces.has(grant.source.peer.place);
   }
 
@@ -277,11 +277,11 @@
     return count;
   }
 
-  #answerRequest(transfer: Transfer, request: RequestRow, peer: PeerId | undefined, now: number): void {
+  #completeRequest(transfer: Transfer, request: RequestRow, peer: PeerId | undefined, now: number): void {
     if (request.peer === peer && request.grantId === undefined) {
-      const answerTime = now - request.requestedAt;
-      const usual = transfer.usualAnswerTime === 0 ? answerTime : transfer.usualAnswerTime;
-      transfer.usualAnswerTime = usual + ANSWER_TIME_WEIGHT * (answerTime - usual);
+      const responseTime = now - request.requestedAt;
+      const usual = transfer.smoothedResponseTime === 0 ? responseTime : transfer.smoothedResponseTime;
+      transfer.smoothedResponseTime = usual + RESPONSE_TIME_WEIGHT * (responseTime - usual);
     }
     if (request.peer !== undefined && request.peer !== peer) {
       this.#commands.push({
@@ -295,13 +295,13 @@
   }
 
   #endRequest(transfer: Transfer, request: RequestRow, succeeded: boolean): void {
-    forgetRequest(transfer, request);
+    removeRequest(transfer, request);
     const { chunk, grantId } = request;
     if (grantId === undefined) return;
     this.#commands.push({ type: 'grantEnded', version: transfer.version, grantId, chunk, succeeded });
   }
 
-  #dropForbiddenNeighbours(transfer: Transfer, now: number): void {
+  #dropDisallowedNeighbours(transfer: Transfer, now: number): void {
     for (const { info } of [...transfer.neighbours.values()]) {
       if (!transfer.allowedPlaces.has(info.place)) removeNeighbour(transfer, info.id, now);
     }
--- a/src/systems/retry-budget.ts
+++ b/src/systems/retry-budget.ts
@@ -1,17 +1,17 @@
 /**
- * How many repetitions an entry may make: a share of what it routes, and a few besides, so that back ends which
- * fail get no storm on top.
+ * Retry budget of an entry: a share of the requests it routes plus a small reserve, so that retries do not overload back
+ * ends that are failing.
  */
 
-/** What a budget allows. */
+/** Limits of a retry budget. */
 export interface RetryBudgetLimits {
-  /** Repetitions earned by each request. */
-  earnedByRequest: number;
-  /** Most repetitions that can be saved up. */
-  savedAtMost: number;
+  /** Retries earned by each request. */
+  earnedPerRequest: number;
+  /** Maximum number of retries that can be saved up. */
+  maxSaved: number;
 }
 
-const DEFAULT_LIMITS: RetryBudgetLimits = { earnedByRequest: 0.1, savedAtMost: 20 };
+const DEFAULT_LIMITS: RetryBudgetLimits = { earnedPerRequest: 0.1, maxSaved: 20 };
 
 /** The budget of one entry. */
 export class RetryBudget {
@@ -20,15 +20,15 @@
 
   constructor(limits: RetryBudgetLimits = DEFAULT_LIMITS) {
     this.#limits = limits;
-    this.#saved = limits.savedAtMost;
+    this.#saved = limits.maxSaved;
   }
 
-  /** A request was routed. */
+  /** Records a routed request. */
   earn(): void {
-    this.#saved = Math.min(this.#limits.savedAtMost, this.#saved + this.#limits.earnedByRequest);
+    this.#saved = Math.min(this.#limits.maxSaved, this.#saved + this.#limits.earnedPerRequest);
   }
 
-  /** Takes one repetition, if there is one. */
+  /** Takes one retry from the budget; false if none is left. */
   spend(): boolean {
     if (this.#saved < 1) return false;
     this.#saved--;
--- a/test/peers/entry-peers.test.ts
+++ b/test/peers/entry-peers.test.ts
@@ -216,14 +216,14 @@
 it('an entry adopts the number of entries that others know, and does not forget those it no longer hears', async () => {
   const [seed, one, silent] = await Promise.all([freeAddress(), freeAddress(), freeAddress()]);
   const first = await startEntry('one', one, [seed, silent, one]);
-  expect(first.known()).toEqual({ known: 3, hasHeardMostSeeds: false });
+  expect(first.known()).toEqual({ known: 3, hasSeedMajority: false });
   const hub = await startEntry('seed', seed, []);
-  expect(hub.known().hasHeardMostSeeds).toBe(true);
+  expect(hub.known().hasSeedMajority).toBe(true);
   await until(() => first.live().length === 1, 'the first to hear the seed');
-  expect(first.known()).toEqual({ known: KNOWN_ELSEWHERE, hasHeardMostSeeds: true });
+  expect(first.known()).toEqual({ known: KNOWN_ELSEWHERE, hasSeedMajority: true });
   await hub.stop();
   await until(() => first.live().length === 0, 'the first to hear nobody');
-  expect(first.known()).toEqual({ known: KNOWN_ELSEWHERE, hasHeardMostSeeds: true });
+  expect(first.known()).toEqual({ known: KNOWN_ELSEWHERE, hasSeedMajority: true });
 });
 
 describe.each(['zone-a', 'zone-b'])('entries in zone-a and %s', (zone) => {
