--- a/src/weights/version-collector.ts
+++ b/src/weights/version-collector.ts
@@ -56,6 +56,7 @@
  * takes 0.1 to 0.7 s.
  */
 const PIECE_OVERDUE_TIME = 800;
+
 export interface VersionCollectorOptions {
   self: { id: string; zone: string; linkRate: number };
   fleet: FleetView;
@@ -66,7 +67,7 @@
   peers: () => EntryReport[];
   /** Agents connected to this entry. */
   agents: () => EngineAgentRow[];
-  /** For each model without a named version, the version that most engines hold. */
+  /** The version that most engines hold, of each model. */
   servedVersions: () => WeightsVersion[];
   /** Time after its naming within which a version must be serving everywhere, in milliseconds. */
   versionBound: number;
