--- a/src/agent/entry-link.ts
+++ b/src/agent/entry-link.ts
@@ -78,7 +78,7 @@
     this.#address = address;
     this.#attempt = 0;
     connection.onClose = () => this.#lost(connection);
-    connection.onConfirmed = this.#init.onConfirmed ?? (() => {});
+    connection.onPong = this.#init.onConfirmed ?? (() => {});
     this.#init.onOpen(address, dialledAt);
     connection.handleMessages(this.#init.onMessage);
   }
--- a/src/fleet/store-sync.ts
+++ b/src/fleet/store-sync.ts
@@ -11,7 +11,7 @@
 import { type Startable, StartableGroup } from '../model/startable.js';
 import type { Log } from '../observability/log.js';
 import type { BackEndRecord } from '../protocol/back-end-list-state.js';
-import type { FollowedTable, StoreNews, TableNews } from '../protocol/store-news.js';
+import type { FollowedTable, StoreUpdate, TableUpdate } from '../protocol/store-update.js';
 import { type BackEndChange, isAlike } from './back-end-list.js';
 import type { FleetView } from './fleet-view.js';
 import type { OperatorRecord, RecordDecoder, RecordFault } from './record-decoder.js';
@@ -67,7 +67,7 @@
   /** False while another process reads a table and passes on what is new. */
   isReader: (table: FollowedTable) => boolean = () => true;
   /** Takes what this process has read, for others. */
-  onNews: (news: StoreNews) => void = () => {};
+  onNews: (news: StoreUpdate) => void = () => {};
   /** The store has come back from an older copy: what this process wrote there lately may be lost. */
   onOlderCopy: () => void = () => {};
   /** The records that cannot be used. */
@@ -131,14 +131,14 @@
   }
 
   /** Takes what another process has read of the store. */
-  take({ table, holdsRemovalsFor, ...news }: StoreNews): void {
+  take({ table, holdsRemovalsFor, ...news }: StoreUpdate): void {
     if (holdsRemovalsFor > 0)
       this.#holdUntil = Math.max(this.#holdUntil, performance.now() + holdsRemovalsFor);
     (table === 'operator' ? this.#operator : this.#backEnds).take(news);
   }
 
   /** Passes on what is new to others; that a back end still lives is none of it. */
-  #pass(table: FollowedTable, news: TableNews): void {
+  #pass(table: FollowedTable, news: TableUpdate): void {
     if (!this.isReader(table)) return;
     const holdsRemovalsFor = Math.max(0, this.#holdUntil - performance.now());
     const rows = table === 'operator' ? news.rows : news.rows.filter((row) => this.#isNews(row));
--- a/src/fleet/table-follower.ts
+++ b/src/fleet/table-follower.ts
@@ -7,7 +7,7 @@
 import type { Result } from '../model/result.js';
 import type { Startable } from '../model/startable.js';
 import { AnswerLimit } from '../model/time-limit.js';
-import type { TableNews } from '../protocol/store-news.js';
+import type { TableUpdate } from '../protocol/store-update.js';
 import type { StoreClock } from './store-clock.js';
 
 /**
@@ -52,7 +52,7 @@
   /** Rows have come; what takes long is done here, in parts, before they are told. */
   prepare(rows: readonly StoredRow[]): Promise<void>;
   /** The store has answered; called before the changes are told. */
-  onNews(news: TableNews): void;
+  onNews(news: TableUpdate): void;
 }
 
 /** What to follow, and how often it may be asked for. */
@@ -135,7 +135,7 @@
   }
 
   /** Takes what another process has read. */
-  take({ after, revision, storeTime, since, rows }: TableNews): void {
+  take({ after, revision, storeTime, since, rows }: TableUpdate): void {
     if (this.#revision === undefined || revision <= this.#revision) return;
     this.#hasGap = after > this.#revision;
     if (this.#hasGap) return;
--- a/src/forwarding/back-end-limits.ts
+++ b/src/forwarding/back-end-limits.ts
@@ -6,7 +6,7 @@
 import { type BackEndIdentity, isSameStart } from '../model/back-end-identity.js';
 import type { Log } from '../observability/log.js';
 import type { Metrics } from '../observability/metrics.js';
-import type { LimitNews } from '../protocol/limit-news.js';
+import type { RateLimitUpdate } from '../protocol/rate-limit-update.js';
 import type { RateLimitNotice } from './rate-limit-notice.js';
 
 /** Rate limit information from one answer. */
@@ -24,7 +24,7 @@
   onNamed(backEnd: BackEndIdentity, rate: number): void;
   onLifted(backEnd: BackEndIdentity): void;
   /** Called with news to send to all other entries. */
-  onNews(news: LimitNews): void;
+  onNews(news: RateLimitUpdate): void;
 }
 
 /**
@@ -121,7 +121,7 @@
    * Applies news from another entry. While a recent answer takes precedence, a named limit is ignored, and a lifted one is kept
    * until that time has passed.
    */
-  takeNews(news: LimitNews, now: number): void {
+  takeNews(news: RateLimitUpdate, now: number): void {
     const backEnd = { id: news.backEnd, start: news.start };
     if (this.#isFormerStart(backEnd)) return;
     const known = this.#limits.get(backEnd.id);
@@ -150,7 +150,7 @@
   }
 
   /** All known limits that no other entry has reported lifted, to send on a new connection. */
-  allNews(): LimitNews[] {
+  allNews(): RateLimitUpdate[] {
     const active = [...this.#limits].filter(([, { endsAt }]) => endsAt === Number.POSITIVE_INFINITY);
     return active.map(([backEnd, { start, rate }]) => ({ type: 'named', backEnd, start, rate }));
   }
--- a/src/forwarding/poison-guard.ts
+++ b/src/forwarding/poison-guard.ts
@@ -5,7 +5,7 @@
  */
 import type { Log } from '../observability/log.js';
 import type { Metrics } from '../observability/metrics.js';
-import type { PoisonNews } from '../protocol/poison-news.js';
+import type { PoisonUpdate } from '../protocol/poison-update.js';
 import {
   type BackEndCrash,
   type Fingerprint,
@@ -44,7 +44,7 @@
   readonly #probes: Record<ProbeResult, number> = { refused: 0, accepted: 0, silent: 0 };
   readonly #refusedByService = new Map<string, number>();
   /** Called with news to send to all other entries. */
-  onNews: (news: PoisonNews) => void = () => {};
+  onNews: (news: PoisonUpdate) => void = () => {};
   /** Called with contents that have just been put into quarantine. */
   onQuarantined: (fingerprints: ReadonlySet<Fingerprint>) => void = () => {};
 
@@ -155,7 +155,7 @@
   }
 
   /** Applies news from another entry. */
-  takeNews(news: PoisonNews): void {
+  takeNews(news: PoisonUpdate): void {
     const now = performance.now();
     if (news.type === 'trial') return this.#requests.noteTrial(news.fingerprint, now);
     if (news.type === 'notTried') return this.#requests.withdrawTrial(news.fingerprint);
@@ -165,7 +165,7 @@
   }
 
   /** The crashes that current quarantines are based on, to send on a new connection. */
-  allNews(): PoisonNews[] {
+  allNews(): PoisonUpdate[] {
     const now = performance.now();
     return this.#requests.blamedCrashes().map((crash) => newsOf(crash, now));
   }
@@ -254,6 +254,6 @@
   }
 }
 
-function newsOf({ backEnd, start, at, suspects }: BackEndCrash, now: number): PoisonNews {
+function newsOf({ backEnd, start, at, suspects }: BackEndCrash, now: number): PoisonUpdate {
   return { type: 'crashed', backEnd, start, age: Math.round(now - at), suspects: [...suspects] };
 }
--- a/src/peers/entry-peers.ts
+++ b/src/peers/entry-peers.ts
@@ -20,7 +20,7 @@
 } from '../protocol/connection.js';
 import type { Message } from '../protocol/messages.js';
 import type { EntryReport } from '../protocol/reports.js';
-import type { StoreNews } from '../protocol/store-news.js';
+import type { StoreUpdate } from '../protocol/store-update.js';
 import { lacksAddresses, toldInTurn, toldOfNew } from '../systems/address-gossip.js';
 import type { EntriesKnown } from '../systems/entry-retry-window.js';
 import { Dialling } from './dialling.js';
@@ -90,7 +90,7 @@
   onReport: (report: EntryReport) => void;
   news: PeerNews;
   /** Takes what the entry `id` has read of the store. */
-  onStoreNews: (news: StoreNews, id: string) => void;
+  onStoreNews: (news: StoreUpdate, id: string) => void;
   /** The process of this latest report is not heard any more, or another one has started at its address. */
   onLapsed: (report: EntryReport) => void;
   log: Log;
@@ -181,7 +181,7 @@
   }
 
   /** Passes on what was read of the store, to those of the own zone. */
-  passStoreNews(news: StoreNews): void {
+  passStoreNews(news: StoreUpdate): void {
     const near = [...this.#rows.values()].filter((row) => this.#isNear(row));
     if (near.length === 0) return;
     const message = encodeForMany({ type: 'storeNews', news }, this.#options.context);
@@ -218,10 +218,10 @@
     const { connection, address } = row;
     if (connection === undefined) return;
     const isNear = this.#isNear(row);
-    connection.quietTime = signTime(isNear, this.#rows.size);
-    connection.silenceLimit = silenceLimit(isNear, this.#rows.size);
-    if (connection.quietFor <= connection.silenceLimit) return;
-    this.#options.log.info('entry silent', { address, silentMs: Math.round(connection.quietFor) });
+    connection.pingAfterIdle = signTime(isNear, this.#rows.size);
+    connection.receiveTimeout = silenceLimit(isNear, this.#rows.size);
+    if (connection.receiveIdleTime <= connection.receiveTimeout) return;
+    this.#options.log.info('entry silent', { address, silentMs: Math.round(connection.receiveIdleTime) });
     connection.close();
   }
 
@@ -423,7 +423,7 @@
 }
 
 /** The codec carries no undefined in lists: a row that is gone has no value. */
-function withoutNulls(news: StoreNews): StoreNews {
+function withoutNulls(news: StoreUpdate): StoreUpdate {
   const rows = news.rows.map((row) => ({
     ...row,
     value: row.value == null ? undefined : Buffer.from(row.value),
--- a/src/peers/peer-news.ts
+++ b/src/peers/peer-news.ts
@@ -2,9 +2,10 @@
  * News that entries send one another as it occurs, and in full on each new connection, because an entry that has just started
  * or was cut off has missed it: contents that crash back ends, and rate limits of back ends.
  */
-import type { LimitNews } from '../protocol/limit-news.js';
+
 import type { Message } from '../protocol/messages.js';
-import type { PoisonNews } from '../protocol/poison-news.js';
+import type { PoisonUpdate } from '../protocol/poison-update.js';
+import type { RateLimitUpdate } from '../protocol/rate-limit-update.js';
 
 /** Applies and provides one kind of news. */
 export interface NewsHandler<T> {
@@ -14,10 +15,10 @@
 
 /** Converts between the news of one entry and messages to its peers. */
 export class PeerNews {
-  readonly #poison: NewsHandler<PoisonNews>;
-  readonly #limits: NewsHandler<LimitNews>;
+  readonly #poison: NewsHandler<PoisonUpdate>;
+  readonly #limits: NewsHandler<RateLimitUpdate>;
 
-  constructor(poison: NewsHandler<PoisonNews>, limits: NewsHandler<LimitNews>) {
+  constructor(poison: NewsHandler<PoisonUpdate>, limits: NewsHandler<RateLimitUpdate>) {
     this.#poison = poison;
     this.#limits = limits;
   }
--- a/src/protocol/codec.ts
+++ b/src/protocol/codec.ts
@@ -25,7 +25,7 @@
  * Nested objects that are sent often: their field names are known on both sides and are not sent. Other objects
  * carry their names with them.
  */
-const KNOWN_OBJECTS = [
+const RECORD_STRUCTURES = [
   ['id', 'address', 'place', 'region', 'zone'],
   ['grantId', 'chunk', 'source'],
   ['type', 'peer'],
@@ -80,8 +80,8 @@
 ];
 
 const packr = new Packr({
-  structures: KNOWN_OBJECTS,
-  maxSharedStructures: KNOWN_OBJECTS.length,
+  structures: RECORD_STRUCTURES,
+  maxSharedStructures: RECORD_STRUCTURES.length,
   encodeUndefinedAsNil: true,
 });
 const TYPES = Object.keys(MESSAGE_FIELDS) as Array<Message['type']>;
--- a/src/protocol/connection.ts
+++ b/src/protocol/connection.ts
@@ -16,10 +16,10 @@
 /** Time between two heartbeats, in milliseconds. */
 const HEARTBEAT_INTERVAL = 1_000;
 /** A sign of life is asked for after this long without one, in milliseconds: timers may be early by some milliseconds. */
-const QUIET_TIME = 900;
+const PING_AFTER_IDLE = 900;
 /** A connection on which nothing came for this long while this process ran is ended, unless its owner says otherwise, in
  * milliseconds. */
-const SILENCE_LIMIT = 3_500;
+const RECEIVE_TIMEOUT = 3_500;
 /** Time for the other side's hello, in milliseconds. */
 const HELLO_TIMEOUT = 2_000;
 /** Largest frame accepted, in bytes. */
@@ -27,7 +27,7 @@
 /** Bytes that WebSocket and TCP/IP add to a frame. */
 const FRAME_OVERHEAD_BYTES = 46;
 /** Messages up to this size wait for others of the same turn of the event loop, to go in one frame, in bytes. */
-const BATCHED_BYTES = 16_384;
+const MAX_BATCHED_MESSAGE_BYTES = 16_384;
 
 /** The heartbeats of all connections of this process. */
 const heartbeats = new Ticker(HEARTBEAT_INTERVAL);
@@ -85,19 +85,19 @@
   /** What the other side said of itself. */
   readonly remote: HelloMessage;
   /** A sign of life is asked for after this long without one, in milliseconds. */
-  quietTime = QUIET_TIME;
+  pingAfterIdle = PING_AFTER_IDLE;
   /** It is ended after this long without anything from the other side while this process ran, in milliseconds. */
-  silenceLimit = SILENCE_LIMIT;
+  receiveTimeout = RECEIVE_TIMEOUT;
   onClose: () => void = () => {};
   /** Called when the other side has answered a sign of life that was sent at the given time. */
-  onConfirmed: (sentAt: number) => void = () => {};
+  onPong: (sentAt: number) => void = () => {};
   readonly #socket: WebSocket;
   readonly #context: ConnectionContext;
-  readonly #endHeartbeat: () => void;
+  readonly #stopHeartbeat: () => void;
   readonly #dialled: boolean;
-  #heardAt = performance.now();
-  #sentAt = performance.now();
-  #pingedAt = performance.now();
+  #lastReceivedAt = performance.now();
+  #lastSentAt = performance.now();
+  #lastPingAt = performance.now();
   #open = true;
   #handler: ((message: Message) => void) | undefined;
   /** Encoded messages that go in the next frame. */
@@ -113,11 +113,11 @@
     this.#context = context;
     this.remote = remote;
     socket.on('message', (data) => this.#receive(data));
-    socket.on('pong', () => this.#heardPong());
-    socket.on('ping', () => this.#answered());
-    socket.on('close', () => this.#closed());
+    socket.on('pong', () => this.#handlePong());
+    socket.on('ping', () => this.#handlePing());
+    socket.on('close', () => this.#handleClose());
     socket.on('error', () => socket.terminate());
-    this.#endHeartbeat = heartbeats.add(() => this.#beat());
+    this.#stopHeartbeat = heartbeats.add(() => this.#sendHeartbeat());
   }
 
   get open(): boolean {
@@ -126,10 +126,10 @@
 
   /**
    * Time since anything came in which this process ran, in milliseconds; the side that dialled sees to it that something
-   * does whenever it has been quiet for `quietTime`.
+   * does whenever it has been quiet for `pingAfterIdle`.
    */
-  get quietFor(): number {
-    return heartbeats.runningTime(this.#heardAt, performance.now());
+  get receiveIdleTime(): number {
+    return heartbeats.runningTime(this.#lastReceivedAt, performance.now());
   }
 
   /** Sets who handles messages; those that came before are handled at once. */
@@ -159,12 +159,12 @@
 
   #enqueue(encoded: Buffer, trafficClass: TrafficClass): true {
     this.#context.counters[`${trafficClass}Sent`] += encoded.byteLength;
-    if (encoded.byteLength > BATCHED_BYTES) this.#flush();
+    if (encoded.byteLength > MAX_BATCHED_MESSAGE_BYTES) this.#flush();
     if (this.#outgoing.push(encoded) === 1) {
       this.#frameClass = trafficClass;
       setImmediate(() => this.#flush());
     }
-    if (encoded.byteLength > BATCHED_BYTES) this.#flush();
+    if (encoded.byteLength > MAX_BATCHED_MESSAGE_BYTES) this.#flush();
     return true;
   }
 
@@ -172,7 +172,7 @@
   close(): void {
     this.#flush();
     this.#socket.terminate();
-    this.#closed();
+    this.#handleClose();
   }
 
   #flush(): void {
@@ -182,11 +182,11 @@
     if (this.#socket.readyState !== WebSocket.OPEN) return;
     this.#socket.send(encoded.length === 1 ? encoded[0] : Buffer.concat(encoded));
     this.#context.counters[`${this.#frameClass}Sent`] += FRAME_OVERHEAD_BYTES;
-    this.#sentAt = performance.now();
+    this.#lastSentAt = performance.now();
   }
 
   #receive(data: RawData): void {
-    this.#noteLife();
+    this.#noteReceived();
     const { clock, counters } = this.#context;
     const decoded = decode(data as Buffer);
     if (!decoded.ok) {
@@ -214,55 +214,55 @@
     }
   }
 
-  #noteLife(): void {
-    this.#heardAt = performance.now();
+  #noteReceived(): void {
+    this.#lastReceivedAt = performance.now();
   }
 
   /**
    * The side that dialled asks for a sign of life when either direction has been quiet; an agent always asks its
    * entry, since it must know that it is still known there.
    */
-  #beat(): void {
+  #sendHeartbeat(): void {
     const now = performance.now();
-    if (this.#isSilent(now)) return this.#closeIfSilent();
-    const quiet = now - Math.min(this.#heardAt, this.#sentAt) >= this.quietTime;
+    if (this.#isTimedOut(now)) return this.#closeIfTimedOut();
+    const isIdle = now - Math.min(this.#lastReceivedAt, this.#lastSentAt) >= this.pingAfterIdle;
     const isHome = this.remote.role === 'entry' && this.#context.hello().role === 'agent';
-    const isDue = quiet || isHome;
+    const isDue = isIdle || isHome;
     if (!this.#dialled || !isDue || this.#socket.readyState !== WebSocket.OPEN) return;
     this.#socket.ping();
-    this.#sentAt = now;
-    this.#pingedAt = now;
+    this.#lastSentAt = now;
+    this.#lastPingAt = now;
     this.#context.counters.controlSent += FRAME_OVERHEAD_BYTES;
   }
 
-  #isSilent(now: number): boolean {
-    return heartbeats.runningTime(this.#heardAt, now) > this.silenceLimit;
+  #isTimedOut(now: number): boolean {
+    return heartbeats.runningTime(this.#lastReceivedAt, now) > this.receiveTimeout;
   }
 
   /** Ends the connection unless something waits to be read: timers come before what has arrived meanwhile. */
-  #closeIfSilent(): void {
+  #closeIfTimedOut(): void {
     setImmediate(() => {
-      if (this.#open && this.#isSilent(performance.now())) this.close();
+      if (this.#open && this.#isTimedOut(performance.now())) this.close();
     });
   }
 
-  #heardPong(): void {
-    this.#noteLife();
-    this.onConfirmed(this.#pingedAt);
+  #handlePong(): void {
+    this.#noteReceived();
+    this.onPong(this.#lastPingAt);
     this.#context.counters.controlReceived += FRAME_OVERHEAD_BYTES;
   }
 
   /** The WebSocket library answers each ping by itself. */
-  #answered(): void {
-    this.#noteLife();
+  #handlePing(): void {
+    this.#noteReceived();
     this.#context.counters.controlReceived += FRAME_OVERHEAD_BYTES;
     this.#context.counters.controlSent += FRAME_OVERHEAD_BYTES;
   }
 
-  #closed(): void {
+  #handleClose(): void {
     if (!this.#open) return;
     this.#open = false;
-    this.#endHeartbeat();
+    this.#stopHeartbeat();
     this.onClose();
   }
 }
--- a/src/protocol/fleet-messages.ts
+++ b/src/protocol/fleet-messages.ts
@@ -1,9 +1,9 @@
 /** What entries and agents of directly called back ends tell one another. */
 import type { BackEndListState } from './back-end-list-state.js';
-import type { LimitNews } from './limit-news.js';
-import type { PoisonNews } from './poison-news.js';
+import type { PoisonUpdate } from './poison-update.js';
+import type { RateLimitUpdate } from './rate-limit-update.js';
 import type { EngineReport, EntryReport, WeightsPlan } from './reports.js';
-import type { StoreNews } from './store-news.js';
+import type { StoreUpdate } from './store-update.js';
 
 /** Messages of these processes. */
 export type FleetMessage =
@@ -16,10 +16,10 @@
   | { type: 'fleetConfiguration'; document: Uint8Array }
   | { type: 'fleetBackEnds'; state: BackEndListState }
   /** What the sender has read of the store, for the others of its zone. */
-  | { type: 'storeNews'; news: StoreNews }
+  | { type: 'storeNews'; news: StoreUpdate }
   /** Of contents under which back ends crash. */
-  | { type: 'poisonNews'; news: PoisonNews[] }
+  | { type: 'poisonNews'; news: PoisonUpdate[] }
   /** Of rate limits that back ends name or lift. */
-  | { type: 'limitNews'; news: LimitNews[] }
+  | { type: 'limitNews'; news: RateLimitUpdate[] }
   | { type: 'engineReport'; report: EngineReport }
   | { type: 'weightsPlan'; plan: WeightsPlan };
--- a/src/protocol/messages.ts
+++ b/src/protocol/messages.ts
@@ -146,7 +146,7 @@
 }
 
 /** A change of an entry's record of itself, from version `base` (0: nothing known) to `version`. */
-export interface HomeNews {
+export interface HomeUpdate {
   type: 'homeNews';
   /** Identity of the entry. */
   home: string;
@@ -162,7 +162,7 @@
 
 /** Between entries: who there is. */
 export type MembershipMessage =
-  | HomeNews
+  | HomeUpdate
   /** The sender offers these homes' records no more; `died`: their zone has seen them go. */
   | { type: 'homesGone'; homes: string[]; died: boolean }
   /** A digest, for each zone, of the versions that the sender offers on this link. */
--- a/src/protocol/poison-news.ts
+++ b/src/protocol/poison-update.ts
@@ -1,7 +1,7 @@
 import type { Fingerprint } from '../systems/poison-requests.js';
 
 /** What entries tell one another of contents that crash back ends. Messages carry ages, as their clocks differ. */
-export type PoisonNews =
+export type PoisonUpdate =
   /** A back end crashed `age` milliseconds ago with these contents in progress. */
   | { type: 'crashed'; backEnd: string; start?: number | undefined; age: number; suspects: Fingerprint[] }
   /** One request with this content is let through. */
--- a/src/protocol/store-news.ts
+++ b/src/protocol/store-update.ts
@@ -5,7 +5,7 @@
 export type FollowedTable = 'operator' | 'backEnds';
 
 /** What is new in a table, as one who reads it passes it on. */
-export interface TableNews {
+export interface TableUpdate {
   /** The news follow on what was known as of this revision. */
   after: number;
   revision: number;
@@ -16,7 +16,7 @@
 }
 
 /** What is new in the store, as one process passes it on to others. */
-export interface StoreNews extends TableNews {
+export interface StoreUpdate extends TableUpdate {
   table: FollowedTable;
   /** Back ends that seem to be gone are kept for this long yet, in milliseconds. */
   holdsRemovalsFor: number;
--- a/src/roles/direct-entry.ts
+++ b/src/roles/direct-entry.ts
@@ -18,7 +18,7 @@
 import { SlotClient } from '../peers/slot-client.js';
 import { type Connection, ConnectionListener } from '../protocol/connection.js';
 import type { EngineReport, EntryReport } from '../protocol/reports.js';
-import type { FollowedTable } from '../protocol/store-news.js';
+import type { FollowedTable } from '../protocol/store-update.js';
 import { httpServer, listenerOf } from '../server/http-server.js';
 import { DrainSchedule } from '../systems/drain-schedule.js';
 import { createEntryRetryWindow } from '../systems/entry-retry-window.js';
--- a/src/systems/membership/home-record.ts
+++ b/src/systems/membership/home-record.ts
@@ -3,7 +3,7 @@
  * the next version, so of two copies the higher version is the later one, on whichever way it came.
  */
 import { hash32 } from '../../model/random.js';
-import type { AgentStatus, EntryInfo, HomeNews } from '../../protocol/messages.js';
+import type { AgentStatus, EntryInfo, HomeUpdate } from '../../protocol/messages.js';
 
 /** An entry's record as one process knows it. */
 export interface HomeRecord {
@@ -23,7 +23,7 @@
   | 'gap';
 
 /** The whole record, for who may know nothing of it. */
-export function wholeNews(record: HomeRecord): HomeNews {
+export function wholeNews(record: HomeRecord): HomeUpdate {
   const { info, version, agents } = record;
   return {
     type: 'homeNews',
@@ -37,7 +37,7 @@
 }
 
 /** What news would do to a record that may not be known yet. */
-export function judgeNews(record: HomeRecord | undefined, news: HomeNews): NewsOutcome {
+export function judgeNews(record: HomeRecord | undefined, news: HomeUpdate): NewsOutcome {
   if (record !== undefined && record.version >= news.version) return 'known';
   if (news.base === 0) return news.info === undefined ? 'gap' : 'applied';
   return record?.version === news.base ? 'applied' : 'gap';
--- a/src/systems/membership/membership.ts
+++ b/src/systems/membership/membership.ts
@@ -15,7 +15,7 @@
  * membership.sendOwnNews();
  * ```
  */
-import type { AgentStatus, EntryInfo, HomeNews, MembershipMessage } from '../../protocol/messages.js';
+import type { AgentStatus, EntryInfo, HomeUpdate, MembershipMessage } from '../../protocol/messages.js';
 import { type AgentCandidate, AgentCandidates } from './agent-candidates.js';
 import { digestPart, type HomeRecord, judgeNews, wholeNews } from './home-record.js';
 import { LINK_CLASSES, type LinkClass, type OfferLink, Offers } from './offers.js';
@@ -115,7 +115,7 @@
     const base = this.#own.version++;
     const statuses = [...changed].map((id) => this.#own.agents.get(id)!);
     const home = this.#own.info.id;
-    const news: HomeNews = {
+    const news: HomeUpdate = {
       type: 'homeNews',
       home,
       info,
@@ -187,7 +187,7 @@
     }
   }
 
-  #onNews(link: OfferLink, news: HomeNews): void {
+  #onNews(link: OfferLink, news: HomeUpdate): void {
     const { home, version } = news;
     if (home === this.#own.info.id) return;
     const before = this.#offers.classesFor(home);
@@ -202,7 +202,7 @@
     }
   }
 
-  #apply(news: HomeNews): 'applied' | 'known' | 'gap' {
+  #apply(news: HomeUpdate): 'applied' | 'known' | 'gap' {
     const { home, info, base, version, statuses, gone } = news;
     const known = this.#records.get(home);
     const outcome = judgeNews(known, news);
--- a/test/forwarding/back-end-limits.test.ts
+++ b/test/forwarding/back-end-limits.test.ts
@@ -4,7 +4,7 @@
 import { readRateLimit } from '../../src/forwarding/rate-limit-notice.js';
 import { silentLog } from '../../src/observability/log.js';
 import { Metrics } from '../../src/observability/metrics.js';
-import type { LimitNews } from '../../src/protocol/limit-news.js';
+import type { RateLimitUpdate } from '../../src/protocol/rate-limit-update.js';
 
 const BACK_END = { id: 'b1', start: 100 };
 
@@ -74,7 +74,7 @@
 });
 
 describe('rate limit news', () => {
-  let news: LimitNews[];
+  let news: RateLimitUpdate[];
 
   beforeEach(() => {
     news = [];
--- a/test/forwarding/deadly-content-orders.test.ts
+++ b/test/forwarding/deadly-content-orders.test.ts
@@ -17,7 +17,7 @@
 import { seededRandom } from '../../src/model/random.js';
 import { silentLog } from '../../src/observability/log.js';
 import { Metrics } from '../../src/observability/metrics.js';
-import type { PoisonNews } from '../../src/protocol/poison-news.js';
+import type { PoisonUpdate } from '../../src/protocol/poison-update.js';
 
 const ENTRIES = 3;
 const CONTENT = ['by key', 'by tenant'];
@@ -124,7 +124,7 @@
     return running;
   }
 
-  #pass(from: SimulatedEntry, news: PoisonNews): void {
+  #pass(from: SimulatedEntry, news: PoisonUpdate): void {
     if (from.isCut || !this.entries.includes(from)) return;
     for (const other of this.entries)
       if (other !== from && !other.isCut) other.guard.takeNews(structuredClone(news));
--- a/test/peers/entry-peers.test.ts
+++ b/test/peers/entry-peers.test.ts
@@ -14,7 +14,7 @@
   ConnectionListener,
   createTrafficCounters,
 } from '../../src/protocol/connection.js';
-import type { PoisonNews } from '../../src/protocol/poison-news.js';
+import type { PoisonUpdate } from '../../src/protocol/poison-update.js';
 import type { EntryReport } from '../../src/protocol/reports.js';
 import { SilentProxy } from '../silent-proxy.js';
 import { NO_NEWS, until } from '../support.js';
@@ -165,15 +165,15 @@
 
 it('an entry that starts is sent all news, and so is the next process at its address', async () => {
   const [one, two] = await Promise.all([freeAddress(), freeAddress()]);
-  const known: PoisonNews = { type: 'notTried', fingerprint: 'f' };
+  const known: PoisonUpdate = { type: 'notTried', fingerprint: 'f' };
   const none = { takeNews: () => {}, allNews: () => [] };
   await startEntry('one', one, [two], {
     news: new PeerNews({ takeNews: () => {}, allNews: () => [known] }, none),
   });
   /** Starts the other entry and waits until it has been sent the news. */
   const hears = async (id: string) => {
-    const taken: PoisonNews[] = [];
-    const poison = { takeNews: (news: PoisonNews) => void taken.push(news), allNews: () => [] };
+    const taken: PoisonUpdate[] = [];
+    const poison = { takeNews: (news: PoisonUpdate) => void taken.push(news), allNews: () => [] };
     const entry = await startEntry(id, two, [one], { news: new PeerNews(poison, none) });
     await until(() => taken.length > 0, 'the news');
     expect(taken[0]).toEqual(known);
--- a/test/simulation/rate-limit-fleet.ts
+++ b/test/simulation/rate-limit-fleet.ts
@@ -13,7 +13,7 @@
 import { failure } from '../../src/model/result.js';
 import { silentLog } from '../../src/observability/log.js';
 import type { Metrics } from '../../src/observability/metrics.js';
-import type { LimitNews } from '../../src/protocol/limit-news.js';
+import type { RateLimitUpdate } from '../../src/protocol/rate-limit-update.js';
 import { type SlotDecision, SlotTable } from '../../src/systems/slot-table.js';
 
 const BACK_END = { id: 'back-end', start: 1 };
@@ -197,7 +197,7 @@
     for (const news of from.limits.allNews()) to.limits.takeNews(structuredClone(news), performance.now());
   }
 
-  #sendNews(from: Entry, news: LimitNews): void {
+  #sendNews(from: Entry, news: RateLimitUpdate): void {
     for (const to of this.#entries) {
       if (to === from || !this.#isReachable(from) || this.#isLost()) continue;
       this.#schedule(MAX_DELAY, () => {
