--- a/src/protocol/back-end-list-state.ts
+++ b/src/protocol/back-end-list-state.ts
@@ -1,30 +1,30 @@
-/** The platform's list of back ends as entries hand it to one another. */
+/** The platform's list of back ends, in the form in which entries exchange it. */
 import type { StoreRevision } from '../clients/store-revision.js';
 import type { BackEndIdentity } from '../model/back-end-identity.js';
 
-/** Layers of a model that a back end holds. */
+/** The contiguous range of model layers that a back end holds. */
 export interface HeldLayers {
   from: number;
-  /** The first layer after those held. */
+  /** Exclusive end of the range. */
   end: number;
   version: number;
 }
 
-/** One start of a back end, as it tells of itself. */
+/** The record that a back end publishes about itself; each start of the back end has one. */
 export interface BackEndRecord extends BackEndIdentity {
   service: string;
   address: string;
   zone: string;
-  /** Requests that it runs at the same time. */
+  /** Number of requests that it runs concurrently. */
   slots: number;
   leaving: boolean;
-  /** Undefined where the service has no weights, or none are held. */
+  /** Undefined if the service has no weights or the back end holds none. */
   layers: HeldLayers | undefined;
-  /** The store's revision of this record. */
+  /** Store revision of this record. */
   revision: StoreRevision;
 }
 
-/** The records as of `revision`. */
+/** A snapshot of the records at `revision`. */
 export interface BackEndListState {
   revision: number;
   records: BackEndRecord[];
--- a/src/protocol/codec.ts
+++ b/src/protocol/codec.ts
@@ -1,6 +1,6 @@
 /**
- * Encodes messages with MessagePack. The message's type goes as its number and its fields by position, so
- * that a message costs its content and not its field names; nested objects go as maps.
+ * Encodes messages with MessagePack. A message is sent as an array that starts with the number of its type and
+ * continues with its field values by position, so field names take no space; nested objects are sent as maps.
  */
 import { Packr } from 'msgpackr';
 import type { Stamp } from '../model/hybrid-clock.js';
@@ -12,18 +12,18 @@
   reason: string;
 }
 
-/** A message with the sender's causal clock, and what it took of the frame. */
+/** A message with the stamp of the sender's hybrid logical clock. */
 export interface StampedMessage {
   message: Message;
   stamp: Stamp;
 }
 
-/** The outcome of decoding one frame, which holds one message or several. */
+/** The result of decoding one frame, which holds one or more messages. */
 export type Decoded = { ok: true; messages: StampedMessage[] } | { ok: false; error: DecodeError };
 
 /**
- * Nested objects that are sent often: their field names are known on both sides and are not sent. Other objects
- * carry their names with them.
+ * MessagePack record structures of nested objects that are sent often: both sides know these field names, so they are not
+ * sent. Other objects are sent with their field names.
  */
 const RECORD_STRUCTURES = [
   ['id', 'address', 'place', 'region', 'zone'],
@@ -87,7 +87,7 @@
 const TYPES = Object.keys(MESSAGE_FIELDS) as Array<Message['type']>;
 const TYPE_NUMBERS = new Map(TYPES.map((type, index) => [type, index]));
 
-/** The bytes of `message`; `stamp` is the sender's causal clock. */
+/** Encodes `message`; `stamp` is the current stamp of the sender's clock. */
 export function encode(message: Message, stamp: Stamp): Buffer {
   const fields = message as unknown as Record<string, unknown>;
   const values = MESSAGE_FIELDS[message.type].map((name) => fields[name]);
@@ -96,7 +96,7 @@
   return packr.pack(values);
 }
 
-/** The messages in `frame`, one encoding after the other, or why there are none. */
+/** Decodes the concatenated messages in `frame`; a frame with one malformed message is rejected as a whole. */
 export function decode(frame: Uint8Array): Decoded {
   let encodings: unknown;
   try {
@@ -113,7 +113,7 @@
   return messages.length === 0 ? malformed('no message') : { ok: true, messages };
 }
 
-/** The message in these values, or what is wrong with them. */
+/** Builds a message from its decoded values, or returns the reason why they are malformed. */
 function messageOf(values: unknown): StampedMessage | string {
   if (!Array.isArray(values)) return 'not a sequence of fields';
   const type = TYPES[values[0] as number];
--- a/src/protocol/connection.ts
+++ b/src/protocol/connection.ts
@@ -1,6 +1,6 @@
 /**
- * Connections between the system's own processes: messages over WebSocket frames, a hello in both directions
- * first, and a heartbeat that ends a connection whose other side has gone silent.
+ * Connections between the system's own processes: messages in WebSocket frames. Both sides send a hello first, and a
+ * heartbeat closes a connection whose remote side has stopped sending.
  */
 import { createServer, type RequestListener, type Server } from 'node:http';
 import { type RawData, WebSocket, WebSocketServer } from 'ws';
@@ -13,29 +13,34 @@
 import { decode, encode } from './codec.js';
 import type { HelloMessage, Message } from './messages.js';
 
-/** Time between two heartbeats, in milliseconds. */
+/** Interval between heartbeats, in milliseconds. */
 const HEARTBEAT_INTERVAL = 1_000;
-/** A sign of life is asked for after this long without one, in milliseconds: timers may be early by some milliseconds. */
+/**
+ * Default idle time after which a ping is sent, in milliseconds. It is a little below the heartbeat interval because timers
+ * may fire some milliseconds early.
+ */
 const PING_AFTER_IDLE = 900;
-/** A connection on which nothing came for this long while this process ran is ended, unless its owner says otherwise, in
- * milliseconds. */
+/**
+ * Default time without received data, counting only time in which this process ran, after which a connection is closed, in
+ * milliseconds.
+ */
 const RECEIVE_TIMEOUT = 3_500;
-/** Time for the other side's hello, in milliseconds. */
+/** Time within which the remote hello must arrive, in milliseconds. */
 const HELLO_TIMEOUT = 2_000;
 /** Largest frame accepted, in bytes. */
 const MAX_FRAME_BYTES = 80 * 2 ** 20;
-/** Bytes that WebSocket and TCP/IP add to a frame. */
+/** Bytes that WebSocket, TCP and IP headers add to a frame. */
 const FRAME_OVERHEAD_BYTES = 46;
-/** Messages up to this size wait for others of the same turn of the event loop, to go in one frame, in bytes. */
+/** Messages up to this size, in bytes, are batched into one frame with others of the same event loop iteration. */
 const MAX_BATCHED_MESSAGE_BYTES = 16_384;
 
-/** The heartbeats of all connections of this process. */
+/** One ticker drives the heartbeats of all connections of this process. */
 const heartbeats = new Ticker(HEARTBEAT_INTERVAL);
 
-/** Why there is no connection. */
+/** Why a connection could not be established. */
 export type ConnectionError = { type: 'peerUnreachable'; address: string; reason: string };
 
-/** Bytes sent and received by one process, as it counts them. */
+/** Bytes sent and received by one process, by traffic class, and the number of malformed messages. */
 export interface TrafficCounters {
   controlSent: number;
   controlReceived: number;
@@ -48,7 +53,7 @@
 
 type TrafficClass = 'control' | 'chunks' | 'calls';
 
-/** A message as it goes to several connections: encoding it once costs less than once for each. */
+/** A message that is encoded once and sent on several connections. */
 export interface EncodedMessage {
   bytes: Buffer;
   trafficClass: TrafficClass;
@@ -59,7 +64,6 @@
   return { bytes: encode(message, clock.next()), trafficClass: trafficClassOf(message) };
 }
 
-/** Counters at zero. */
 export function createTrafficCounters(): TrafficCounters {
   return {
     controlSent: 0,
@@ -72,24 +76,24 @@
   };
 }
 
-/** What every connection of a process shares. */
+/** State shared by all connections of a process. */
 export interface ConnectionContext {
   clock: HybridClock;
   counters: TrafficCounters;
-  /** What this process says of itself; read anew for each connection. */
+  /** Creates the hello of this process; called for each connection, as its content may change. */
   hello: () => HelloMessage;
 }
 
-/** An open connection after both hellos. */
+/** A connection on which both hellos have been exchanged. */
 export class Connection {
-  /** What the other side said of itself. */
+  /** The hello of the remote side. */
   readonly remote: HelloMessage;
-  /** A sign of life is asked for after this long without one, in milliseconds. */
+  /** Idle time in either direction after which a ping is sent, in milliseconds. */
   pingAfterIdle = PING_AFTER_IDLE;
-  /** It is ended after this long without anything from the other side while this process ran, in milliseconds. */
+  /** Time without received data, counting only time in which this process ran, after which the connection is closed, in ms. */
   receiveTimeout = RECEIVE_TIMEOUT;
   onClose: () => void = () => {};
-  /** Called when the other side has answered a sign of life that was sent at the given time. */
+  /** Called when a pong arrives, with the time at which its ping was sent. */
   onPong: (sentAt: number) => void = () => {};
   readonly #socket: WebSocket;
   readonly #context: ConnectionContext;
@@ -100,11 +104,11 @@
   #lastPingAt = performance.now();
   #open = true;
   #handler: ((message: Message) => void) | undefined;
-  /** Encoded messages that go in the next frame. */
+  /** Encoded messages to be sent in the next frame. */
   #outgoing: Buffer[] = [];
-  /** What the next frame's overhead counts as. */
+  /** Traffic class to which the overhead of the next frame is counted. */
   #frameClass: TrafficClass = 'control';
-  /** Messages that came before there was a handler. */
+  /** Messages received before a handler was set. */
   #pending: Message[] = [];
 
   constructor(socket: WebSocket, remote: HelloMessage, context: ConnectionContext, dialled: boolean) {
@@ -125,34 +129,34 @@
   }
 
   /**
-   * Time since anything came in which this process ran, in milliseconds; the side that dialled sees to it that something
-   * does whenever it has been quiet for `pingAfterIdle`.
+   * Time since data was last received, counting only time in which this process ran, in milliseconds. It stays bounded on a
+   * healthy connection, because the dialling side sends a ping after `pingAfterIdle`.
    */
   get receiveIdleTime(): number {
     return heartbeats.runningTime(this.#lastReceivedAt, performance.now());
   }
 
-  /** Sets who handles messages; those that came before are handled at once. */
+  /** Sets the message handler and passes it the messages received so far. */
   handleMessages(handler: (message: Message) => void): void {
     this.#handler = handler;
     for (const message of this.#pending.splice(0)) this.#handle(handler, message);
   }
 
-  /** Bytes handed over and not yet taken by the operating system. */
+  /** Bytes queued for sending that the operating system has not accepted yet. */
   get bufferedBytes(): number {
     return this.#outgoing.reduce((sum, { byteLength }) => sum + byteLength, this.#socket.bufferedAmount);
   }
 
   /**
-   * Sends a message, in one frame with the others of this turn of the event loop: each frame costs both sides a turn.
-   * Returns false when the connection is gone.
+   * Sends a message. Messages of the same event loop iteration are batched into one frame, because each frame costs both
+   * sides an iteration. Returns false if the connection is closed.
    */
   send(message: Message): boolean {
     if (!this.#open) return false;
     return this.#enqueue(encode(message, this.#context.clock.next()), trafficClassOf(message));
   }
 
-  /** Sends a message that is encoded already; returns false when the connection is gone. */
+  /** Sends an encoded message; returns false if the connection is closed. */
   sendEncoded({ bytes, trafficClass }: EncodedMessage): boolean {
     return this.#open && this.#enqueue(bytes, trafficClass);
   }
@@ -168,7 +172,7 @@
     return true;
   }
 
-  /** Ends the connection at once. */
+  /** Flushes batched messages and terminates the connection without a closing handshake. */
   close(): void {
     this.#flush();
     this.#socket.terminate();
@@ -193,7 +197,7 @@
       counters.malformedMessages++;
       return this.close();
     }
-    // Messages of one frame share its bytes.
+    // The bytes of the frame are divided equally among its messages.
     const frameBytes = (data as Buffer).byteLength + FRAME_OVERHEAD_BYTES;
     const bytes = Math.round(frameBytes / decoded.messages.length);
     for (const { message, stamp } of decoded.messages) {
@@ -204,7 +208,7 @@
     }
   }
 
-  /** A message that its handler cannot take ends the connection, never the process. */
+  /** Closes the connection if the handler throws, so that a bad message cannot end the process. */
   #handle(handler: (message: Message) => void, message: Message): void {
     try {
       handler(message);
@@ -219,8 +223,8 @@
   }
 
   /**
-   * The side that dialled asks for a sign of life when either direction has been quiet; an agent always asks its
-   * entry, since it must know that it is still known there.
+   * Runs at each heartbeat. The dialling side sends a ping if either direction has been idle; an agent always pings its home
+   * entry, because it must know that the entry still considers it connected.
    */
   #sendHeartbeat(): void {
     const now = performance.now();
@@ -239,7 +243,7 @@
     return heartbeats.runningTime(this.#lastReceivedAt, now) > this.receiveTimeout;
   }
 
-  /** Ends the connection unless something waits to be read: timers come before what has arrived meanwhile. */
+  /** Closes the connection unless data is waiting to be read: timers run before sockets are read. */
   #closeIfTimedOut(): void {
     setImmediate(() => {
       if (this.#open && this.#isTimedOut(performance.now())) this.close();
@@ -252,7 +256,7 @@
     this.#context.counters.controlReceived += FRAME_OVERHEAD_BYTES;
   }
 
-  /** The WebSocket library answers each ping by itself. */
+  /** Counts a ping and its pong, which the WebSocket library sends by itself. */
   #handlePing(): void {
     this.#noteReceived();
     this.#context.counters.controlReceived += FRAME_OVERHEAD_BYTES;
@@ -289,7 +293,7 @@
   });
 }
 
-/** Accepts connections at `address`. */
+/** Accepts connections at `address` (`host:port`). */
 export class ConnectionListener implements Startable {
   readonly #address: string;
   readonly #context: ConnectionContext;
@@ -298,7 +302,7 @@
   #http: Server | undefined;
   #sockets: WebSocketServer | undefined;
 
-  /** @param onRequest - answers plain HTTP requests at the same address */
+  /** @param onRequest - handles plain HTTP requests at the same address */
   constructor(
     address: string,
     context: ConnectionContext,
@@ -345,7 +349,7 @@
   }
 }
 
-/** Takes the first message, which must be a hello; reports a connection or the reason for none. */
+/** Waits for the first message, which must be a hello; calls `done` with the connection or the reason for the failure. */
 function awaitHello(
   socket: WebSocket,
   context: ConnectionContext,
@@ -360,10 +364,10 @@
     socket.terminate();
     done(reason);
   };
-  // A hello that has arrived by then is read first.
-  const limit = startLimit(HELLO_TIMEOUT, () => setImmediate(() => fail('no hello in time')));
+  // Sockets are read before the immediate runs, so a hello that has arrived by then is still accepted.
+  const limit = startLimit(HELLO_TIMEOUT, () => setImmediate(() => fail('no hello within the time limit')));
   socket.on('error', (cause) => fail(String(cause)));
-  socket.once('close', () => fail('closed before the hello'));
+  socket.once('close', () => fail('connection closed before the hello'));
   socket.once('message', (data) => {
     const decoded = decode(data as Buffer);
     const first = decoded.ok ? decoded.messages[0] : undefined;
--- a/src/protocol/datagrams.ts
+++ b/src/protocol/datagrams.ts
@@ -1,6 +1,7 @@
 /**
- * Messages as datagrams, for what is worth nothing when it is late: they may be lost, and are not sent again. Between
- * hundreds of entries and agents that each speak to every other one, they spare a connection and its heartbeats a pair.
+ * Sends messages as UDP datagrams, for content that is useless when it arrives late: datagrams may be lost and are not
+ * retransmitted. With hundreds of entries and agents that all talk to one another, this avoids a connection with heartbeats
+ * for each pair.
  */
 import { createSocket, type RemoteInfo, type Socket } from 'node:dgram';
 import type { Startable } from '../model/startable.js';
@@ -8,10 +9,10 @@
 import type { ConnectionContext } from './connection.js';
 import type { Message } from './messages.js';
 
-/** Bytes that UDP and IP add to a datagram. */
+/** Bytes that UDP and IP headers add to a datagram. */
 const DATAGRAM_OVERHEAD_BYTES = 28;
 
-/** Takes a message and `host:port` of its sender. */
+/** Handles a message; `from` is the `host:port` of its sender. */
 export type DatagramHandler = (message: Message, from: string) => void;
 
 /** Sends and receives messages at one address. */
@@ -20,7 +21,7 @@
   readonly #context: ConnectionContext;
   readonly #handler: DatagramHandler;
   #socket: Socket | undefined;
-  /** Datagrams that have not been handed to the system yet. */
+  /** Number of datagrams not yet handed to the operating system. */
   #unsent = 0;
   #onAllSent: (() => void) | undefined;
 
@@ -31,7 +32,7 @@
     this.#handler = handler;
   }
 
-  /** Throws where the address cannot be had. */
+  /** Throws if the address cannot be bound. */
   async start(): Promise<void> {
     const [address, port] = this.#address.split(':');
     const socket = createSocket('udp4');
@@ -41,12 +42,12 @@
       socket.bind({ address, port: Number(port), exclusive: true }, resolve);
     });
     socket.removeAllListeners('error');
-    // A datagram that could not be sent is lost, as others are: whoever waits for an answer goes without.
+    // A datagram that cannot be sent counts as lost; senders must cope with missing answers anyway.
     socket.on('error', () => {});
     this.#socket = socket;
   }
 
-  /** Sends what was to be sent before: what an entry says last gives back all that it had asked for. */
+  /** Waits until queued datagrams are sent: the last message of an entry releases all slots that it had asked for. */
   async stop(): Promise<void> {
     const socket = this.#socket;
     this.#socket = undefined;
@@ -57,7 +58,7 @@
     socket?.close();
   }
 
-  /** Sends `message` to `host:port`; it may be lost. */
+  /** Sends `message` to `host:port` without a delivery guarantee. */
   send(to: string, message: Message): void {
     if (this.#socket === undefined) return;
     const { clock, counters } = this.#context;
--- a/src/protocol/fleet-messages.ts
+++ b/src/protocol/fleet-messages.ts
@@ -1,25 +1,24 @@
-/** What entries and agents of directly called back ends tell one another. */
+/** Messages between entries and agents of back ends that entries call directly. */
 import type { BackEndListState } from './back-end-list-state.js';
 import type { PoisonUpdate } from './poison-update.js';
 import type { RateLimitUpdate } from './rate-limit-update.js';
 import type { EngineReport, EntryReport, WeightsPlan } from './reports.js';
 import type { StoreUpdate } from './store-update.js';
 
-/** Messages of these processes. */
 export type FleetMessage =
   | { type: 'entryReport'; report: EntryReport }
-  /** Addresses of entries that the sender hears. */
+  /** Addresses of entries from which the sender receives reports. */
   | { type: 'entryAddresses'; addresses: string[] }
-  /** Asks for what the sender lacks. */
+  /** Requests the state that the sender lacks. */
   | { type: 'fleetWanted'; configuration: boolean; backEnds: boolean }
-  /** The configuration as the operator wrote it. */
+  /** The configuration document as written by the operator. */
   | { type: 'fleetConfiguration'; document: Uint8Array }
   | { type: 'fleetBackEnds'; state: BackEndListState }
-  /** What the sender has read of the store, for the others of its zone. */
+  /** Store changes that the sender has read, for the other entries of its zone. */
   | { type: 'storeNews'; news: StoreUpdate }
-  /** Of contents under which back ends crash. */
+  /** Updates about request contents that crash back ends. */
   | { type: 'poisonNews'; news: PoisonUpdate[] }
-  /** Of rate limits that back ends name or lift. */
+  /** Updates about rate limits that back ends set or lift. */
   | { type: 'limitNews'; news: RateLimitUpdate[] }
   | { type: 'engineReport'; report: EngineReport }
   | { type: 'weightsPlan'; plan: WeightsPlan };
--- a/src/protocol/messages.ts
+++ b/src/protocol/messages.ts
@@ -1,6 +1,6 @@
 /**
- * The messages between the system's own processes. Every message is an object with a `type`; the codec sends
- * the fields in the order given in {@link MESSAGE_FIELDS}, without their names.
+ * The messages between the system's own processes. Every message is an object with a `type`; the codec encodes
+ * the fields in the order of {@link MESSAGE_FIELDS}, without their names.
  */
 
 import type { Row } from '../clients/table-service.js';
@@ -12,24 +12,23 @@
 import type { FleetMessage } from './fleet-messages.js';
 import type { SlotMessage } from './slot-messages.js';
 
-/** Short name of a version on the wire: the first 48 bits of its digest. Chunks are verified all the same. */
+/** Short identifier of a version on the wire: the first 48 bits of its digest. Chunks are verified by digest regardless. */
 export type TransferKey = number;
 
 const TRANSFER_KEY_DIGITS = 12;
 
-/** The short name of `version`. */
 export function transferKeyOf(version: Digest): TransferKey {
   return Number.parseInt(version.slice(0, TRANSFER_KEY_DIGITS), 16);
 }
 
-/** First message on every connection: who the connecting process is. */
+/** First message in each direction of a connection: identifies the sending process. */
 export interface HelloMessage {
   type: 'hello';
   role: 'agent' | 'entry';
   peer: PeerInfo;
 }
 
-/** Chunk exchange between agents. */
+/** Messages of the chunk exchange between agents. */
 export type ExchangeMessage =
   | { type: 'greet'; transfer: TransferKey; have: Uint8Array }
   | { type: 'announce'; transfer: TransferKey; chunks: number[]; queueLength: number }
@@ -38,7 +37,7 @@
   | { type: 'refuse'; transfer: TransferKey; chunk: number; reason: RefusalReason; queueLength: number }
   | { type: 'chunk'; transfer: TransferKey; chunk: number; queueLength: number; data: Uint8Array };
 
-/** Between an agent and the coordinator of a burst. */
+/** Messages between an agent and the coordinator of a burst. */
 export type BurstMessage =
   | { type: 'join'; version: Digest; chunkCount: number; objective: Objective; have: Uint8Array }
   | { type: 'leave'; version: Digest }
@@ -53,48 +52,48 @@
   | { type: 'neighbours'; transfer: TransferKey; peers: PeerInfo[] }
   | { type: 'grant'; transfer: TransferKey; grant: Grant };
 
-/** How far an agent is with one version. */
+/** An agent's progress in loading one version. */
 export interface VersionProgress {
   version: Digest;
-  /** Bytes of it in memory. */
+  /** Bytes of the version in memory. */
   bytesHeld: number;
   bytesTotal: number;
-  /** True when the engine itself reports this version as loaded. */
+  /** True if the engine itself reports this version as loaded. */
   ready: boolean;
-  /** What stands in the way, empty where nothing does. */
+  /** Why progress is blocked; empty if it is not. */
   problem: string;
 }
 
-/** What an agent tells of itself. */
+/** The status that an agent reports. */
 export interface AgentStatus {
-  /** Grows with each status of the same process. */
+  /** Increases with each status of the same process. */
   sequence: number;
   info: PeerInfo;
   /** Address of the agent's HTTP interface for operators. */
   operatorAddress: string;
   backEnd: 'engine' | 'service';
-  /** Name of the plain service, or of the machine's pool of engines. */
+  /** Name of the plain service, or of the engine pool of the machine. */
   pool: string;
   leaving: boolean;
   versions: VersionProgress[];
   /** Requests in progress at the back end. */
   active: number;
-  /** Requests that the back end runs at the same time. */
+  /** Number of requests that the back end runs concurrently. */
   capacity: number;
-  /** For a service: the owners' list that this process follows, and for how long it has. */
+  /** For a service: the owners' list that this process has adopted, and for how long. */
   ownership: OwnershipClaim | undefined;
 }
 
-/** What an agent says of its part in owning keys. */
+/** The state of key ownership that an agent reports. */
 export interface OwnershipClaim {
   epoch: number;
-  /** Time for which this process has followed the list of this epoch, in milliseconds. */
+  /** Time since this process adopted the list of this epoch, in milliseconds. */
   heldFor: number;
-  /** True when it takes no keys any more that move under the list to come. */
+  /** True if the process no longer accepts calls for keys that move to another owner under the next list. */
   movesAcknowledged: boolean;
 }
 
-/** What one agent is to do, as decided by the placement duty. */
+/** A version that an agent must load and serve, as decided by the placement duty. */
 export interface Assignment {
   deployment: string;
   tenant: string;
@@ -103,11 +102,11 @@
   places: string[];
   priority: number;
   objective: Objective;
-  /** Revision of the declaration that the assignment follows; it fences orders to the engine. */
+  /** Revision of the declaration behind the assignment; fences orders to the engine. */
   revision: number;
 }
 
-/** Between an agent and its home entry. */
+/** Messages between an agent and its home entry. */
 export type HomeMessage =
   | { type: 'status'; status: AgentStatus }
   | {
@@ -115,14 +114,14 @@
       revision: number;
       assignments: Assignment[];
       entries: EntryInfo[];
-      /** For the agent of a service: who owns its keys. */
+      /** For the agent of a service: the owners of its keys. */
       owners: OwnersRow | undefined;
     }
   | { type: 'fetchManifest'; version: Digest }
   | { type: 'manifest'; version: Digest; manifest: Manifest }
   | { type: 'manifestUnavailable'; version: Digest; reason: string };
 
-/** An entry as its peers and agents know it. */
+/** Public information about an entry. */
 export interface EntryInfo {
   id: string;
   /** `host:port` for the system's own processes. */
@@ -132,56 +131,56 @@
   place: string;
   zone: string;
   leaving: boolean;
-  /** Grows with each change of what the same process says. */
+  /** Increases with each change of this information by the same process. */
   sequence: number;
 }
 
-/** What changes often about an agent: told inside a zone only. */
+/** Frequently changing state of an agent; sent only within a zone. */
 export interface AgentLoad {
   id: string;
   /** Requests in progress. */
   active: number;
-  /** Bytes held of each version, in the order of the agent's status. */
+  /** Bytes held of each version, in the order of `versions` in the agent's status. */
   held: number[];
 }
 
-/** A change of an entry's record of itself, from version `base` (0: nothing known) to `version`. */
+/** A change of an entry's own record from version `base` (0: none) to `version`. */
 export interface HomeUpdate {
   type: 'homeNews';
-  /** Identity of the entry. */
+  /** Identity of the entry that the record describes. */
   home: string;
-  /** Present in a whole record, and when it changed. */
+  /** Present in a full record, and in an update if it changed. */
   info: EntryInfo | undefined;
   base: number;
   version: number;
-  /** Agents homed there that are new or changed, without their loads. */
+  /** New and changed agents with this home, without their loads. */
   statuses: AgentStatus[];
-  /** Identities of agents that are not homed there any more. */
+  /** Identities of agents that no longer have this home. */
   gone: string[];
 }
 
-/** Between entries: who there is. */
+/** Membership messages between entries. */
 export type MembershipMessage =
   | HomeUpdate
-  /** The sender offers these homes' records no more; `died`: their zone has seen them go. */
+  /** The sender no longer offers the records of these homes; `died` is true if their own zone has seen them go. */
   | { type: 'homesGone'; homes: string[]; died: boolean }
-  /** A digest, for each zone, of the versions that the sender offers on this link. */
+  /** For each zone, a digest of the record versions that the sender offers on this link. */
   | { type: 'homesDigest'; digests: Array<[zone: string, digest: number]> }
-  /** Asks for the versions offered of a zone. */
+  /** Requests the list of record versions offered for a zone. */
   | { type: 'homesWanted'; zone: string }
   | { type: 'homesOffered'; zone: string; homes: Array<[home: string, version: number]> }
-  /** Asks for the whole record of a home. */
+  /** Requests the full record of a home. */
   | { type: 'homeWanted'; home: string };
 
-/** Between entries. */
+/** Messages between entries. */
 export type EntryMessage =
   | MembershipMessage
-  /** Loads of agents, inside a zone. */
+  /** Loads of agents, sent within a zone. */
   | { type: 'agentLoads'; loads: AgentLoad[] }
   /** Rows of the platform's tables that changed after revision `base`. */
   | { type: 'configuration'; base: number; revision: number; rows: Row[] };
 
-/** What a call that may not be repeated carries. */
+/** Additional data of a call that must not run twice. */
 export interface OnceCall extends KeyedCall {
   /** Epoch of the owners' list by which the agent was chosen. */
   epoch: number;
@@ -194,28 +193,28 @@
   | 'wrongVersion'
   | 'notReady'
   | 'backEndUnreachable'
-  /** The agent does not own the key, or not under that epoch. */
+  /** The agent does not own the key under the epoch of the call. */
   | 'notOwner';
 
-/** One caller's request, between an entry and an agent. */
+/** Messages about one caller's request, between an entry and an agent. */
 export type CallMessage =
   | {
       type: 'call';
       callId: string;
       attempt: number;
-      /** Version that must answer, or empty for a plain service. */
+      /** Version that must serve the call; empty for a plain service. */
       version: Digest;
       method: string;
       path: string;
       contentType: string;
       body: Uint8Array;
-      /** Time left for the whole answer, in milliseconds. */
+      /** Time left until the answer must be complete, in milliseconds. */
       timeLeft: number;
-      /** For a call that may not be repeated. */
+      /** Set for a call that must not run twice. */
       once: OnceCall | undefined;
     }
   | { type: 'callCancel'; callId: string; attempt: number }
-  /** The caller has taken bytes of the answer: as many more may be sent. */
+  /** Flow control: the caller has consumed this many bytes of the answer, so as many more may be sent. */
   | { type: 'callTaken'; callId: string; attempt: number; bytes: number }
   | { type: 'callHead'; callId: string; attempt: number; status: number; contentType: string }
   | { type: 'callData'; callId: string; attempt: number; sequence: number; data: Uint8Array }
@@ -230,7 +229,7 @@
     }
   | { type: 'callFailed'; callId: string; attempt: number; reason: string; ran: 'no' | 'yes' | 'unknown' };
 
-/** Any message between the system's processes. */
+/** Any message between the system's own processes. */
 export type Message =
   | HelloMessage
   | ExchangeMessage
@@ -242,7 +241,7 @@
   | SlotMessage
   | { type: 'ping' };
 
-/** Names of the fields of each message, in wire order. A change here is a change of the protocol. */
+/** Field names of each message in wire order. A change here changes the protocol. */
 export const MESSAGE_FIELDS: { [T in Message['type']]: ReadonlyArray<string> } = {
   hello: ['type', 'role', 'peer'],
   greet: ['type', 'transfer', 'have'],
--- a/src/protocol/reports.ts
+++ b/src/protocol/reports.ts
@@ -1,56 +1,56 @@
-/** What entries and agents of directly called back ends tell one another of themselves. */
+/** Reports about themselves that entries and agents of directly called back ends exchange. */
 import type { BackEndIdentity } from '../model/back-end-identity.js';
 
-/** One version of a model that was named. */
+/** A version of a model that the configuration or the operator names. */
 export interface NamedVersion {
   model: string;
   version: number;
-  /** It was not named before this, in milliseconds of the store's clock; minus infinity where nothing is known. */
+  /** Earliest time at which it can have been named, in milliseconds of the store's clock; -Infinity if unknown. */
   notBefore: number;
 }
 
-/** Requests in flight at a back end from one entry. */
+/** Number of requests that one entry has in flight at a back end. */
 export interface BackEndLoad extends BackEndIdentity {
   inFlight: number;
 }
 
-/** What a process holds of a version of weights. */
+/** The pieces of a weights version that a process holds. */
 export interface HeldPieces {
   model: string;
   version: number;
   count: number;
-  /** One bit a piece. */
+  /** Bitmap with one bit per piece. */
   have: Uint8Array;
-  /** Pieces that are on their way from the origin: nobody else is to draw them meanwhile. */
+  /** Pieces being fetched from the origin; other processes should not fetch them there meanwhile. */
   drawing: number[];
-  /** Parts that are known to lie in the object store. */
+  /** Parts known to be in the object store. */
   stored: number[];
 }
 
-/** The state of the engine beside an agent. */
+/** The state of an agent's engine. */
 export interface EngineReport {
-  /** The start of the engine that all of this is about; undefined where it does not tell it. */
+  /** The start of the engine to which this report applies; undefined if the engine does not report it. */
   start?: BackEndIdentity['start'];
-  /** The start of the engine before this one, where the agent has seen it: it tells the order where a clock stepped back. */
+  /** The previous start of the engine, if the agent has seen it. It gives the order of starts if a clock stepped back. */
   follows?: BackEndIdentity['start'];
-  /** Address at which the engine takes requests. */
+  /** Address at which the engine accepts requests. */
   address: string;
-  /** `host:port` at which its agent is asked for slots of it. */
+  /** `host:port` at which its agent accepts requests for slots of the engine. */
   slotAddress: string;
-  /** Version whose layers are all there; 0 for none, or where that is not known. */
+  /** Version of which all layers are loaded; 0 if there is none or it is unknown. */
   version: number;
-  /** The engine answers its agent: what is told of it is what it holds, whatever the list of back ends says. */
+  /** The engine answers its agent, so this report takes precedence over the list of back ends. */
   isReached: boolean;
   isSwitching: boolean;
-  /** Requests of all callers that run or wait there. */
+  /** Requests of all callers that run or wait at the engine. */
   load: number;
-  /** Time until it is to be ordered to take another version, in milliseconds; undefined where none is due. */
+  /** Time until the engine is ordered to switch to another version, in milliseconds; undefined if no switch is due. */
   switchesIn: number | undefined;
-  /** What the agent holds. */
+  /** Pieces that the agent holds. */
   held: HeldPieces[];
 }
 
-/** What an entry tells of itself, several times a second. */
+/** The report that an entry sends about itself several times per second. */
 export interface EntryReport {
   id: string;
   /** `host:port` for the system's own processes. */
@@ -59,44 +59,47 @@
   callerAddress: string;
   zone: string;
   region: string;
-  /** Rate of its link in Mbit/s; 0 where it does not know it. */
+  /** Rate of its network link in Mbit/s; 0 if unknown. */
   linkRate: number;
-  /** It takes requests of callers. */
+  /** It accepts requests from callers. */
   isReady: boolean;
   configurationRevision: number;
   backEndsRevision: number;
-  /** The store's time as it is told, in milliseconds; minus infinity where the sender does not know it. */
+  /** Store time when the report is sent, in milliseconds; -Infinity if the sender does not know it. */
   storeTime: number;
   versions: NamedVersion[];
-  /** Most entries that it has known since its start, or was told of by another. */
+  /** Largest number of entries that it has known since its start, or that another entry has reported. */
   entriesKnown: number;
   /** Requests in flight, by back end. */
   loads: BackEndLoad[];
   held: HeldPieces[];
-  /** Engines whose agents are connected to it. */
+  /** Engines whose agents are connected to this entry. */
   engines: EngineReport[];
 }
 
-/** What an agent is to know. */
+/** State that an agent needs to load and distribute weights. */
 export interface WeightsPlan {
-  /** The versions that matter, as the configuration and the operator name them. */
+  /** The versions that the configuration and the operator name. */
   versions: NamedVersion[];
-  /** The store's time as it is told, in milliseconds; minus infinity where the sender does not know it. */
+  /** Store time when the plan is sent, in milliseconds; -Infinity if the sender does not know it. */
   storeTime: number;
-  /** Time in which a named version must serve everywhere, in milliseconds. */
+  /** Time within which a named version must be served everywhere, in milliseconds. */
   bound: number;
-  /** Address of the origin, empty for none. */
+  /** Address of the origin; empty if there is none. */
   origin: string;
   /** Number of layers of a model. */
   layers: number;
-  /** The engine's number among those of its zone that hold a version. */
+  /** Index of the engine among those of its zone that hold a version. */
   position: number;
-  /** All requests that run at the engine are known to be able to go on at others. Agents of earlier releases drop them then. */
+  /**
+   * All requests that run at the engine can continue at other engines. Agents of earlier releases drop the requests if this is
+   * set.
+   */
   canMoveRequests: boolean;
-  /** What entries hold, those of the agent's zone marked as near. */
+  /** Pieces that entries hold; entries of the agent's zone are marked as near. */
   holders: Array<{ address: string; isNear: boolean; held: HeldPieces[] }>;
-  /** Entries of all zones, of the agent's own first. */
+  /** Entries of all zones, those of the agent's own zone first. */
   entries: string[];
-  /** The first of them is in the agent's own zone. */
+  /** The first of `entries` is in the agent's own zone. */
   hasNearEntry: boolean;
 }
--- a/src/protocol/slot-messages.ts
+++ b/src/protocol/slot-messages.ts
@@ -1,10 +1,13 @@
-/** What entries and agents say of the slots of engines. */
+/** Messages between entries and agents about slots of engines. */
 
 import type { SlotStatement } from '../systems/slot-claims.js';
 
-/** Messages about slots. `id` names a request of one entry; with the sender's address it names it among all. */
+/** `id` identifies a slot request within one entry; together with the address of the entry it is globally unique. */
 export type SlotMessage =
-  /** An entry asks for a slot; times in milliseconds: for how long its caller waits so far, and for how long it will. */
+  /**
+   * An entry requests a slot. `waitedFor` is the time for which its caller has waited, `patience` the time for which it will
+   * wait, both in milliseconds.
+   */
   | {
       type: 'slotAsked';
       id: number;
@@ -12,22 +15,25 @@
       waitedFor: number;
       patience: number;
       slots: number;
-      /** Rate limit of the engine in requests per second, if the entry knows one. */
+      /** Rate limit of the engine, in requests per second; undefined if the entry knows none. */
       rateLimit: number | undefined;
     }
-  /** The entry no longer needs the slot or no longer waits for one; `wasUsed` is false if nothing was sent with it. */
+  /** The entry releases the slot or cancels its request; `wasUsed` is false if no request was sent with the slot. */
   | { type: 'slotReleased'; id: number; wasUsed: boolean }
   /** The engine has answered the request that holds the slot; `rateLimit` is undefined if the answer names none. */
   | { type: 'slotAnswered'; id: number; rateLimit: number | undefined }
-  /** All that the entry has open at the agent, told now and then. */
+  /** All slot requests that the entry has open at the agent, sent periodically because messages may be lost. */
   | ({ type: 'slotsStated' } & SlotStatement)
-  /** The agent's answer: the slot is the request's, it waits for one, or it is to go elsewhere; or the agent gives none out yet. */
+  /** The agent grants a slot to the request. */
   | {
       type: 'slotGranted';
       id: number;
-      /** The agent knows of a rate limit, so the entry also reports an answer that names none. */
+      /** The agent knows a rate limit, so the entry must also report answers that name none. */
       isLimited: boolean;
     }
+  /** The request waits in the agent's queue. */
   | { type: 'slotQueued'; id: number }
+  /** The agent refuses the request; the entry should try another back end. */
   | { type: 'slotRefused'; id: number }
+  /** The agent does not grant slots yet. */
   | { type: 'slotUnready'; id: number };
--- a/src/protocol/store-update.ts
+++ b/src/protocol/store-update.ts
@@ -1,23 +1,23 @@
-/** What the one entry of a zone that reads the store passes on to the others. */
+/** Store changes that the one entry of a zone that reads the store forwards to the others. */
 import type { StoredRow } from '../clients/watched-tables.js';
 
-/** The tables that are followed. */
+/** The store tables whose changes are followed. */
 export type FollowedTable = 'operator' | 'backEnds';
 
-/** What is new in a table, as one who reads it passes it on. */
+/** Changes of a table, as forwarded by the process that reads it. */
 export interface TableUpdate {
-  /** The news follow on what was known as of this revision. */
+  /** Revision to which the changes apply. */
   after: number;
   revision: number;
   storeTime: number;
-  /** What is new was written after this, in milliseconds of the store's clock. */
+  /** The changes were written after this time, in milliseconds of the store's clock. */
   since: number;
   rows: StoredRow[];
 }
 
-/** What is new in the store, as one process passes it on to others. */
+/** Changes of one store table, as sent to other processes. */
 export interface StoreUpdate extends TableUpdate {
   table: FollowedTable;
-  /** Back ends that seem to be gone are kept for this long yet, in milliseconds. */
+  /** Time for which back ends that seem to be gone are still kept, in milliseconds. */
   holdsRemovalsFor: number;
 }
--- a/test/protocol/codec.test.ts
+++ b/test/protocol/codec.test.ts
@@ -19,7 +19,7 @@
 
 describe('the codec', () => {
   it.each(MESSAGES.map((message) => [message.type, message] as const))(
-    'brings %s back as it was',
+    'decodes %s to what was encoded',
     (_, message) => {
       const decoded = decode(encode(message, 42));
       expect(decoded).toMatchObject({ ok: true, messages: [{ stamp: 42 }] });
@@ -32,7 +32,7 @@
     },
   );
 
-  it('brings several messages in one frame back in their order', () => {
+  it('decodes several messages of one frame in their order', () => {
     const frame = Buffer.concat(MESSAGES.map((message, index) => encode(message, index)));
     const decoded = decode(frame);
     expect(decoded).toMatchObject({ ok: true });
@@ -41,17 +41,17 @@
     expect(back.map(({ stamp }) => stamp)).toEqual(MESSAGES.map((_, index) => index));
   });
 
-  it('takes no frame of which one message is malformed', () => {
+  it('rejects a frame with one malformed message', () => {
     const frame = Buffer.concat([encode({ type: 'ping' }, 1), Buffer.from([0x91, 0xcc, 0xff])]);
     expect(decode(frame)).toMatchObject({ ok: false });
   });
 
-  it('keeps the messages that are sent most often small', () => {
+  it('encodes a chunk request, one of the most frequent messages, in 32 bytes or fewer', () => {
     const request: Message = { type: 'request', transfer: 2 ** 47, chunk: 500, have: 400, urgent: false };
     expect(encode(request, 1.8e15).byteLength).toBeLessThanOrEqual(32);
   });
 
-  it('takes any bytes without throwing', () => {
+  it('decodes arbitrary bytes without throwing', () => {
     fc.assert(
       fc.property(fc.uint8Array({ maxLength: 64 }), (bytes) => {
         const decoded = decode(bytes);
@@ -64,8 +64,8 @@
   });
 });
 
-describe('the time line', () => {
-  it('puts an effect after its cause, whatever the clocks say', () => {
+describe('the timeline', () => {
+  it('orders an effect after its cause even if the clocks disagree', () => {
     const ahead = new HybridClock(() => 2_000);
     const behind = new HybridClock(() => 1_000);
     const first = new Timeline('ahead', ahead);
@@ -77,7 +77,7 @@
     expect(merged.map(({ event }) => 'role' in event && event.role)).toEqual(['cause', 'effect']);
   });
 
-  it('keeps only the latest events', () => {
+  it('keeps only the most recent events', () => {
     const timeline = new Timeline('a', new HybridClock(), 3);
     for (let epoch = 0; epoch < 10; epoch++) timeline.record({ type: 'leaseLost', duty: 'd', epoch });
     expect(timeline.entries().map(({ event }) => 'epoch' in event && event.epoch)).toEqual([7, 8, 9]);
--- a/test/protocol/connection.test.ts
+++ b/test/protocol/connection.test.ts
@@ -4,10 +4,10 @@
 import { type Connection, ConnectionListener } from '../../src/protocol/connection.js';
 import { contextAt, standStill, until } from '../support.js';
 
-/** Longer than the silence after which a connection is ended, in milliseconds. */
+/** Longer than the default receive timeout of a connection, in milliseconds. */
 const STANDSTILL = 4_500;
 
-/** The other side, in a thread of its own: says hello, and pings every 300 ms whatever this thread does. */
+/** The remote side, in a worker thread: sends a hello, then pings every 300 ms even while the main thread is blocked. */
 const REMOTE = `
   const { workerData } = require('node:worker_threads');
   const { WebSocket } = require('ws');
@@ -44,7 +44,7 @@
 });
 
 describe('Connection', () => {
-  it('outlives a time in which this process itself stood still', async () => {
+  it('stays open after this process itself was blocked for longer than the receive timeout', async () => {
     const connection = await acceptFrom(true);
     await pause(1_200);
     standStill(STANDSTILL);
@@ -52,7 +52,7 @@
     expect(connection.open).toBe(true);
   });
 
-  it('ends when the other side is silent while this process runs', async () => {
+  it('closes when the remote side sends nothing while this process runs', async () => {
     const connection = await acceptFrom(false);
     await until(() => !connection.open, 'the end of the connection');
     expect(connection.open).toBe(false);
