--- a/src/cli/losses.ts
+++ b/src/cli/losses.ts
@@ -1,6 +1,6 @@
 /** `thistleway losses`: when service was lost in a run, and for which reasons. */
 import { Command, Option } from 'clipanion';
-import { crashLosses, formatCrashes } from '../observability/crash-losses.js';
+import { formatCrashes, summarizeCrashes } from '../observability/crash-summary.js';
 import { formatLosses, lossTable, switchOutages } from '../observability/loss-table.js';
 import { formatSlotUses, slotUses } from '../observability/slot-use.js';
 import { ThistlewayCommand } from './command.js';
@@ -28,7 +28,7 @@
       this.context.stderr.write('no line tells of a request\n');
       return EXIT_UNKNOWN;
     }
-    const losses = [...formatLosses(rows, switchOutages(lines)), ...formatCrashes(crashLosses(lines))];
+    const losses = [...formatLosses(rows, switchOutages(lines)), ...formatCrashes(summarizeCrashes(lines))];
     const slots = formatSlotUses(slotUses(lines, step));
     this.context.stdout.write(`${[...losses, ...slots].join('\n')}\n`);
     return 0;
--- a/src/observability/bounded-output.ts
+++ b/src/observability/bounded-output.ts
@@ -4,10 +4,10 @@
  */
 
 /** Lines of one kind a second. */
-const LINES_OF_KIND = 40;
-const WINDOW = 1_000;
+const MAX_LINES_PER_WINDOW = 40;
+const WINDOW_MS = 1_000;
 /** Bytes that may wait to be read. */
-const WAITING_BYTES = 262_144;
+const MAX_BUFFERED_BYTES = 262_144;
 
 /** Where lines go: a stream that takes what it is given and tells how much waits. */
 export interface LineStream {
@@ -19,8 +19,8 @@
 export class BoundedOutput {
   readonly #stream: LineStream;
   readonly #clock: () => number;
-  readonly #counts = new Map<string, number>();
-  readonly #leftOut = new Map<string, number>();
+  readonly #lineCounts = new Map<string, number>();
+  readonly #omittedCounts = new Map<string, number>();
   #windowStart = Number.NEGATIVE_INFINITY;
 
   constructor(stream: LineStream, clock: () => number = () => performance.now()) {
@@ -30,32 +30,32 @@
 
   /** Writes a line of a kind, or counts it as left out. */
   write(kind: string, line: string): void {
-    if (this.admits(kind)) this.put(line);
+    if (this.admits(kind)) this.writeAdmitted(line);
   }
 
   /** Whether one more line of a kind may be written; where not, it counts as left out. */
   admits(kind: string): boolean {
     const now = this.#clock();
-    if (now - this.#windowStart >= WINDOW) this.#beginWindow(now);
-    const count = (this.#counts.get(kind) ?? 0) + 1;
-    this.#counts.set(kind, count);
-    if (count <= LINES_OF_KIND && this.#stream.writableLength < WAITING_BYTES) return true;
-    this.#leftOut.set(kind, (this.#leftOut.get(kind) ?? 0) + 1);
+    if (now - this.#windowStart >= WINDOW_MS) this.#beginWindow(now);
+    const count = (this.#lineCounts.get(kind) ?? 0) + 1;
+    this.#lineCounts.set(kind, count);
+    if (count <= MAX_LINES_PER_WINDOW && this.#stream.writableLength < MAX_BUFFERED_BYTES) return true;
+    this.#omittedCounts.set(kind, (this.#omittedCounts.get(kind) ?? 0) + 1);
     return false;
   }
 
   /** Writes a line that was admitted. */
-  put(line: string): void {
+  writeAdmitted(line: string): void {
     this.#stream.write(`${line}\n`);
   }
 
   #beginWindow(now: number): void {
     this.#windowStart = now;
-    this.#counts.clear();
-    if (this.#leftOut.size === 0 || this.#stream.writableLength >= WAITING_BYTES) return;
+    this.#lineCounts.clear();
+    if (this.#omittedCounts.size === 0 || this.#stream.writableLength >= MAX_BUFFERED_BYTES) return;
     this.#stream.write(
-      `${JSON.stringify({ message: 'lines left out', ...Object.fromEntries(this.#leftOut) })}\n`,
+      `${JSON.stringify({ message: 'lines left out', ...Object.fromEntries(this.#omittedCounts) })}\n`,
     );
-    this.#leftOut.clear();
+    this.#omittedCounts.clear();
   }
 }
--- /dev/null
+++ b/src/observability/crash-summary.ts
@@ -0,0 +1,53 @@
+/** Back ends that were lost to a request, from the logs of a run: each crash, and the contents that were blamed for it. */
+import { startTime } from './loss-table.js';
+import type { LogLine } from './request-history.js';
+
+const MILLISECONDS_PER_SECOND = 1_000;
+
+/** One crash of a back end. */
+export interface CrashSummary {
+  backEnd: string;
+  /** Seconds since the first line. */
+  from: number;
+  /** Entries that saw it. */
+  entries: number;
+  /** Requests of all of them that were in progress there. */
+  suspects: number;
+  /** Contents that were quarantined by it. */
+  quarantined: string[];
+}
+
+/** The crashes, in the order of time. */
+export function summarizeCrashes(lines: readonly LogLine[]): CrashSummary[] {
+  const start = startTime(lines);
+  const crashes = new Map<string, CrashSummary>();
+  for (const { message, time, fields } of lines) {
+    const { backEnd, fingerprint } = fields;
+    if (typeof backEnd !== 'string') continue;
+    if (message === 'back end crashed') {
+      const from = (time - start) / MILLISECONDS_PER_SECOND;
+      const crash = crashes.get(backEnd) ?? { backEnd, from, entries: 0, suspects: 0, quarantined: [] };
+      crashes.set(backEnd, crash);
+      crash.from = Math.min(crash.from, from);
+      crash.entries++;
+      crash.suspects += Number(fields.suspects) || 0;
+    }
+    const crash = crashes.get(backEnd);
+    if (message !== 'content quarantined' || crash === undefined) continue;
+    if (!crash.quarantined.includes(String(fingerprint))) crash.quarantined.push(String(fingerprint));
+  }
+  return [...crashes.values()].sort((one, other) => one.from - other.from);
+}
+
+/** The list for a reader; nothing where no back end crashed. */
+export function formatCrashes(crashes: readonly CrashSummary[]): string[] {
+  if (crashes.length === 0) return [];
+  const rows = crashes.map(({ backEnd, from, entries, suspects, quarantined }) =>
+    [
+      from.toFixed(1).padStart(7),
+      backEnd,
+      `entries=${entries} suspects=${suspects} quarantined=${quarantined.join(',') || '-'}`,
+    ].join('  '),
+  );
+  return ['back ends lost to a request, or crashed beside one:', ...rows];
+}
--- a/src/observability/log.ts
+++ b/src/observability/log.ts
@@ -32,7 +32,7 @@
   });
   logger.attachTransport({
     format: (record) => lineOf(name, record as unknown as LoggedRecord),
-    write: (_record, line) => output.put(line),
+    write: (_record, line) => output.writeAdmitted(line),
   });
   // A line that will not be written costs nothing: under load that is most of them.
   const write = (at: LogLevel) => {
--- a/src/observability/loss-table.ts
+++ b/src/observability/loss-table.ts
@@ -4,7 +4,7 @@
  */
 import type { LogLine } from './request-history.js';
 
-const MILLISECONDS = 1_000;
+const MILLISECONDS_PER_SECOND = 1_000;
 
 /** What happened to the requests of one service in one span. */
 export interface LossRow {
@@ -13,10 +13,10 @@
   service: string;
   /** Attempts sent, and those among them that followed another one. */
   sent: number;
-  sentAgain: number;
+  sentRetries: number;
   served: number;
   /** Median time to the first part of an answer, in milliseconds; undefined without one. */
-  firstMedian: number | undefined;
+  firstPartMedian: number | undefined;
   /** Medians over what was sent: back ends to choose from, and the load of the chosen one. */
   choicesMedian: number | undefined;
   loadMedian: number | undefined;
@@ -49,9 +49,9 @@
   took: number | undefined;
 }
 
-interface Tally {
+interface RowAccumulator {
   row: LossRow;
-  firsts: number[];
+  firstPartTimes: number[];
   choices: number[];
   loads: number[];
   exclusions: number;
@@ -59,30 +59,30 @@
 
 /** The losses by span of `step` seconds and service, in the order of time. */
 export function lossTable(lines: readonly LogLine[], step: number): LossRow[] {
-  const start = firstTime(lines);
-  const tallies = new Map<string, Tally>();
+  const start = startTime(lines);
+  const accumulators = new Map<string, RowAccumulator>();
   for (const line of lines) {
     const { service } = line.fields;
     if (line.request === undefined || typeof service !== 'string') continue;
-    const from = Math.floor((line.time - start) / MILLISECONDS / step) * step;
+    const from = Math.floor((line.time - start) / MILLISECONDS_PER_SECOND / step) * step;
     const key = `${from} ${service}`;
-    const tally = tallies.get(key) ?? createTally(from, service);
-    tallies.set(key, tally);
-    count(tally, line);
+    const accumulator = accumulators.get(key) ?? createAccumulator(from, service);
+    accumulators.set(key, accumulator);
+    count(accumulator, line);
   }
-  return [...tallies.values()].map(finished).sort((one, other) => one.from - other.from);
+  return [...accumulators.values()].map(toLossRow).sort((one, other) => one.from - other.from);
 }
 
 /** The switches of engines, in the order of time. */
 export function switchOutages(lines: readonly LogLine[]): SwitchOutage[] {
-  const start = firstTime(lines);
+  const start = startTime(lines);
   const outages: SwitchOutage[] = [];
   const open = new Map<string, SwitchOutage>();
   for (const { message, process, time, fields } of lines) {
     if (message === 'engine ordered') {
       const outage: SwitchOutage = {
         process,
-        from: (time - start) / MILLISECONDS,
+        from: (time - start) / MILLISECONDS_PER_SECOND,
         fromVersion: Number(fields.from) || 0,
         toVersion: Number(fields.version) || 0,
         running: String(fields.running),
@@ -106,8 +106,8 @@
     [
       row.from.toFixed(1).padStart(7),
       row.service,
-      `sent=${row.sent} again=${row.sentAgain} served=${row.served} held=${row.held} cut=${row.cut} left=${row.left}`,
-      `first=${row.firstMedian ?? '-'}ms choices=${row.choicesMedian ?? '-'} load=${row.loadMedian ?? '-'}`,
+      `sent=${row.sent} again=${row.sentRetries} served=${row.served} held=${row.held} cut=${row.cut} left=${row.left}`,
+      `first=${row.firstPartMedian ?? '-'}ms choices=${row.choicesMedian ?? '-'} load=${row.loadMedian ?? '-'}`,
       ...['refused', 'failures', 'excluded', 'versions'].map(
         (name) => `${name}=${JSON.stringify(row[name as keyof LossRow])}`,
       ),
@@ -121,18 +121,18 @@
 }
 
 /** Time of the first line, from which spans are counted. */
-export function firstTime(lines: readonly LogLine[]): number {
+export function startTime(lines: readonly LogLine[]): number {
   return lines.reduce((first, { time }) => Math.min(first, time), Number.POSITIVE_INFINITY);
 }
 
-function createTally(from: number, service: string): Tally {
+function createAccumulator(from: number, service: string): RowAccumulator {
   const row: LossRow = {
     from,
     service,
     sent: 0,
-    sentAgain: 0,
+    sentRetries: 0,
     served: 0,
-    firstMedian: undefined,
+    firstPartMedian: undefined,
     choicesMedian: undefined,
     loadMedian: undefined,
     held: 0,
@@ -143,21 +143,21 @@
     excluded: {},
     versions: {},
   };
-  return { row, firsts: [], choices: [], loads: [], exclusions: 0 };
+  return { row, firstPartTimes: [], choices: [], loads: [], exclusions: 0 };
 }
 
-function count(tally: Tally, { message, fields }: LogLine): void {
-  const { row } = tally;
+function count(accumulator: RowAccumulator, { message, fields }: LogLine): void {
+  const { row } = accumulator;
   switch (message) {
     case 'sent':
       row.sent++;
-      if (Number(fields.send) > 1) row.sentAgain++;
-      tally.choices.push(Number(fields.choices));
-      tally.loads.push(Number(fields.load));
+      if (Number(fields.send) > 1) row.sentRetries++;
+      accumulator.choices.push(Number(fields.choices));
+      accumulator.loads.push(Number(fields.load));
       return;
     case 'served':
       row.served++;
-      if (typeof fields.firstMs === 'number') tally.firsts.push(fields.firstMs);
+      if (typeof fields.firstMs === 'number') accumulator.firstPartTimes.push(fields.firstMs);
       return increase(row.versions, String(fields.version ?? 0));
     case 'held':
       row.held++;
@@ -173,19 +173,19 @@
     case 'ended':
       return increase(row.refused, `${fields.status} ${fields.reason ?? fields.type}`);
     case 'no back end':
-      tally.exclusions++;
+      accumulator.exclusions++;
       for (const [reason, number] of Object.entries(fields.excluded ?? {}))
         increase(row.excluded, reason, Number(number));
   }
 }
 
-function finished({ row, firsts, choices, loads, exclusions }: Tally): LossRow {
+function toLossRow({ row, firstPartTimes: firsts, choices, loads, exclusions }: RowAccumulator): LossRow {
   const excluded = Object.fromEntries(
     Object.entries(row.excluded).map(([reason, sum]) => [reason, Math.round((10 * sum) / exclusions) / 10]),
   );
   return {
     ...row,
-    firstMedian: median(firsts),
+    firstPartMedian: median(firsts),
     choicesMedian: median(choices),
     loadMedian: median(loads),
     excluded,
--- a/src/observability/request-history.ts
+++ b/src/observability/request-history.ts
@@ -1,7 +1,7 @@
 /** What the logs of several processes tell of one request: its own lines, and the changes of belief around it. */
 
 /** Changes of belief this long before the request are told with it, in milliseconds. */
-const BELIEFS_BEFORE = 3_000;
+const STATE_CHANGE_LOOKBACK = 3_000;
 
 /** Fields that each line has, or that name what is asked for. */
 const COMMON_FIELDS = new Set(['time', 'level', 'process', 'message', 'request']);
@@ -48,14 +48,14 @@
   const own = lines.filter(({ request }) => request === id);
   if (own.length === 0) return [];
   const handlers = new Set(own.map(({ process }) => process));
-  const from = Math.min(...own.map(({ time }) => time)) - BELIEFS_BEFORE;
+  const from = Math.min(...own.map(({ time }) => time)) - STATE_CHANGE_LOOKBACK;
   const until = Math.max(...own.map(({ time }) => time));
   const backEnds = new Set(own.flatMap(({ fields }) => backEndOf(fields) ?? []));
-  const beliefs = lines.filter(({ request, process, time, fields }) => {
+  const stateChanges = lines.filter(({ request, process, time, fields }) => {
     if (request !== undefined || time < from || time > until) return false;
     return handlers.has(process) || backEnds.has(backEndOf(fields) ?? '');
   });
-  return [...own, ...beliefs].sort((one, other) => one.time - other.time);
+  return [...own, ...stateChanges].sort((one, other) => one.time - other.time);
 }
 
 function backEndOf({ backEnd }: LogLine['fields']): string | undefined {
@@ -67,8 +67,8 @@
   const first = history.find(({ request }) => request === id)?.time ?? 0;
   return history.map(({ time, process, message, request, fields }) => {
     const offset = ((time - first) / 1_000).toFixed(3).padStart(8);
-    const told = Object.entries(fields).map(([name, value]) => `${name}=${JSON.stringify(value)}`);
+    const formattedFields = Object.entries(fields).map(([name, value]) => `${name}=${JSON.stringify(value)}`);
     const mark = request === id ? '*' : ' ';
-    return [`${mark}${offset}`, process, message, ...told].join(' ');
+    return [`${mark}${offset}`, process, message, ...formattedFields].join(' ');
   });
 }
--- a/src/observability/slot-use.ts
+++ b/src/observability/slot-use.ts
@@ -2,10 +2,10 @@
  * Where the slots of engines were, from the lines `slots` of their agents: granted, run, waited for, and idle while somebody
  * waited. Slots that are granted and not run tell of requests whose end the agent has not heard.
  */
-import { firstTime } from './loss-table.js';
+import { startTime } from './loss-table.js';
 import type { LogLine } from './request-history.js';
 
-const MILLISECONDS = 1_000;
+const MILLISECONDS_PER_SECOND = 1_000;
 
 /** Where the slots of all engines were in one span, on average over what their agents told. */
 export interface SlotUse {
@@ -28,20 +28,25 @@
 
 /** Where the slots of engines were, by span of `step` seconds in the order of time. */
 export function slotUses(lines: readonly LogLine[], step: number): SlotUse[] {
-  const start = firstTime(lines);
-  const looks = new Map<number, Map<string, SlotUse[]>>();
+  const start = startTime(lines);
+  const samples = new Map<number, Map<string, SlotUse[]>>();
   for (const { message, process, time, fields } of lines) {
     if (message !== 'slots') continue;
-    const from = Math.floor((time - start) / MILLISECONDS / step) * step;
-    const ofSpan = looks.get(from) ?? new Map<string, SlotUse[]>();
-    looks.set(from, ofSpan.set(process, [...(ofSpan.get(process) ?? []), lookOf(from, fields)]));
+    const from = Math.floor((time - start) / MILLISECONDS_PER_SECOND / step) * step;
+    const samplesOfInterval = samples.get(from) ?? new Map<string, SlotUse[]>();
+    samples.set(
+      from,
+      samplesOfInterval.set(process, [...(samplesOfInterval.get(process) ?? []), toSlotUse(from, fields)]),
+    );
   }
-  const spans = [...looks].sort(([one], [other]) => one - other);
-  return spans.map(([from, ofSpan]) => sumOf(from, [...ofSpan.values()].map(meanOf)));
+  const intervals = [...samples].sort(([one], [other]) => one - other);
+  return intervals.map(([from, samplesOfInterval]) =>
+    sumOf(from, [...samplesOfInterval.values()].map(meanOf)),
+  );
 }
 
 /** What one agent told of its engine at one time. */
-function lookOf(from: number, fields: Record<string, unknown>): SlotUse {
+function toSlotUse(from: number, fields: Record<string, unknown>): SlotUse {
   const [slots, granted, others, running, waiting] = ['slots', 'granted', 'others', 'running', 'waiting'].map(
     (name) => Number(fields[name]) || 0,
   );
@@ -59,9 +64,9 @@
   };
 }
 
-function meanOf(looks: readonly SlotUse[]): SlotUse {
-  const sum = sumOf(looks[0].from, looks);
-  const figures = Object.entries(sum).map(([name, figure]) => [name, figure / looks.length]);
+function meanOf(samples: readonly SlotUse[]): SlotUse {
+  const sum = sumOf(samples[0].from, samples);
+  const figures = Object.entries(sum).map(([name, figure]) => [name, figure / samples.length]);
   return { ...(Object.fromEntries(figures) as unknown as SlotUse), from: sum.from };
 }
 
@@ -85,9 +90,9 @@
 /** The uses for a reader. */
 export function formatSlotUses(uses: readonly SlotUse[]): string[] {
   const lines = uses.map(({ from, agents, wanted, idle, ...figures }) => {
-    const told = Object.entries(figures).map(([name, figure]) => `${name}=${figure.toFixed(1)}`);
+    const formattedFigures = Object.entries(figures).map(([name, figure]) => `${name}=${figure.toFixed(1)}`);
     const share = wanted === 0 ? '-' : `${((100 * idle) / wanted).toFixed(0)}%`;
-    return `${from.toFixed(1).padStart(7)}  agents=${agents}  ${told.join(' ')}  idle while waited for=${share}`;
+    return `${from.toFixed(1).padStart(7)}  agents=${agents}  ${formattedFigures.join(' ')}  idle while waited for=${share}`;
   });
   return ['slots of engines:', ...lines];
 }
--- a/test/observability/bounded-output.test.ts
+++ b/test/observability/bounded-output.test.ts
@@ -3,7 +3,7 @@
 import { createLog } from '../../src/observability/log.js';
 
 /** A reader that may have stopped. */
-class Reader {
+class StubStream {
   readonly lines: string[] = [];
   stopped = false;
   writableLength = 0;
@@ -16,7 +16,7 @@
 
 describe('bounded output', () => {
   it('writes so many lines of a kind a second, and tells how many it left out', () => {
-    const reader = new Reader();
+    const reader = new StubStream();
     let now = 0;
     const output = new BoundedOutput(reader, () => now);
     for (let count = 0; count < 100; count++) output.write('often', `line ${count}`);
@@ -29,7 +29,7 @@
   });
 
   it('holds a bounded amount for a reader that has stopped', () => {
-    const reader = new Reader();
+    const reader = new StubStream();
     reader.stopped = true;
     let now = 0;
     const output = new BoundedOutput(reader, () => now);
@@ -43,7 +43,7 @@
 
 describe('a log', () => {
   it('writes one JSON line with level, process, message and fields', () => {
-    const reader = new Reader();
+    const reader = new StubStream();
     createLog('entry-1', 'info', reader).info('sent', { request: 'r1', load: 3 });
     const line = JSON.parse(reader.lines[0]);
     expect(line).toMatchObject({
--- a/test/observability/crash-losses.test.ts
+++ b/test/observability/crash-summary.test.ts
@@ -1,6 +1,6 @@
 /** Back ends that were lost to a request, from logs. */
 import { expect, it } from 'vitest';
-import { crashLosses, formatCrashes } from '../../src/observability/crash-losses.js';
+import { formatCrashes, summarizeCrashes } from '../../src/observability/crash-summary.js';
 import { type LogLine, parseLogLine } from '../../src/observability/request-history.js';
 
 function line(seconds: number, process: string, message: string, fields: object): LogLine {
@@ -18,13 +18,13 @@
 ];
 
 it('names each crash with who saw it, what ran there and what was blamed', () => {
-  expect(crashLosses(LINES)).toEqual([
+  expect(summarizeCrashes(LINES)).toEqual([
     { backEnd: 'b1', from: 5.3, entries: 2, suspects: 14, quarantined: [] },
     { backEnd: 'b2', from: 5.6, entries: 1, suspects: 3, quarantined: ['f1'] },
   ]);
-  expect(formatCrashes(crashLosses(LINES))[2]).toContain('quarantined=f1');
+  expect(formatCrashes(summarizeCrashes(LINES))[2]).toContain('quarantined=f1');
 });
 
 it('says nothing where none crashed', () => {
-  expect(formatCrashes(crashLosses(LINES.slice(0, 1)))).toEqual([]);
+  expect(formatCrashes(summarizeCrashes(LINES.slice(0, 1)))).toEqual([]);
 });
--- a/test/observability/loss-table.test.ts
+++ b/test/observability/loss-table.test.ts
@@ -28,8 +28,8 @@
 describe('losses', () => {
   it('are told by span and service', () => {
     const [first, second] = lossTable(LINES, 1);
-    expect(first).toMatchObject({ from: 0, service: 'engines', sent: 2, sentAgain: 1, served: 1 });
-    expect(first).toMatchObject({ firstMedian: 120, failures: { ECONNRESET: 1 }, versions: { 2: 1 } });
+    expect(first).toMatchObject({ from: 0, service: 'engines', sent: 2, sentRetries: 1, served: 1 });
+    expect(first).toMatchObject({ firstPartMedian: 120, failures: { ECONNRESET: 1 }, versions: { 2: 1 } });
     expect(second).toMatchObject({ from: 1, refused: { '503 no back end': 2 } });
     expect(second.excluded).toEqual({ expired: 1.5, switching: 0.5 });
   });
--- a/test/observability/slot-use.test.ts
+++ b/test/observability/slot-use.test.ts
@@ -3,17 +3,17 @@
 import { parseLogLine } from '../../src/observability/request-history.js';
 import { formatSlotUses, slotUses } from '../../src/observability/slot-use.js';
 
-function look(seconds: number, process: string, granted: number, running: number, waiting: number) {
+function sample(seconds: number, process: string, granted: number, running: number, waiting: number) {
   const time = new Date(1_700_000_000_000 + seconds * 1_000).toISOString();
   const fields = { slots: 8, granted, others: 1, running, waiting };
   return parseLogLine(JSON.stringify({ time, level: 'INFO', process, message: 'slots', ...fields }))!;
 }
 
 const LINES = [
-  look(0, 'agent-1', 7, 4, 3),
-  look(0.4, 'agent-1', 7, 6, 1),
-  look(0.5, 'agent-2', 3, 3, 0),
-  look(1.2, 'agent-2', 7, 7, 2),
+  sample(0, 'agent-1', 7, 4, 3),
+  sample(0.4, 'agent-1', 7, 6, 1),
+  sample(0.5, 'agent-2', 3, 3, 0),
+  sample(1.2, 'agent-2', 7, 7, 2),
 ];
 
 describe('the use of slots', () => {
--- a/tools/guard-table.mjs
+++ b/tools/guard-table.mjs
@@ -921,8 +921,8 @@
   {
     fault: 'a slow reader of the log holds memory without bound',
     file: 'src/observability/bounded-output.ts',
-    find: 'count <= LINES_OF_KIND && this.#stream.writableLength < WAITING_BYTES',
-    replace: 'count <= LINES_OF_KIND',
+    find: 'count <= MAX_LINES_PER_WINDOW && this.#stream.writableLength < MAX_BUFFERED_BYTES',
+    replace: 'count <= MAX_LINES_PER_WINDOW',
     test: 'test/observability/bounded-output.test.ts',
   },
   {
