--- a/src/observability/crash-summary.ts
+++ b/src/observability/crash-summary.ts
@@ -20,29 +20,29 @@
 /** The crashes, in the order of time. */
 export function summarizeCrashes(lines: readonly LogLine[]): CrashSummary[] {
   const start = startTime(lines);
-  const crashes = new Map<string, CrashSummary>();
+  const losses = new Map<string, CrashSummary>();
   for (const { message, time, fields } of lines) {
     const { backEnd, fingerprint } = fields;
     if (typeof backEnd !== 'string') continue;
     if (message === 'back end crashed') {
       const from = (time - start) / MILLISECONDS_PER_SECOND;
-      const crash = crashes.get(backEnd) ?? { backEnd, from, entries: 0, suspects: 0, quarantined: [] };
-      crashes.set(backEnd, crash);
+      const crash = losses.get(backEnd) ?? { backEnd, from, entries: 0, suspects: 0, quarantined: [] };
+      losses.set(backEnd, crash);
       crash.from = Math.min(crash.from, from);
       crash.entries++;
       crash.suspects += Number(fields.suspects) || 0;
     }
-    const crash = crashes.get(backEnd);
+    const crash = losses.get(backEnd);
     if (message !== 'content quarantined' || crash === undefined) continue;
     if (!crash.quarantined.includes(String(fingerprint))) crash.quarantined.push(String(fingerprint));
   }
-  return [...crashes.values()].sort((one, other) => one.from - other.from);
+  return [...losses.values()].sort((one, other) => one.from - other.from);
 }
 
 /** The list for a reader; nothing where no back end crashed. */
-export function formatCrashes(crashes: readonly CrashSummary[]): string[] {
-  if (crashes.length === 0) return [];
-  const rows = crashes.map(({ backEnd, from, entries, suspects, quarantined }) =>
+export function formatCrashes(losses: readonly CrashSummary[]): string[] {
+  if (losses.length === 0) return [];
+  const rows = losses.map(({ backEnd, from, entries, suspects, quarantined }) =>
     [
       from.toFixed(1).padStart(7),
       backEnd,
--- a/src/observability/loss-table.ts
+++ b/src/observability/loss-table.ts
@@ -179,13 +179,13 @@
   }
 }
 
-function toLossRow({ row, firstPartTimes: firsts, choices, loads, exclusions }: RowAccumulator): LossRow {
+function toLossRow({ row, firstPartTimes, choices, loads, exclusions }: RowAccumulator): LossRow {
   const excluded = Object.fromEntries(
     Object.entries(row.excluded).map(([reason, sum]) => [reason, Math.round((10 * sum) / exclusions) / 10]),
   );
   return {
     ...row,
-    firstPartMedian: median(firsts),
+    firstPartMedian: median(firstPartTimes),
     choicesMedian: median(choices),
     loadMedian: median(loads),
     excluded,
--- a/src/protocol/store-update.ts
+++ b/src/protocol/store-update.ts
@@ -1,12 +1,12 @@
 /** Store changes that the one entry of a zone that reads the store forwards to the others. */
 import type { StoredRow } from '../clients/watched-tables.js';
 
-/** The store tables whose changes are followed. */
+/** The tables that are followed. */
 export type FollowedTable = 'operator' | 'backEnds';
 
 /** Changes of a table, as forwarded by the process that reads it. */
 export interface TableUpdate {
-  /** Revision to which the changes apply. */
+  /** The changes follow on the state as of this revision. */
   after: number;
   revision: number;
   storeTime: number;
@@ -18,6 +18,6 @@
 /** Changes of one store table, as sent to other processes. */
 export interface StoreUpdate extends TableUpdate {
   table: FollowedTable;
-  /** Time for which back ends that seem to be gone are still kept, in milliseconds. */
+  /** Back ends that seem to be gone are kept for this long yet, in milliseconds. */
   holdsRemovalsFor: number;
 }
