--- a/src/observability/bounded-output.ts
+++ b/src/observability/bounded-output.ts
@@ -1,21 +1,21 @@
 /**
- * Lines for a reader that may be slow or stop: the writer never waits for it. Of each kind of line only so many are
- * written a second, and none while too much waits to be read; what was left out is counted and told.
+ * Writes lines to a stream whose reader may be slow or stopped, without waiting for it. Each kind of line is limited per
+ * second, and no line is written while too many bytes are buffered; omitted lines are counted and their number is written.
  */
 
-/** Lines of one kind a second. */
+/** Maximum number of lines of one kind per second. */
 const MAX_LINES_PER_WINDOW = 40;
 const WINDOW_MS = 1_000;
-/** Bytes that may wait to be read. */
+/** Lines are omitted while this many bytes or more are buffered. */
 const MAX_BUFFERED_BYTES = 262_144;
 
-/** Where lines go: a stream that takes what it is given and tells how much waits. */
+/** A stream that accepts every write and reports how many bytes it has buffered. */
 export interface LineStream {
   write(text: string): unknown;
   readonly writableLength: number;
 }
 
-/** The writer of one process. */
+/** The bounded output of one process. */
 export class BoundedOutput {
   readonly #stream: LineStream;
   readonly #clock: () => number;
@@ -28,12 +28,12 @@
     this.#clock = clock;
   }
 
-  /** Writes a line of a kind, or counts it as left out. */
+  /** Writes a line of a kind, or counts it as omitted. */
   write(kind: string, line: string): void {
     if (this.admits(kind)) this.writeAdmitted(line);
   }
 
-  /** Whether one more line of a kind may be written; where not, it counts as left out. */
+  /** Returns whether one more line of a kind may be written; if not, counts it as omitted. */
   admits(kind: string): boolean {
     const now = this.#clock();
     if (now - this.#windowStart >= WINDOW_MS) this.#beginWindow(now);
--- a/src/observability/crash-summary.ts
+++ b/src/observability/crash-summary.ts
@@ -1,4 +1,4 @@
-/** Back ends that were lost to a request, from the logs of a run: each crash, and the contents that were blamed for it. */
+/** Lists the back-end crashes in the logs of a run, with the request contents that were quarantined for them. */
 import { startTime } from './loss-table.js';
 import type { LogLine } from './request-history.js';
 
@@ -9,15 +9,15 @@
   backEnd: string;
   /** Seconds since the first line. */
   from: number;
-  /** Entries that saw it. */
+  /** Number of entries that detected the crash. */
   entries: number;
-  /** Requests of all of them that were in progress there. */
+  /** Requests of all entries that were in progress at the back end. */
   suspects: number;
-  /** Contents that were quarantined by it. */
+  /** Fingerprints of contents that were quarantined because of the crash. */
   quarantined: string[];
 }
 
-/** The crashes, in the order of time. */
+/** Summarizes the crashes in `lines`, sorted by time. */
 export function summarizeCrashes(lines: readonly LogLine[]): CrashSummary[] {
   const start = startTime(lines);
   const losses = new Map<string, CrashSummary>();
@@ -39,7 +39,7 @@
   return [...losses.values()].sort((one, other) => one.from - other.from);
 }
 
-/** The list for a reader; nothing where no back end crashed. */
+/** Formats the crashes as lines of text; empty if there are none. */
 export function formatCrashes(losses: readonly CrashSummary[]): string[] {
   if (losses.length === 0) return [];
   const rows = losses.map(({ backEnd, from, entries, suspects, quarantined }) =>
--- a/src/observability/loss-table.ts
+++ b/src/observability/loss-table.ts
@@ -1,51 +1,51 @@
 /**
- * Where service is lost, from the logs of a run: per span of time and service, what became of requests and why back
- * ends were left out; and which engines were away for a change of version.
+ * Summarizes failed and delayed requests from the logs of a run: for each time interval and service, the outcomes of requests
+ * and the reasons for excluding back ends; and the outages of engines during version switches.
  */
 import type { LogLine } from './request-history.js';
 
 const MILLISECONDS_PER_SECOND = 1_000;
 
-/** What happened to the requests of one service in one span. */
+/** Outcomes of the requests of one service in one interval. */
 export interface LossRow {
-  /** Begin of the span, in seconds since the first line. */
+  /** Start of the interval, in seconds since the first log line. */
   from: number;
   service: string;
-  /** Attempts sent, and those among them that followed another one. */
+  /** Attempts sent, and those among them that were retries. */
   sent: number;
   sentRetries: number;
   served: number;
-  /** Median time to the first part of an answer, in milliseconds; undefined without one. */
+  /** Median time to the first part of an answer, in milliseconds; undefined if nothing was served. */
   firstPartMedian: number | undefined;
-  /** Medians over what was sent: back ends to choose from, and the load of the chosen one. */
+  /** Medians over the attempts sent: number of eligible back ends, and load of the chosen one. */
   choicesMedian: number | undefined;
   loadMedian: number | undefined;
   held: number;
   cut: number;
-  /** Callers that left. */
+  /** Requests whose callers disconnected. */
   left: number;
-  /** Ended with an error, by status and reason. */
+  /** Requests that ended with an error, by status and reason. */
   refused: Record<string, number>;
-  /** Why attempts failed. */
+  /** Failed attempts by reason. */
   failures: Record<string, number>;
-  /** Back ends that were left out, by reason, on average over the refusals of the span. */
+  /** Mean number of excluded back ends, by reason, over the refusals of the interval. */
   excluded: Record<string, number>;
-  /** Served, by version; 0 where it is not told. */
+  /** Requests served, by version; version 0 if the log line has none. */
   versions: Record<string, number>;
 }
 
-/** A time in which an engine took nothing, as it changed its version. */
+/** A period in which an engine accepted no requests because it was switching versions. */
 export interface SwitchOutage {
   process: string;
-  /** Seconds since the first line. */
+  /** Start of the outage, in seconds since the first log line. */
   from: number;
-  /** Version before and after; 0 for none. */
+  /** Versions before and after the switch; 0 for none. */
   fromVersion: number;
   toVersion: number;
-  /** What became of its requests, and how many there were. */
+  /** How the running requests were handled, and their number. */
   running: string;
   load: number;
-  /** In milliseconds; undefined where the end was not logged. */
+  /** Duration in milliseconds; undefined if the end was not logged. */
   took: number | undefined;
 }
 
@@ -57,7 +57,7 @@
   exclusions: number;
 }
 
-/** The losses by span of `step` seconds and service, in the order of time. */
+/** Computes a row for each interval of `step` seconds and service, sorted by time. */
 export function lossTable(lines: readonly LogLine[], step: number): LossRow[] {
   const start = startTime(lines);
   const accumulators = new Map<string, RowAccumulator>();
@@ -73,7 +73,7 @@
   return [...accumulators.values()].map(toLossRow).sort((one, other) => one.from - other.from);
 }
 
-/** The switches of engines, in the order of time. */
+/** Lists the outages of engines during version switches, in the order of `lines`. */
 export function switchOutages(lines: readonly LogLine[]): SwitchOutage[] {
   const start = startTime(lines);
   const outages: SwitchOutage[] = [];
@@ -100,7 +100,7 @@
   return outages;
 }
 
-/** The table for a reader. */
+/** Formats the table as lines of text. */
 export function formatLosses(rows: readonly LossRow[], outages: readonly SwitchOutage[]): string[] {
   const losses = rows.map((row) =>
     [
@@ -120,7 +120,7 @@
   return ['requests:', ...losses, 'engines away:', ...switches];
 }
 
-/** Time of the first line, from which spans are counted. */
+/** Time of the earliest line, which is the origin of all intervals. */
 export function startTime(lines: readonly LogLine[]): number {
   return lines.reduce((first, { time }) => Math.min(first, time), Number.POSITIVE_INFINITY);
 }
--- a/src/observability/metrics.ts
+++ b/src/observability/metrics.ts
@@ -1,16 +1,16 @@
-/** Prometheus metrics of a process; figures that other parts count are read when the metrics are asked for. */
+/** Prometheus metrics of a process. Values are read from the components that count them when the metrics are scraped. */
 import { collectDefaultMetrics, Gauge, Registry } from 'prom-client';
 import type { TrafficCounters } from '../protocol/connection.js';
 
-/** Time between two samples of the event loop's lag, in milliseconds: the library's 10 wake an idle process for it. */
+/** Sampling interval of the event loop lag, in milliseconds. The library's default of 10 ms keeps waking an idle process. */
 const EVENT_LOOP_SAMPLE_INTERVAL = 500;
 
-/** One figure: its name (with unit), its help text, and where it is read. */
+/** A metric: its name (with unit), its help text, and a function that reads its value. */
 export interface MetricSource {
   name: string;
   help: string;
   read: () => number | Record<string, number>;
-  /** Name of the label that the keys of a record become. */
+  /** Label whose values are the keys of the record that `read` returns. */
   label?: string;
 }
 
@@ -28,7 +28,7 @@
     });
   }
 
-  /** Adds figures. */
+  /** Registers a gauge for each source. */
   add(sources: readonly MetricSource[]): void {
     for (const { name, help, read, label } of sources) {
       const labelNames = label === undefined ? [] : [label];
@@ -41,7 +41,7 @@
         collect() {
           const value = read();
           if (typeof value === 'number') return this.set(value);
-          // Otherwise, labels that are no longer in the record would keep their last value.
+          // Without a reset, labels that are no longer in the record would keep their last value.
           this.reset();
           for (const [key, figure] of Object.entries(value)) this.set({ [label!]: key }, figure);
         },
@@ -49,14 +49,14 @@
     }
   }
 
-  /** The metrics in the Prometheus text format: the product's own first, as a reader that cuts a page off would lose them. */
+  /** Returns the metrics in the Prometheus text format, the product's own first: a scraper may truncate a long page. */
   async text(): Promise<string> {
     const pages = await Promise.all([this.registry.metrics(), this.#runtime.metrics()]);
     return pages.join('\n');
   }
 }
 
-/** Bytes between the system's own processes. */
+/** Metric of the bytes exchanged between the system's own processes. */
 export function trafficMetrics(counters: TrafficCounters): MetricSource {
   return {
     name: 'traffic_bytes_total',
--- a/src/observability/request-history.ts
+++ b/src/observability/request-history.ts
@@ -1,23 +1,23 @@
-/** What the logs of several processes tell of one request: its own lines, and the changes of belief around it. */
+/** Extracts the history of one request from the logs of several processes: its own lines and the related state changes. */
 
-/** Changes of belief this long before the request are told with it, in milliseconds. */
+/** State changes are included from this long before the first line of the request, in milliseconds. */
 const STATE_CHANGE_LOOKBACK = 3_000;
 
-/** Fields that each line has, or that name what is asked for. */
+/** Names left out of {@link LogLine.fields}: the fields of every line, and the request id. */
 const COMMON_FIELDS = new Set(['time', 'level', 'process', 'message', 'request']);
 
-/** One line of a log. */
+/** A parsed log line. */
 export interface LogLine {
   /** Milliseconds since the epoch. */
   time: number;
   process: string;
   message: string;
   request: string | undefined;
-  /** The rest. */
+  /** All other fields. */
   fields: Record<string, unknown>;
 }
 
-/** Reads a line of a log; what stands before its JSON is passed over. Undefined for what is no line of a log. */
+/** Parses a log line, ignoring any text before its JSON. Returns undefined if `text` is not a log line. */
 export function parseLogLine(text: string): LogLine | undefined {
   const start = text.indexOf('{');
   if (start < 0) return undefined;
@@ -41,8 +41,9 @@
 }
 
 /**
- * The lines about the request `id`, in the order of time, with the changes of belief of the processes that handled it,
- * and those about its back ends, from some time before until its end. Empty where no line names it.
+ * Returns the lines of the request `id` sorted by time, with the state changes of the processes that handled it and those
+ * about its back ends, from {@link STATE_CHANGE_LOOKBACK} before its first line until its last. Empty if no line has this
+ * id.
  */
 export function historyOf(id: string, lines: readonly LogLine[]): LogLine[] {
   const own = lines.filter(({ request }) => request === id);
@@ -62,7 +63,7 @@
   return typeof backEnd === 'string' ? backEnd : undefined;
 }
 
-/** One line for a reader: seconds since the first line of the request, process, message, fields. */
+/** Formats each line as text: seconds since the first line of the request, process, message and fields. */
 export function formatHistory(id: string, history: readonly LogLine[]): string[] {
   const first = history.find(({ request }) => request === id)?.time ?? 0;
   return history.map(({ time, process, message, request, fields }) => {
--- a/src/observability/slot-use.ts
+++ b/src/observability/slot-use.ts
@@ -1,32 +1,32 @@
 /**
- * Where the slots of engines were, from the lines `slots` of their agents: granted, run, waited for, and idle while somebody
- * waited. Slots that are granted and not run tell of requests whose end the agent has not heard.
+ * Summarizes the use of engine slots from the `slots` log lines of agents: granted, running, waited for, and idle while
+ * requests waited. Slots that are granted but not running point to requests whose end has not reached the agent.
  */
 import { startTime } from './loss-table.js';
 import type { LogLine } from './request-history.js';
 
 const MILLISECONDS_PER_SECOND = 1_000;
 
-/** Where the slots of all engines were in one span, on average over what their agents told. */
+/** Use of the slots of all engines in one interval, by the mean over the log lines of each agent. */
 export interface SlotUse {
-  /** Begin of the span, in seconds since the first line. */
+  /** Start of the interval, in seconds since the first log line. */
   from: number;
   agents: number;
   slots: number;
-  /** Given out by agents. */
+  /** Slots granted by agents. */
   granted: number;
-  /** Taken by requests that run without a slot of an agent. */
+  /** Slots used by requests that run without a grant from an agent. */
   others: number;
-  /** Requests at the engines, as these told. */
+  /** Requests at the engines, as reported by the engines. */
   running: number;
-  /** Requests that waited at agents: one that asks several is counted at each. */
+  /** Requests waiting at agents; a request that waits at several agents is counted at each. */
   waiting: number;
-  /** Slots of engines at whose agents somebody waited, and those of them that no request used. */
+  /** Slots of engines at whose agents requests waited, and those among them that no request used. */
   wanted: number;
   idle: number;
 }
 
-/** Where the slots of engines were, by span of `step` seconds in the order of time. */
+/** Computes the slot use for each interval of `step` seconds, sorted by time. */
 export function slotUses(lines: readonly LogLine[], step: number): SlotUse[] {
   const start = startTime(lines);
   const samples = new Map<number, Map<string, SlotUse[]>>();
@@ -45,7 +45,7 @@
   );
 }
 
-/** What one agent told of its engine at one time. */
+/** Converts the fields of one `slots` log line. */
 function toSlotUse(from: number, fields: Record<string, unknown>): SlotUse {
   const [slots, granted, others, running, waiting] = ['slots', 'granted', 'others', 'running', 'waiting'].map(
     (name) => Number(fields[name]) || 0,
@@ -87,7 +87,7 @@
   return sum;
 }
 
-/** The uses for a reader. */
+/** Formats the slot use as lines of text. */
 export function formatSlotUses(uses: readonly SlotUse[]): string[] {
   const lines = uses.map(({ from, agents, wanted, idle, ...figures }) => {
     const formattedFigures = Object.entries(figures).map(([name, figure]) => `${name}=${figure.toFixed(1)}`);
--- a/src/observability/timeline.ts
+++ b/src/observability/timeline.ts
@@ -1,7 +1,7 @@
-/** The time line of one process: a bounded ring of its latest changes of state. */
+/** The timeline of one process: a ring buffer of its most recent state changes. */
 import type { HybridClock, Stamp } from '../model/hybrid-clock.js';
 
-/** What can happen. A new kind of event is added here first. */
+/** All kinds of timeline events. */
 export type TimelineEvent =
   | { type: 'processStarted'; role: string }
   | { type: 'processLeaving' }
@@ -32,10 +32,10 @@
   event: TimelineEvent;
 }
 
-/** Default number of events kept. */
+/** Default capacity of the ring buffer, in events. */
 const DEFAULT_CAPACITY = 2_000;
 
-/** The ring of one process. */
+/** The ring buffer of one process. */
 export class Timeline {
   readonly #entries: TimelineEntry[] = [];
   #next = 0;
@@ -49,19 +49,19 @@
     this.#capacity = capacity;
   }
 
-  /** Notes an event; the oldest one goes when the ring is full. */
+  /** Records an event, overwriting the oldest one if the buffer is full. */
   record(event: TimelineEvent): void {
     this.#entries[this.#next % this.#capacity] = { stamp: this.#clock.next(), process: this.#process, event };
     this.#next++;
   }
 
-  /** The events kept, oldest first. */
+  /** Returns the recorded events, oldest first. */
   entries(): TimelineEntry[] {
     return mergeTimelines([this.#entries]);
   }
 }
 
-/** All events of several processes in causal order. */
+/** Merges the events of several processes in causal order. */
 export function mergeTimelines(timelines: ReadonlyArray<readonly TimelineEntry[]>): TimelineEntry[] {
   return timelines.flat().sort((a, b) => a.stamp - b.stamp || (a.process < b.process ? -1 : 1));
 }
--- a/test/observability/bounded-output.test.ts
+++ b/test/observability/bounded-output.test.ts
@@ -2,7 +2,7 @@
 import { BoundedOutput } from '../../src/observability/bounded-output.js';
 import { createLog } from '../../src/observability/log.js';
 
-/** A reader that may have stopped. */
+/** A stream whose reader may have stopped. */
 class StubStream {
   readonly lines: string[] = [];
   stopped = false;
@@ -15,7 +15,7 @@
 }
 
 describe('bounded output', () => {
-  it('writes so many lines of a kind a second, and tells how many it left out', () => {
+  it('limits the lines of a kind per second and reports how many it omitted', () => {
     const reader = new StubStream();
     let now = 0;
     const output = new BoundedOutput(reader, () => now);
@@ -28,7 +28,7 @@
     expect(JSON.parse(reader.lines[written])).toEqual({ message: 'lines left out', often: 101 - written });
   });
 
-  it('holds a bounded amount for a reader that has stopped', () => {
+  it('buffers a bounded amount for a reader that has stopped', () => {
     const reader = new StubStream();
     reader.stopped = true;
     let now = 0;
--- a/test/observability/crash-summary.test.ts
+++ b/test/observability/crash-summary.test.ts
@@ -1,4 +1,3 @@
-/** Back ends that were lost to a request, from logs. */
 import { expect, it } from 'vitest';
 import { formatCrashes, summarizeCrashes } from '../../src/observability/crash-summary.js';
 import { type LogLine, parseLogLine } from '../../src/observability/request-history.js';
@@ -17,7 +16,7 @@
   line(5.35, 'entry-2', 'back end crashed', { backEnd: 'b1', suspects: 6 }),
 ];
 
-it('names each crash with who saw it, what ran there and what was blamed', () => {
+it('lists each crash with its entries, its suspect requests and the quarantined contents', () => {
   expect(summarizeCrashes(LINES)).toEqual([
     { backEnd: 'b1', from: 5.3, entries: 2, suspects: 14, quarantined: [] },
     { backEnd: 'b2', from: 5.6, entries: 1, suspects: 3, quarantined: ['f1'] },
@@ -25,6 +24,6 @@
   expect(formatCrashes(summarizeCrashes(LINES))[2]).toContain('quarantined=f1');
 });
 
-it('says nothing where none crashed', () => {
+it('formats no lines if no back end crashed', () => {
   expect(formatCrashes(summarizeCrashes(LINES.slice(0, 1)))).toEqual([]);
 });
--- a/test/observability/metrics.test.ts
+++ b/test/observability/metrics.test.ts
@@ -1,11 +1,12 @@
 /**
- * Monitoring kept the first 4 kB of each page of metrics. The runtime's own figures fill that, so that none of the product's was there
- * when a request that ended 31 back ends had to be explained: no count of crashes, of quarantined contents or of refusals.
+ * Guards against losing the product's metrics to truncation. The monitoring system kept the first 4 kB of each page, which the
+ * metrics of the runtime fill. When one request crashed 31 back ends, the counts of crashes, quarantined contents and refusals
+ * were therefore missing.
  */
 import { expect, it } from 'vitest';
 import { Metrics } from '../../src/observability/metrics.js';
 
-it('tells the product’s own figures before those of the runtime', async () => {
+it('puts the metrics of the product before those of the runtime', async () => {
   const metrics = new Metrics('entry');
   metrics.add([{ name: 'quarantined', help: 'For this test', read: () => 3 }]);
   const text = await metrics.text();
--- a/test/observability/request-history.test.ts
+++ b/test/observability/request-history.test.ts
@@ -1,4 +1,3 @@
-/** What the logs tell of one request. */
 import { describe, expect, it } from 'vitest';
 import { formatHistory, historyOf, parseLogLine } from '../../src/observability/request-history.js';
 
@@ -24,7 +23,7 @@
 ].flatMap((text) => parseLogLine(text) ?? []);
 
 describe('the history of a request', () => {
-  it('holds its own lines and what its process believed just before', () => {
+  it('holds its own lines and the state changes of its process shortly before', () => {
     expect(formatHistory('r1', historyOf('r1', LINES))).toEqual([
       '   -1.000 entry-1 configuration taken revision=7',
       '*   0.000 entry-1 sent backEnd="b1"',
@@ -32,5 +31,5 @@
     ]);
   });
 
-  it('is empty for a request that no line names', () => expect(historyOf('r9', LINES)).toEqual([]));
+  it('is empty for a request that no line mentions', () => expect(historyOf('r9', LINES)).toEqual([]));
 });
--- a/test/observability/slot-use.test.ts
+++ b/test/observability/slot-use.test.ts
@@ -1,4 +1,3 @@
-/** Where the slots of engines were, from logs of their agents. */
 import { describe, expect, it } from 'vitest';
 import { parseLogLine } from '../../src/observability/request-history.js';
 import { formatSlotUses, slotUses } from '../../src/observability/slot-use.js';
@@ -17,14 +16,14 @@
 ];
 
 describe('the use of slots', () => {
-  it('is added up over the engines, each by the mean of what its agent told', () => {
+  it('is the sum over the engines of the means of their log lines', () => {
     expect(slotUses(LINES, 1)).toEqual([
       { from: 0, agents: 2, slots: 16, granted: 10, others: 2, running: 8, waiting: 2, wanted: 8, idle: 3 },
       { from: 1, agents: 1, slots: 8, granted: 7, others: 1, running: 7, waiting: 2, wanted: 8, idle: 1 },
     ]);
   });
 
-  it('is printed with the share that was idle while somebody waited', () => {
+  it('is printed with the share of slots that were idle while requests waited', () => {
     const [, first, second] = formatSlotUses(slotUses(LINES, 1));
     expect(first).toContain('granted=10.0 others=2.0 running=8.0 waiting=2.0');
     expect(first).toContain('idle while waited for=38%');
