--- a/src/observability/crash-summary.ts
+++ b/src/observability/crash-summary.ts
@@ -26,15 +26,15 @@
     if (typeof backEnd !== 'string') continue;
     if (message === 'back end crashed') {
       const from = (time - start) / MILLISECONDS_PER_SECOND;
-      const crash = losses.get(backEnd) ?? { backEnd, from, entries: 0, suspects: 0, quarantined: [] };
-      losses.set(backEnd, crash);
-      crash.from = Math.min(crash.from, from);
-      crash.entries++;
-      crash.suspects += Number(fields.suspects) || 0;
+      const loss = losses.get(backEnd) ?? { backEnd, from, entries: 0, suspects: 0, quarantined: [] };
+      losses.set(backEnd, loss);
+      loss.from = Math.min(loss.from, from);
+      loss.entries++;
+      loss.suspects += Number(fields.suspects) || 0;
     }
-    const crash = losses.get(backEnd);
-    if (message !== 'content quarantined' || crash === undefined) continue;
-    if (!crash.quarantined.includes(String(fingerprint))) crash.quarantined.push(String(fingerprint));
+    const loss = losses.get(backEnd);
+    if (message !== 'content quarantined' || loss === undefined) continue;
+    if (!loss.quarantined.includes(String(fingerprint))) loss.quarantined.push(String(fingerprint));
   }
   return [...losses.values()].sort((one, other) => one.from - other.from);
 }
--- a/test/observability/loss-table.test.ts
+++ b/test/observability/loss-table.test.ts
@@ -24,8 +24,8 @@
   line(1.9, 'agent-2', 'engine ordered', { version: 2, from: 0, running: 'finish', load: 0 }),
 ];
 
-describe('the loss table', () => {
-  it('groups outcomes by interval and service', () => {
+describe('losses', () => {
+  it('are counted by interval and service', () => {
     const [first, second] = lossTable(LINES, 1);
     expect(first).toMatchObject({ from: 0, service: 'engines', sent: 2, sentRetries: 1, served: 1 });
     expect(first).toMatchObject({ firstPartMedian: 120, failures: { ECONNRESET: 1 }, versions: { 2: 1 } });
@@ -33,7 +33,7 @@
     expect(second.excluded).toEqual({ expired: 1.5, switching: 0.5 });
   });
 
-  it('lists engine outages, including those without a logged end', () => {
+  it('include engine outages, also those without a logged end', () => {
     expect(switchOutages(LINES)).toEqual([
       { process: 'agent-1', from: 1.5, fromVersion: 1, toVersion: 2, running: 'drop', load: 7, took: 310 },
       {
@@ -48,7 +48,7 @@
     ]);
   });
 
-  it('prints one line per row and outage', () => {
+  it('are printed with one line per row and outage', () => {
     const lines = formatLosses(lossTable(LINES, 1), switchOutages(LINES));
     expect(lines).toHaveLength(6);
     expect(lines[1]).toContain('sent=2 again=1 served=1');
