--- a/bench/scale/hollow-host.ts
+++ b/bench/scale/hollow-host.ts
@@ -9,7 +9,7 @@
 import { composeEntry, type EntryComponents } from '../../src/entry/entry.js';
 import type { Startable } from '../../src/model/startable.js';
 import type { TrafficCounters } from '../../src/protocol/connection.js';
-import { application, httpServer, readJson } from '../../src/server/http-server.js';
+import { createApplication, httpServer, readJson } from '../../src/server/http-server.js';
 import { HollowAgent } from './hollow-agent.js';
 import { entrySettingsOf, type ScalePlan } from './scale-plan.js';
 
@@ -146,7 +146,7 @@
       await Promise.all(names.map((name) => this.#startEntry(name)));
       context.status = 204;
     });
-    const app = application();
+    const app = createApplication();
     app.use(router.routes());
     return app.callback();
   }
--- a/emulator/engine/engine.ts
+++ b/emulator/engine/engine.ts
@@ -5,7 +5,7 @@
 import Router from '@koa/router';
 import type Koa from 'koa';
 import type { Startable } from '../../src/model/startable.js';
-import { application, delay, httpServer, readBody, readJson } from '../../src/server/http-server.js';
+import { createApplication, delay, httpServer, readBody, readJson } from '../../src/server/http-server.js';
 import type { EngineEmulatorSettings } from '../../src/settings/schemas.js';
 import { Batch, type EngineRequest, type RunningRequest } from './batch.js';
 import { EngineWeights, type Fence } from './weights.js';
@@ -110,7 +110,7 @@
     router.get('/audit', (context) => {
       context.body = { weights: this.#weights.audit, runs: this.#auditRuns() };
     });
-    const app = application();
+    const app = createApplication();
     app.use(router.routes());
     return app.callback();
   }
--- a/emulator/platform/platform.ts
+++ b/emulator/platform/platform.ts
@@ -10,7 +10,7 @@
 import type { Transaction } from '../../src/clients/table-service.js';
 import { Pacer } from '../../src/model/pacer.js';
 import type { Startable } from '../../src/model/startable.js';
-import { application, delay, httpServer, readBody, readJson } from '../../src/server/http-server.js';
+import { createApplication, delay, httpServer, readBody, readJson } from '../../src/server/http-server.js';
 import type { PlatformEmulatorSettings } from '../../src/settings/schemas.js';
 import { TableStore } from './table-store.js';
 import { OriginWeights } from './weights.js';
@@ -78,7 +78,7 @@
   router.get('/audit', (context) => {
     context.body = audit;
   });
-  const app = application();
+  const app = createApplication();
   app.use(router.routes());
   return httpServer(settings.listen, app.callback());
 }
--- a/emulator/service/service.ts
+++ b/emulator/service/service.ts
@@ -1,6 +1,6 @@
 /** The stand-in for a plain service: every path answers after a while; `GET /audit` tells what truly ran. */
 import type { Startable } from '../../src/model/startable.js';
-import { application, delay, httpServer, readBody } from '../../src/server/http-server.js';
+import { createApplication, delay, httpServer, readBody } from '../../src/server/http-server.js';
 import type { ServiceEmulatorSettings } from '../../src/settings/schemas.js';
 
 /** One run of a call. */
@@ -16,7 +16,7 @@
 /** Creates the stand-in. */
 export function serviceEmulator(settings: ServiceEmulatorSettings): Startable {
   const runs: ServiceRun[] = [];
-  const app = application();
+  const app = createApplication();
   app.use(async (context) => {
     if (context.path === '/audit') {
       context.body = { runs };
--- a/emulator/store/memory-store.ts
+++ b/emulator/store/memory-store.ts
@@ -8,7 +8,7 @@
 import { type StoreRevision, storeRevision, versionOf } from '../../src/clients/store-revision.js';
 import type {
   ChangesError,
-  RowsAt,
+  RowsSnapshot,
   StoredRow,
   StoredRowCondition,
   StoredRowWrite,
@@ -96,7 +96,11 @@
     this.#oldest = this.revision;
   }
 
-  async read(table: string, partition: string, signal: AbortSignal): Promise<Result<RowsAt, PlatformError>> {
+  async read(
+    table: string,
+    partition: string,
+    signal: AbortSignal,
+  ): Promise<Result<RowsSnapshot, PlatformError>> {
     const fault = await this.#enter('read', signal);
     if (fault !== undefined) return failure(fault);
     const rows = [...this.#rows.values()]
@@ -108,7 +112,7 @@
   async changes(
     { table, after, wait }: { table: string; after: number; wait: number },
     signal: AbortSignal,
-  ): Promise<Result<RowsAt, ChangesError>> {
+  ): Promise<Result<RowsSnapshot, ChangesError>> {
     const fault = await this.#enter('changes', signal);
     if (fault !== undefined) return failure(fault);
     if (this.#newRows(table, after).length === 0) await this.#change(wait, signal);
--- a/src/cli/bench.ts
+++ b/src/cli/bench.ts
@@ -61,7 +61,7 @@
       reports.push(await run());
     }
     this.#print(reports);
-    return reports.every(isSound) ? 0 : 1;
+    return reports.every(meetsBurstGuarantees) ? 0 : 1;
   }
 
   async #simulatedRuns(): Promise<BurstRun[]> {
@@ -104,13 +104,14 @@
       for (const report of reports) stdout.write(`${JSON.stringify(report, undefined, 2)}\n`);
       return;
     }
-    const whole = reports.length === 1 ? reports[0] : { cases: reports, sound: reports.every(isSound) };
+    const whole =
+      reports.length === 1 ? reports[0] : { cases: reports, sound: reports.every(meetsBurstGuarantees) };
     stdout.write(`${JSON.stringify(whole)}\n`);
   }
 }
 
 /** A burst is sound when it ended and broke none of the promises; how fast it was is another matter. */
-function isSound(report: BurstReport): boolean {
+function meetsBurstGuarantees(report: BurstReport): boolean {
   const { placeBreaches, unverifiedChunksPassedOn, partialLoads, mixedVersionAnswers } = report;
   return (
     report.complete && placeBreaches + unverifiedChunksPassedOn + partialLoads + mixedVersionAnswers === 0
@@ -154,7 +155,7 @@
       const [seconds, rate, seed] = [this.seconds, this.rate, this.seed].map(Number);
       const report = await runRequestBench({ seconds, rate, seed, fault });
       reports.push(report);
-      sound = sound && keepsPromises(report, fault?.planned ?? false);
+      sound = sound && meetsGuarantees(report, fault?.planned ?? false);
     }
     return this.printReports(reports, sound);
   }
@@ -268,7 +269,7 @@
   }
 }
 
-function keepsPromises(report: RequestReport, planned: boolean): boolean {
+function meetsGuarantees(report: RequestReport, planned: boolean): boolean {
   const { lost, crossed, ranTwice, falseNotRun, newWorkAfterLeaving, cut } = report;
   return lost + crossed + ranTwice + falseNotRun + newWorkAfterLeaving + (planned ? cut : 0) === 0;
 }
--- a/src/cli/operators.ts
+++ b/src/cli/operators.ts
@@ -14,7 +14,7 @@
 
 const WAIT_INTERVAL = 500;
 /** Tries to learn what became of an operation whose answer was lost, one a second. */
-const OPERATION_TRIES = 30;
+const MAX_RESOLVE_ATTEMPTS = 30;
 
 /** What every operators' command has. */
 abstract class OperatorCommand extends ThistlewayCommand {
@@ -122,7 +122,7 @@
 
   /** The platform's answer was lost: the operation is settled, one way or the other. */
   async #resolve(operationId: string): Promise<number> {
-    for (let attempt = 0; attempt < OPERATION_TRIES; attempt++) {
+    for (let attempt = 0; attempt < MAX_RESOLVE_ATTEMPTS; attempt++) {
       const found = await this.#tryResolve(operationId);
       if (found.type === 'accepted') return found.revision;
       if (found.type === 'notAccepted') throw new CommandFailure('not accepted; apply again', EXIT_UNKNOWN);
@@ -136,13 +136,17 @@
     const endsAt = performance.now() + Number(this.timeout) * 1_000;
     while (performance.now() < endsAt) {
       const { deployments } = await this.client.status();
-      const own = declared.flatMap(({ metadata, spec }) => {
+      const ownDeployments = declared.flatMap(({ metadata, spec }) => {
         return (
           deployments.find(({ name, version }) => name === metadata.name && version === spec.version) ?? []
         );
       });
-      for (const deployment of own) this.print(formatStatus(deployment));
-      if (own.length === declared.length && own.every(({ waitsFor }) => waitsFor === '')) return;
+      for (const deployment of ownDeployments) this.print(formatStatus(deployment));
+      if (
+        ownDeployments.length === declared.length &&
+        ownDeployments.every(({ waitsFor }) => waitsFor === '')
+      )
+        return;
       await pause(WAIT_INTERVAL);
     }
     throw new CommandFailure('not all replicas are ready in time', EXIT_UNKNOWN);
--- a/src/cli/process.ts
+++ b/src/cli/process.ts
@@ -9,10 +9,10 @@
 import { CommandFailure, EXIT_USAGE } from './errors.js';
 
 /** Longest wait for requests in progress at a planned stop, in milliseconds. */
-const DRAIN_LIMIT = 120_000;
+const DRAIN_TIMEOUT = 120_000;
 const DRAIN_CHECK_INTERVAL = 50;
 /** Parts that have not stopped after this are left to the end of the process, in milliseconds. */
-const STOP_LIMIT = 5_000;
+const STOP_TIMEOUT = 5_000;
 
 /** Reads a settings file; every problem is reported with file, line and field. */
 export function readSettings<T>(file: string, schema: ZodType<T>): T {
@@ -41,14 +41,14 @@
 export async function runUntilSignal(part: Startable | Drainable, minDrainMilliseconds = 0): Promise<void> {
   await startUntilOrdered(part, new StopOrder(['SIGTERM', 'SIGINT']));
   if ('drain' in part) await drainFully(part, minDrainMilliseconds);
-  await endsWithin(part.stop(), STOP_LIMIT);
+  await endsWithin(part.stop(), STOP_TIMEOUT);
 }
 
 async function drainFully(part: Drainable, minMilliseconds: number): Promise<void> {
   const startedAt = performance.now();
   part.drain();
   const elapsed = () => performance.now() - startedAt;
-  while (elapsed() < DRAIN_LIMIT && (elapsed() < minMilliseconds || part.active > 0)) {
+  while (elapsed() < DRAIN_TIMEOUT && (elapsed() < minMilliseconds || part.active > 0)) {
     await new Promise((resolve) => setTimeout(resolve, DRAIN_CHECK_INTERVAL));
   }
 }
--- a/src/clients/http.ts
+++ b/src/clients/http.ts
@@ -7,7 +7,7 @@
 import type { PlatformError } from './errors.js';
 
 /** Connections kept to one server. */
-const CONNECTIONS = 32;
+const MAX_CONNECTIONS = 32;
 const CONNECT_TIMEOUT = 2_000;
 /** Time until a server that says nothing else may be asked again, in milliseconds. */
 const DEFAULT_RETRY_AFTER = 1_000;
@@ -52,7 +52,7 @@
   try {
     stream = await openHttp(call);
   } catch (cause) {
-    if (isOverdue(call)) renew(origin, pool);
+    if (isTimedOut(call)) replacePool(origin, pool);
     return failure(errorOf(call, cause));
   }
   try {
@@ -61,7 +61,7 @@
     if (statusCode < 500 && statusCode !== 429) return success({ status: statusCode, body, headers });
     return failure(unavailable(call, `status ${statusCode}`, retryAfterOf(stream)));
   } catch (cause) {
-    if (isOverdue(call)) renew(origin, pool);
+    if (isTimedOut(call)) replacePool(origin, pool);
     return failure({ type: 'outcomeUnknown', service: call.service, reason: String(cause) });
   }
 }
@@ -93,20 +93,20 @@
 function poolOf(origin: string): Pool {
   const known = pools.get(origin);
   if (known !== undefined) return known;
-  const pool = new Pool(origin, { connections: CONNECTIONS, connect: { timeout: CONNECT_TIMEOUT } });
+  const pool = new Pool(origin, { connections: MAX_CONNECTIONS, connect: { timeout: CONNECT_TIMEOUT } });
   pools.set(origin, pool);
   return pool;
 }
 
 /** Calls from now on use new connections; those in progress on `pool` go on there until they end. */
-function renew(origin: string, pool: Pool): void {
+function replacePool(origin: string, pool: Pool): void {
   if (pools.get(origin) !== pool) return;
   pools.delete(origin);
   void pool.close().catch(() => {});
 }
 
 /** True where the time of the call is over; false where its caller does not want it any more. */
-function isOverdue({ signal }: HttpCall): boolean {
+function isTimedOut({ signal }: HttpCall): boolean {
   return (signal.reason as { name?: string } | undefined)?.name === 'TimeoutError';
 }
 
--- a/src/clients/store-revision.ts
+++ b/src/clients/store-revision.ts
@@ -7,29 +7,29 @@
  */
 
 /** Versions within an era: 2^42, a thousand a second for 139 years. */
-const VERSIONS = 2 ** 42;
+const VERSIONS_PER_ERA = 2 ** 42;
 /** Eras that fit into a whole number with them. */
-const ERAS = 2 ** 11;
+const MAX_ERAS = 2 ** 11;
 
 /** A place in the store's history; 0 is before its beginning. */
 export type StoreRevision = number;
 
 /** The place of `version` in `era`; undefined where they are no whole numbers of the range. */
 export function storeRevision(era: number, version: number): StoreRevision | undefined {
-  const isPlace = isBelow(era, ERAS) && isBelow(version, VERSIONS);
-  return isPlace ? era * VERSIONS + version : undefined;
+  const isInRange = isIntegerBelow(era, MAX_ERAS) && isIntegerBelow(version, VERSIONS_PER_ERA);
+  return isInRange ? era * VERSIONS_PER_ERA + version : undefined;
 }
 
 /** The era of a place. */
 export function eraOf(revision: StoreRevision): number {
-  return Math.floor(revision / VERSIONS);
+  return Math.floor(revision / VERSIONS_PER_ERA);
 }
 
 /** The version of a place within its era. */
 export function versionOf(revision: StoreRevision): number {
-  return revision % VERSIONS;
+  return revision % VERSIONS_PER_ERA;
 }
 
-function isBelow(number: number, bound: number): boolean {
+function isIntegerBelow(number: number, bound: number): boolean {
   return Number.isInteger(number) && number >= 0 && number < bound;
 }
--- a/src/clients/watched-tables.ts
+++ b/src/clients/watched-tables.ts
@@ -17,7 +17,7 @@
 }
 
 /** Rows as of one revision. */
-export interface RowsAt {
+export interface RowsSnapshot {
   rows: StoredRow[];
   revision: StoreRevision;
   /** The store's steady clock at that moment, in milliseconds. */
@@ -56,13 +56,13 @@
     partition: string,
     signal: AbortSignal,
     onPart?: () => void,
-  ): Promise<Result<RowsAt, PlatformError>>;
+  ): Promise<Result<RowsSnapshot, PlatformError>>;
   /** The rows of a table changed after `revision`; waits up to `wait` milliseconds for one. */
   changes(
     query: { table: string; after: StoreRevision; wait: number },
     signal: AbortSignal,
     onPart?: () => void,
-  ): Promise<Result<RowsAt, ChangesError>>;
+  ): Promise<Result<RowsSnapshot, ChangesError>>;
   /** All of the writes if every condition holds, or none. */
   transact(
     conditions: StoredRowCondition[],
--- a/src/fleet/store-sync.ts
+++ b/src/fleet/store-sync.ts
@@ -4,7 +4,7 @@
  */
 import { setImmediate as nextTurn } from 'node:timers/promises';
 import { eraOf, type StoreRevision } from '../clients/store-revision.js';
-import type { RowsAt, StoredRow, WatchedTables } from '../clients/watched-tables.js';
+import type { RowsSnapshot, StoredRow, WatchedTables } from '../clients/watched-tables.js';
 import { isSameStart } from '../model/back-end-identity.js';
 import type { Random } from '../model/random.js';
 import type { Result } from '../model/result.js';
@@ -181,7 +181,7 @@
   }
 
   /** @param since - what is new was written after this, in milliseconds of the store's clock */
-  #takeOperatorRows({ rows }: RowsAt, since: number): void {
+  #takeOperatorRows({ rows }: RowsSnapshot, since: number): void {
     for (const row of rows) {
       const decoded = this.#options.decoder.operatorRecord(row);
       if (decoded === undefined) continue;
@@ -219,7 +219,7 @@
     this.onOlderCopy();
   }
 
-  #takeWholeList({ rows, revision }: RowsAt): void {
+  #takeWholeList({ rows, revision }: RowsSnapshot): void {
     this.#noteEra(revision);
     const present = new Set(rows.map(({ key }) => key));
     this.faults.keepOnly(this.#options.decoder.backEndTable, present);
@@ -229,7 +229,7 @@
     this.#apply([...missing, ...this.#decode(rows)], revision);
   }
 
-  #takeChanges({ rows, revision }: RowsAt): void {
+  #takeChanges({ rows, revision }: RowsSnapshot): void {
     this.#apply(this.#decode(rows), revision);
   }
 
--- a/src/fleet/table-follower.ts
+++ b/src/fleet/table-follower.ts
@@ -2,7 +2,7 @@
  * Follows one table of the store: reads it whole, then waits for changes. A store that is away is asked again with a
  * jittered, growing pause; where it has forgotten the changes since, the table is read whole again.
  */
-import type { ChangesError, RowsAt, StoredRow, WatchedTables } from '../clients/watched-tables.js';
+import type { ChangesError, RowsSnapshot, StoredRow, WatchedTables } from '../clients/watched-tables.js';
 import type { Random } from '../model/random.js';
 import type { Result } from '../model/result.js';
 import type { Startable } from '../model/startable.js';
@@ -39,9 +39,9 @@
 /** What a follower tells. */
 export interface TableFollowerEvents {
   /** The whole table; what is new in it was written after `since`, in milliseconds of the store's clock. */
-  onWhole(rows: RowsAt, since: number): void;
+  onWhole(rows: RowsSnapshot, since: number): void;
   /** Rows that changed since what was told before, all after `since`. */
-  onChanges(rows: RowsAt, since: number): void;
+  onChanges(rows: RowsSnapshot, since: number): void;
   /**
    * The store answers again, after `silence` milliseconds without an answer. It was not away where `isOutage` is false: one
    * call alone had no answer, and the next one, on a new connection, had.
@@ -188,7 +188,10 @@
   }
 
   /** Calls the store, and notes the time that its answer took where it was not waiting for a change. */
-  async #timed<T extends Result<RowsAt, ChangesError>>(wait: number, call: () => Promise<T>): Promise<T> {
+  async #timed<T extends Result<RowsSnapshot, ChangesError>>(
+    wait: number,
+    call: () => Promise<T>,
+  ): Promise<T> {
     const askedAt = performance.now();
     const answer = await call();
     const beyond = performance.now() - askedAt - wait;
@@ -197,10 +200,10 @@
   }
 
   #take(
-    answer: Result<RowsAt, ChangesError>,
+    answer: Result<RowsSnapshot, ChangesError>,
     limit: AbortSignal,
     { askedAt, gap, signal }: FollowerCall,
-    tell: (rows: RowsAt, since: number) => void,
+    tell: (rows: RowsSnapshot, since: number) => void,
   ): number {
     if (signal.aborted) return 0;
     if (answer.ok) {
@@ -232,7 +235,7 @@
    * as there is a change, so without a gap before the call it was written just before the answer.
    * @param gap - time between the answer before and this call, in milliseconds
    */
-  #writtenSince({ storeTime }: RowsAt, gap: number): number {
+  #writtenSince({ storeTime }: RowsSnapshot, gap: number): number {
     return gap <= GAPLESS ? Math.max(this.#storeTime, storeTime - GAPLESS) : this.#storeTime;
   }
 
--- a/src/forwarding/forwarding-server.ts
+++ b/src/forwarding/forwarding-server.ts
@@ -10,8 +10,8 @@
 import { endsWithin } from '../model/time-limit.js';
 import type { Log } from '../observability/log.js';
 import type { Metrics } from '../observability/metrics.js';
+import { ClientErrorHandler } from '../server/client-error-handler.js';
 import { closeIdleConnectionsOnceRead } from '../server/idle-connections.js';
-import { UnreadableConnections } from '../server/unreadable-connections.js';
 import { LongestDurations } from '../systems/longest-durations.js';
 import type { RetryWindow } from '../systems/retry-window.js';
 import type { BackEndLimits } from './back-end-limits.js';
@@ -157,7 +157,7 @@
       { maxHeaderSize: MOST_HEADER_BYTES, keepAliveTimeout: DEFAULT_IDLE_TIMEOUT, requestTimeout: 0 },
       (request, response) => this.#accept(request, response),
     );
-    new UnreadableConnections(server, (_error, socket) => socket.destroy());
+    new ClientErrorHandler(server, (_error, socket) => socket.destroy());
     closeIdleConnectionsOnceRead(server);
     await new Promise<void>((resolve, reject) => {
       server.once('error', reject);
--- a/src/observability/metrics-server.ts
+++ b/src/observability/metrics-server.ts
@@ -1,7 +1,7 @@
 /** Serves the metrics of a process. */
 import Router from '@koa/router';
 import type { Startable } from '../model/startable.js';
-import { httpServer, listenerOf } from '../server/http-server.js';
+import { createRequestListener, httpServer } from '../server/http-server.js';
 import type { Metrics } from './metrics.js';
 
 /** Creates a server of `metrics` at `address` (`host:port`) and `path`. */
@@ -11,5 +11,5 @@
     context.type = 'text/plain; version=0.0.4';
     context.body = await metrics.text();
   });
-  return httpServer(address, listenerOf(router));
+  return httpServer(address, createRequestListener(router));
 }
--- a/src/resources/resource-api.ts
+++ b/src/resources/resource-api.ts
@@ -52,7 +52,7 @@
 };
 const RESOLVE_RETRY_AFTER = 1_000;
 /** Bytes of a watch that may lie unread before it is ended. */
-const MAX_UNREAD_BYTES = 2 ** 20;
+const MAX_WATCH_BUFFER_BYTES = 2 ** 20;
 
 const APPLY_STATUS: Record<ApplyAnswer['type'], number> = {
   accepted: 200,
@@ -212,7 +212,7 @@
   const bookmark = () => {
     res.write(`${JSON.stringify({ type: 'bookmark', revision: configuration.revision })}\n`);
     // Who does not read is not waited for: it may come back with its last bookmark.
-    if (res.writableLength > MAX_UNREAD_BYTES) res.destroy();
+    if (res.writableLength > MAX_WATCH_BUFFER_BYTES) res.destroy();
   };
   const changed = configuration.rows(TABLES.resources).filter((row) => row.revision > since);
   for (const row of [...changed, ...deleted].sort((a, b) => a.revision - b.revision)) send(row);
--- a/src/roles/direct-agent.ts
+++ b/src/roles/direct-agent.ts
@@ -12,7 +12,7 @@
 import { EntryLink } from '../peers/entry-link.js';
 import { SlotServer } from '../peers/slot-server.js';
 import { type ConnectionContext, createTrafficCounters } from '../protocol/connection.js';
-import { httpServer, listenerOf } from '../server/http-server.js';
+import { createRequestListener, httpServer } from '../server/http-server.js';
 import { EngineLoader } from '../weights/engine-loader.js';
 import { WeightsLibrary } from '../weights/held-weights.js';
 import { pieceRoutes } from '../weights/piece-server.js';
@@ -99,7 +99,7 @@
     },
   ]);
   const parts = new StartableGroup([
-    httpServer(address, listenerOf(pieceRoutes(library))),
+    httpServer(address, createRequestListener(pieceRoutes(library))),
     metricsServer(settings.metrics, metricsPath, metrics),
     link,
     slots,
--- a/src/roles/direct-entry.ts
+++ b/src/roles/direct-entry.ts
@@ -19,7 +19,7 @@
 import { type Connection, ConnectionListener } from '../protocol/connection.js';
 import type { EngineReport, EntryReport } from '../protocol/reports.js';
 import type { FollowedTable } from '../protocol/store-update.js';
-import { httpServer, listenerOf } from '../server/http-server.js';
+import { createRequestListener, httpServer } from '../server/http-server.js';
 import { DrainSchedule } from '../systems/drain-schedule.js';
 import { createEntryRetryWindow } from '../systems/entry-retry-window.js';
 import type { RetryWindow } from '../systems/retry-window.js';
@@ -179,7 +179,7 @@
       metrics,
     );
     const accept = (connection: Connection) => this.#accept(connection);
-    const pieces = listenerOf(pieceRoutes(library));
+    const pieces = createRequestListener(pieceRoutes(library));
     const directory = components.directoryRoutes(
       (zone, region) => this.addresses(zone, region),
       settings.addressLifetimeSeconds,
@@ -194,8 +194,8 @@
       this.#collection,
       this.#slots,
       this.#forwarding,
-      httpServer(settings.ready, listenerOf(components.readyRoutes(() => this.isReady))),
-      httpServer(settings.directory, listenerOf(directory)),
+      httpServer(settings.ready, createRequestListener(components.readyRoutes(() => this.isReady))),
+      httpServer(settings.directory, createRequestListener(directory)),
       metricsServer(settings.metrics, components.metricsPath, metrics),
     ]);
     this.#addMetrics();
--- a/src/server/http-server.ts
+++ b/src/server/http-server.ts
@@ -4,8 +4,8 @@
 import type Router from '@koa/router';
 import Koa from 'koa';
 import type { Startable } from '../model/startable.js';
+import { ClientErrorHandler } from './client-error-handler.js';
 import { closeIdleConnectionsOnceRead } from './idle-connections.js';
-import { UnreadableConnections } from './unreadable-connections.js';
 
 const BAD_REQUEST = 400;
 /** Statuses for errors of Node's parser, as Node's server gives them by itself. */
@@ -22,7 +22,7 @@
     async start() {
       const [host, port] = address.split(':');
       const created = createServer(handler);
-      new UnreadableConnections(created, rejectUnreadable);
+      new ClientErrorHandler(created, rejectMalformedRequest);
       closeIdleConnectionsOnceRead(created);
       await new Promise<void>((resolve, reject) => {
         created.once('error', reject);
@@ -41,7 +41,7 @@
 }
 
 /** Answers what is no request as Node's server does by itself, and closes its connection. */
-function rejectUnreadable(error: Error & { code?: string }, socket: Duplex): void {
+function rejectMalformedRequest(error: Error & { code?: string }, socket: Duplex): void {
   const status = STATUS_OF_ERROR[error.code ?? ''] ?? BAD_REQUEST;
   if (socket.writable)
     socket.write(`HTTP/1.1 ${status} ${STATUS_CODES[status]}\r\nConnection: close\r\n\r\n`);
@@ -49,15 +49,15 @@
 }
 
 /** Creates a koa application that answers every failure of a handler with status 500 and its text. */
-export function application(): Koa {
+export function createApplication(): Koa {
   const app = new Koa();
   app.silent = true;
   return app;
 }
 
 /** What answers requests by the routes of `router`. */
-export function listenerOf(router: Router): RequestListener {
-  const app = application();
+export function createRequestListener(router: Router): RequestListener {
+  const app = createApplication();
   app.use(router.routes());
   return app.callback();
 }
--- a/test/fleet/store-sync.test.ts
+++ b/test/fleet/store-sync.test.ts
@@ -1,7 +1,7 @@
 /** Following the store through its faults. */
 import { afterEach, beforeEach, describe, expect, it } from 'vitest';
 import { MemoryStore } from '../../emulator/store/memory-store.js';
-import type { RowsAt, WatchedTables } from '../../src/clients/watched-tables.js';
+import type { RowsSnapshot, WatchedTables } from '../../src/clients/watched-tables.js';
 import { FleetView } from '../../src/fleet/fleet-view.js';
 import { CLOCK_TOLERANCE } from '../../src/fleet/store-clock.js';
 import { StoreSync } from '../../src/fleet/store-sync.js';
@@ -45,7 +45,7 @@
     /** The answer is made at once and arrives much later. */
     const late = async <T extends { ok: boolean; value?: unknown }>(answer: Promise<T>): Promise<T> => {
       const made = await answer;
-      if (made.ok) stamps.push({ stamp: (made.value as RowsAt).storeTime, at: performance.now() });
+      if (made.ok) stamps.push({ stamp: (made.value as RowsSnapshot).storeTime, at: performance.now() });
       await new Promise((resolve) => setTimeout(resolve, 4 * CLOCK_TOLERANCE));
       return made;
     };
--- a/test/weights/piece-server.test.ts
+++ b/test/weights/piece-server.test.ts
@@ -3,7 +3,7 @@
 import { afterEach, beforeEach, expect, it } from 'vitest';
 import { freeAddress } from '../../bench/processes/child.js';
 import { digestOf } from '../../src/model/manifest.js';
-import { httpServer, listenerOf } from '../../src/server/http-server.js';
+import { createRequestListener, httpServer } from '../../src/server/http-server.js';
 import { SMALL_BATCH } from '../../src/systems/upload-limit.js';
 import { type PieceManifest, WeightsLibrary } from '../../src/weights/held-weights.js';
 import { BUSY, pieceRoutes, piecesPath } from '../../src/weights/piece-server.js';
@@ -25,7 +25,7 @@
   const manifest: PieceManifest = { model: 'm', version: 1, pieceBytes: PIECE_BYTES, digests };
   const held = library.open(manifest);
   for (const index of ALL) library.add(held, index, pieceOf(index));
-  server = httpServer(address, listenerOf(pieceRoutes(library)));
+  server = httpServer(address, createRequestListener(pieceRoutes(library)));
   await server.start();
 });
 
