--- a/src/clients/errors.ts
+++ b/src/clients/errors.ts
@@ -1,12 +1,12 @@
-/** Errors of the platform's services as the rest of the system sees them. */
+/** Errors of calls to platform services. */
 
-/** Why a call to a platform service has no result. */
+/** Why a call to a platform service failed. */
 export type PlatformError =
-  /** Nothing took effect; `retryAfter` is in milliseconds. */
+  /** The call had no effect; it may be retried after `retryAfter` milliseconds. */
   | { type: 'unavailable'; service: string; retryAfter: number; reason: string }
   /** The call may or may not have taken effect. */
   | { type: 'outcomeUnknown'; service: string; reason: string }
-  /** There is no such object. */
+  /** The object does not exist. */
   | { type: 'notFound'; service: string }
-  /** The answer does not follow the service's protocol. */
+  /** The answer violates the service's protocol. */
   | { type: 'malformedAnswer'; service: string; reason: string };
--- a/src/clients/http.ts
+++ b/src/clients/http.ts
@@ -1,50 +1,50 @@
 /**
- * The HTTP client that the platform's and the back ends' clients share. A call without an answer in its time may have met a
- * connection that went silent for good, without an end or a reset: the calls after it use new connections.
+ * The HTTP client shared by the clients of the platform and of the back ends. When a call times out, its connection may have
+ * failed without a FIN or RST, so later calls use new connections.
  */
 import { type Dispatcher, Pool, request } from 'undici';
 import { failure, type Result, success } from '../model/result.js';
 import type { PlatformError } from './errors.js';
 
-/** Connections kept to one server. */
+/** Maximum number of connections to one server. */
 const MAX_CONNECTIONS = 32;
 const CONNECT_TIMEOUT = 2_000;
-/** Time until a server that says nothing else may be asked again, in milliseconds. */
+/** Retry delay if the server does not name one, in milliseconds. */
 const DEFAULT_RETRY_AFTER = 1_000;
 
-/** The connections to each server that calls use, by origin. */
+/** The current connection pool of each server, by origin. */
 const pools = new Map<string, Pool>();
 
-/** What to send. */
+/** An HTTP request to send. */
 export interface HttpCall {
   /** Name of the called service, for errors. */
   service: string;
   method: 'GET' | 'PUT' | 'POST' | 'DELETE';
   url: string;
-  /** Sent as JSON. */
+  /** Body to send as JSON. */
   json?: unknown;
-  /** Sent as it is. */
+  /** Body to send unchanged. */
   bytes?: Uint8Array;
-  /** Sent besides the content type. */
+  /** Headers to send in addition to the content type. */
   headers?: Record<string, string>;
-  /** The connection is closed after the answer: the server accepts few. */
+  /** Closes the connection after the answer, for servers that accept few connections. */
   closes?: boolean;
   signal: AbortSignal;
-  /** Called when the head of the answer has come, and each part of its body. */
+  /** Called when the headers of the answer arrive, and for each part of its body. */
   onPart?: () => void;
 }
 
-/** A whole answer. */
+/** A complete answer. */
 export interface HttpAnswer {
   status: number;
   body: Buffer;
   headers: HttpStream['headers'];
 }
 
-/** The answer's headers, and its body as a stream. */
+/** An answer with its headers and its body as a stream. */
 export type HttpStream = Dispatcher.ResponseData;
 
-/** Sends a call and reads the whole answer; statuses below 500 other than 429 are answers, not errors. */
+/** Sends a call and reads the whole answer. Status 429 and statuses from 500 are errors. */
 export async function callHttp(call: HttpCall): Promise<Result<HttpAnswer, PlatformError>> {
   let stream: HttpStream;
   const { origin } = new URL(call.url);
@@ -76,7 +76,7 @@
   return Buffer.concat(parts);
 }
 
-/** Sends a call and returns as soon as the headers are there. Throws what the client library throws. */
+/** Sends a call and resolves when the headers have arrived. Rejects with the errors of the client library. */
 export function openHttp(call: HttpCall): Promise<HttpStream> {
   const body = call.json === undefined ? call.bytes : JSON.stringify(call.json);
   const contentType = call.json === undefined ? 'application/octet-stream' : 'application/json';
@@ -98,19 +98,19 @@
   return pool;
 }
 
-/** Calls from now on use new connections; those in progress on `pool` go on there until they end. */
+/** Makes later calls use new connections; calls in progress on `pool` continue there until they end. */
 function replacePool(origin: string, pool: Pool): void {
   if (pools.get(origin) !== pool) return;
   pools.delete(origin);
   void pool.close().catch(() => {});
 }
 
-/** True where the time of the call is over; false where its caller does not want it any more. */
+/** Returns true if the call timed out, false if its caller aborted it. */
 function isTimedOut({ signal }: HttpCall): boolean {
   return (signal.reason as { name?: string } | undefined)?.name === 'TimeoutError';
 }
 
-/** Reads an answer as JSON. */
+/** Parses the body of an answer as JSON. */
 export function parseJson<T>(service: string, answer: HttpAnswer): Result<T, PlatformError> {
   try {
     return success(JSON.parse(answer.body.toString('utf8')) as T);
@@ -119,7 +119,7 @@
   }
 }
 
-/** True when the connection was never made, so that the server cannot have seen the call. */
+/** Returns true if no connection was established, so that the server cannot have received the call. */
 export function neverConnected(cause: unknown): boolean {
   const code = (cause as { code?: string }).code;
   return code === 'ECONNREFUSED' || code === 'UND_ERR_CONNECT_TIMEOUT' || code === 'EHOSTUNREACH';
--- a/src/clients/machine-list.ts
+++ b/src/clients/machine-list.ts
@@ -1,16 +1,16 @@
-/** The platform's list of machines. It lags: a machine in it may be gone, and a new one may be missing. */
+/** The platform's list of machines. It lags: it may contain machines that are gone and lack new ones. */
 import type { Result } from '../model/result.js';
 import type { PlatformError } from './errors.js';
 import { callHttp, parseJson } from './http.js';
 
-/** A machine as the platform sees it. */
+/** A machine in the list. */
 export interface ListedMachine {
-  /** IP number. */
+  /** IP address. */
   address: string;
   state: 'live' | 'leaving';
 }
 
-/** The list of machines. */
+/** Client interface of the machine list. */
 export interface MachineList {
   machines(signal: AbortSignal): Promise<Result<ListedMachine[], PlatformError>>;
 }
--- a/src/clients/object-store.ts
+++ b/src/clients/object-store.ts
@@ -1,17 +1,17 @@
-/** The platform's object store; the system keeps the manifests of weight versions there. */
+/** The platform's object store, which holds the manifests of weights versions. */
 import { failure, type Result, success } from '../model/result.js';
 import type { PlatformError } from './errors.js';
 import { callHttp } from './http.js';
 
-/** The object store. */
+/** Client interface of the object store. */
 export interface ObjectStore {
   get(key: string, signal: AbortSignal): Promise<Result<Buffer, PlatformError>>;
   put(key: string, data: Uint8Array, signal: AbortSignal): Promise<Result<void, PlatformError>>;
 }
 
-/** An object store that can tell which objects there are. */
+/** An object store that can list its objects. */
 export interface ListedObjectStore extends ObjectStore {
-  /** Names of the objects that begin with `prefix`. */
+  /** Lists the keys that begin with `prefix`. */
   list(prefix: string, signal: AbortSignal): Promise<Result<string[], PlatformError>>;
 }
 
@@ -39,7 +39,7 @@
   };
 }
 
-/** Key of the manifest of a version. */
+/** Returns the key of the manifest of a version. */
 export function manifestKey(version: string): string {
   return `manifests/${version}`;
 }
--- a/src/clients/origin.ts
+++ b/src/clients/origin.ts
@@ -1,12 +1,12 @@
-/** The origin of weights. Its chunks are not trusted: whoever takes one compares its digest. */
+/** The origin of weights. Its chunks are not trusted: callers must verify their digests. */
 import type { Digest } from '../model/manifest.js';
 import { failure, type Result, success } from '../model/result.js';
 import type { PlatformError } from './errors.js';
 import { callHttp } from './http.js';
 
-/** The origin. */
+/** Client interface of the origin. */
 export interface Origin {
-  /** The bytes that the origin has for a chunk. */
+  /** Fetches the bytes of a chunk, unverified. */
   chunk(digest: Digest, signal: AbortSignal): Promise<Result<Buffer, PlatformError>>;
 }
 
--- a/src/clients/store-revision.ts
+++ b/src/clients/store-revision.ts
@@ -1,31 +1,31 @@
 /**
- * A place in the history of a platform's store: its era, and the version within it. A store that comes back from an older copy
- * of itself begins a new era; its versions go back and are given out again, so that versions alone do not order what was read.
+ * A position in the history of the platform's store: an era and a version within it. A store that is restored from an older
+ * copy begins a new era; its versions go back and are assigned again, so versions alone do not order what was read.
  *
- * Both are kept in one number, by which places are compared, kept and sent like the versions of a store that never goes back:
- * whatever is of a later era is later. Which eras there are is the affair of the store's client.
+ * Era and version are combined into one number, so that revisions are compared, stored and sent like the versions of a store
+ * that never goes back; a revision of a later era is greater. The store's client determines the era.
  */
 
-/** Versions within an era: 2^42, a thousand a second for 139 years. */
+/** Number of versions in an era: 2^42, which is 1,000 per second for 139 years. */
 const VERSIONS_PER_ERA = 2 ** 42;
-/** Eras that fit into a whole number with them. */
+/** Number of eras that fit into a safe integer together with the versions. */
 const MAX_ERAS = 2 ** 11;
 
-/** A place in the store's history; 0 is before its beginning. */
+/** A position in the store's history; 0 is before its beginning. */
 export type StoreRevision = number;
 
-/** The place of `version` in `era`; undefined where they are no whole numbers of the range. */
+/** Combines `era` and `version`; undefined if one of them is not an integer in its range. */
 export function storeRevision(era: number, version: number): StoreRevision | undefined {
   const isInRange = isIntegerBelow(era, MAX_ERAS) && isIntegerBelow(version, VERSIONS_PER_ERA);
   return isInRange ? era * VERSIONS_PER_ERA + version : undefined;
 }
 
-/** The era of a place. */
+/** The era of a revision. */
 export function eraOf(revision: StoreRevision): number {
   return Math.floor(revision / VERSIONS_PER_ERA);
 }
 
-/** The version of a place within its era. */
+/** The version of a revision within its era. */
 export function versionOf(revision: StoreRevision): number {
   return revision % VERSIONS_PER_ERA;
 }
--- a/src/clients/table-service.ts
+++ b/src/clients/table-service.ts
@@ -1,6 +1,6 @@
 /**
- * The platform's transactional table service. Every committed transaction has a revision, one greater than
- * the one before; each row carries the revision that wrote it.
+ * The platform's transactional table service. Every committed transaction increases the revision by one; each row
+ * carries the revision of the transaction that wrote it.
  *
  * @example
  * ```ts
@@ -11,53 +11,53 @@
 import type { PlatformError } from './errors.js';
 import { callHttp, parseJson } from './http.js';
 
-/** Requires that a row has a certain revision; 0 requires that there is none. */
+/** Requires that a row has the given revision; 0 requires that the row does not exist. */
 export interface RowCondition {
   table: string;
   key: string;
   revision: number;
 }
 
-/** Writes a row, or deletes it where `value` is null. */
+/** Writes a row, or deletes it if `value` is null. */
 export interface RowWrite {
   table: string;
   key: string;
   value: unknown;
 }
 
-/** All of the writes, or none of them. */
+/** Writes that are committed atomically if all conditions hold. */
 export interface Transaction {
-  /** Chosen by the caller; the same operation commits once. */
+  /** Idempotency key chosen by the caller: transactions with the same key are committed at most once. */
   operationId: string;
   conditions: RowCondition[];
   writes: RowWrite[];
 }
 
-/** A row as it stands. */
+/** A row of a table. */
 export interface Row {
   table: string;
   key: string;
-  /** Null in a list of changes where the row was deleted. */
+  /** In a list of changes, null if the row was deleted. */
   value: unknown;
   revision: number;
 }
 
-/** What became of a transaction. */
+/** Outcome of a transaction. */
 export type TransactionOutcome =
   | { type: 'committed'; revision: number }
   | { type: 'conflict'; rows: Array<{ table: string; key: string; revision: number }> };
 
-/** Rows changed since a revision. */
+/** The rows that changed after a revision. */
 export interface Changes {
-  /** The revision up to which the list goes. */
+  /** Revision up to which the list is complete. */
   revision: number;
   rows: Row[];
 }
 
-/** The table service. */
+/** Client interface of the table service. */
 export interface TableService {
   transact(transaction: Transaction, signal: AbortSignal): Promise<Result<TransactionOutcome, PlatformError>>;
-  /** The rows changed after `since`; with 0 all rows. */
+  /** Lists the rows that changed after `since`; 0 lists all rows. */
   changes(since: number, signal: AbortSignal): Promise<Result<Changes, PlatformError>>;
 }
 
--- a/src/clients/watched-tables.ts
+++ b/src/clients/watched-tables.ts
@@ -1,13 +1,13 @@
 /**
- * A table service whose changes can be waited for. Rows lie in tables and partitions; each carries the revision, of one
- * counter for all tables, that wrote it. History is kept for a limited time only, and is not kept over the end of an era:
- * whoever asks for the changes after a revision of a former one is told that it is forgotten.
+ * A table service that supports waiting for changes. Rows are in tables and partitions; each carries the revision that wrote
+ * it, from one counter for all tables. History is kept for a limited time and does not span eras: a query for the changes
+ * after a revision of an earlier era fails with `historyForgotten`.
  */
 import type { Result } from '../model/result.js';
 import type { PlatformError } from './errors.js';
 import type { StoreRevision } from './store-revision.js';
 
-/** A row as it stands; `value` is undefined in a list of changes where the row was deleted. */
+/** A row of a table; in a list of changes, `value` is undefined if the row was deleted. */
 export interface StoredRow {
   table: string;
   partition: string;
@@ -16,15 +16,15 @@
   revision: StoreRevision;
 }
 
-/** Rows as of one revision. */
+/** Rows read at one revision. */
 export interface RowsSnapshot {
   rows: StoredRow[];
   revision: StoreRevision;
-  /** The store's steady clock at that moment, in milliseconds. */
+  /** Time of the store's monotonic clock at the read, in milliseconds. */
   storeTime: number;
 }
 
-/** Requires that a row has a certain revision; 0 requires that there is none. */
+/** Requires that a row has the given revision; 0 requires that the row does not exist. */
 export interface StoredRowCondition {
   table: string;
   partition: string;
@@ -32,7 +32,7 @@
   revision: StoreRevision;
 }
 
-/** Writes a row, or deletes it where `value` is undefined. */
+/** Writes a row, or deletes it if `value` is undefined. */
 export interface StoredRowWrite {
   table: string;
   partition: string;
@@ -40,30 +40,30 @@
   value: Buffer | undefined;
 }
 
-/** What became of a transaction. */
+/** Outcome of a transaction. */
 export type StoreOutcome =
   | { type: 'committed'; revision: StoreRevision }
   | { type: 'conflict'; rows: StoredRow[] };
 
-/** Why changes cannot be listed. */
+/** Why changes cannot be listed; `historyForgotten` means that the requested revision is too old. */
 export type ChangesError = PlatformError | { type: 'historyForgotten' };
 
-/** The table service. Where an answer comes in parts, `onPart` is called with each. */
+/** Client interface of the table service. `onPart` is called for each part of an answer that arrives in parts. */
 export interface WatchedTables {
-  /** All rows of a partition, as of one moment. */
+  /** Reads a consistent snapshot of all rows of a partition. */
   read(
     table: string,
     partition: string,
     signal: AbortSignal,
     onPart?: () => void,
   ): Promise<Result<RowsSnapshot, PlatformError>>;
-  /** The rows of a table changed after `revision`; waits up to `wait` milliseconds for one. */
+  /** Lists the rows of a table that changed after revision `after`; waits up to `wait` milliseconds for a change. */
   changes(
     query: { table: string; after: StoreRevision; wait: number },
     signal: AbortSignal,
     onPart?: () => void,
   ): Promise<Result<RowsSnapshot, ChangesError>>;
-  /** All of the writes if every condition holds, or none. */
+  /** Commits all writes if every condition holds, otherwise none. */
   transact(
     conditions: StoredRowCondition[],
     writes: StoredRowWrite[],
--- a/src/settings/document.ts
+++ b/src/settings/document.ts
@@ -1,5 +1,5 @@
 /**
- * JSON with comments that is checked against a schema. Every problem names the file, the line and the field.
+ * Reads JSON with comments and validates it against a schema. Every problem names the file, the line and the field.
  *
  * @example
  * ```ts
@@ -17,20 +17,20 @@
 } from 'jsonc-parser';
 import type { ZodType } from 'zod';
 
-/** One thing that is wrong with a file. */
+/** A syntax or validation error in a file. */
 export interface DocumentProblem {
   file: string;
   /** Line, counted from 1. */
   line: number;
-  /** Dotted path of the field, empty for the whole document. */
+  /** Dotted path of the field; empty for the whole document. */
   field: string;
   message: string;
 }
 
-/** The outcome of reading a document. */
+/** The result of reading a document. */
 export type DocumentResult<T> = { ok: true; value: T } | { ok: false; problems: DocumentProblem[] };
 
-/** Parses and checks `text`. */
+/** Parses `text` and validates it against `schema`. */
 export function readDocument<T>(file: string, text: string, schema: ZodType<T>): DocumentResult<T> {
   const errors: ParseError[] = [];
   const root = parseTree(text, errors, { allowTrailingComma: true });
@@ -47,7 +47,7 @@
   return { ok: false, problems };
 }
 
-/** `file:line: field: message`, the form in which problems are printed. */
+/** Formats a problem as `file:line: field: message`. */
 export function formatProblem(problem: DocumentProblem): string {
   const field = problem.field === '' ? '' : ` ${problem.field}:`;
   return `${problem.file}:${problem.line}:${field} ${problem.message}`;
--- a/src/settings/schemas.ts
+++ b/src/settings/schemas.ts
@@ -1,14 +1,14 @@
-/** The settings of every role. Durations are in milliseconds, sizes in bytes, unless the name says otherwise. */
+/** Schemas of the settings of every role. Durations are in milliseconds and sizes in bytes unless the name says otherwise. */
 import { z } from 'zod';
 
 const address = z
   .string()
-  .regex(/^(\d{1,3}\.){3}\d{1,3}:\d{1,5}$/, 'must be an IP number and a port, as in "127.0.0.1:9000"');
+  .regex(/^(\d{1,3}\.){3}\d{1,3}:\d{1,5}$/, 'must be an IPv4 address and a port, as in "127.0.0.1:9000"');
 const url = z
   .string()
   .regex(
     /^http:\/\/(\d{1,3}\.){3}\d{1,3}:\d{1,5}(\/.*)?$/,
-    'must be an http URL with an IP number and a port',
+    'must be an http URL with an IPv4 address and a port',
   );
 const name = z.string().min(1, 'must not be empty');
 
@@ -26,32 +26,32 @@
     /** For the system's own processes. */
     peers: address,
   }),
-  /** Address that other processes are told for `listen.peers`, where it differs. */
+  /** Address to advertise to other processes instead of `listen.peers`. */
   advertisedPeers: address.optional(),
-  /** The other entries, of all zones: their addresses for the system's own processes. */
+  /** The other entries of all zones, with their `peers` addresses. */
   entries: z.array(z.strictObject({ address, zone: name })).default([]),
   platform: z.strictObject({ tables: url, objects: url, machines: url }),
   bursts: z
     .strictObject({
-      /** `tree` and `origin` are baselines for measurements. */
+      /** `tree` and `origin` are baselines for benchmarks. */
       strategy: z.enum(['swarm', 'tree', 'origin']).default('swarm'),
     })
     .prefault({}),
   discovery: z
     .strictObject({
-      /** Time for which callers may keep the addresses that they were told. */
+      /** Time for which callers may cache the addresses that discovery returned. */
       addressLifetimeSeconds: z.number().int().min(1).default(20),
     })
     .prefault({}),
   calls: z
     .strictObject({
-      /** Time for a whole answer where the caller names none. */
+      /** Default time limit for a complete answer, used if the caller sets none. */
       deadline: z.number().int().min(100).default(60_000),
-      /** Requests that run at this entry at the same time. */
+      /** Maximum number of concurrent requests at this entry. */
       inProgress: z.number().int().min(1).default(2_000),
-      /** Requests that wait for one of these to end. */
+      /** Maximum number of queued requests. */
       queued: z.number().int().min(0).default(500),
-      /** Longest wait of a request. */
+      /** Maximum time that a request waits in the queue. */
       queueTime: z.number().int().min(0).default(2_000),
     })
     .prefault({}),
@@ -67,9 +67,9 @@
     /** For operators (HTTP). */
     operators: address,
   }),
-  /** Address that others are told for `listen.peers`, where it differs. */
+  /** Address to advertise to other processes instead of `listen.peers`. */
   advertisedPeers: address.optional(),
-  /** Entries that this agent may use as its home, those of its own zone first. */
+  /** Entries that this agent may use as its home; those in its own zone are preferred. */
   entries: z.array(z.strictObject({ address, zone: name })).min(1, 'must name at least one entry'),
   backEnd: z.discriminatedUnion('kind', [
     z.strictObject({
@@ -77,24 +77,24 @@
       url,
       /** Machines of one pool serve the same models. */
       pool: name,
-      /** Requests that the engine runs at the same time. */
+      /** Number of requests that the engine runs concurrently. */
       capacity: z.number().int().min(1).default(16),
     }),
     z.strictObject({
       kind: z.literal('service'),
       url,
-      /** Name under which callers reach the service. */
+      /** Name by which callers address the service. */
       name,
       capacity: z.number().int().min(1).default(16),
     }),
   ]),
   origin: url,
   weights: z.strictObject({
-    /** Memory for chunks, apart from the memory for control. */
+    /** Memory for chunks; memory for control is not included. */
     memoryBytes: z.number().int().min(1),
-    /** Rate that chunk traffic may take of the machine's link. */
+    /** Maximum rate of chunk traffic on the machine's link. */
     linkBytesPerSecond: z.number().positive(),
-    /** Whether sending and receiving share that rate. */
+    /** Whether sending and receiving share that rate (`shared`) or each have it (`full`). */
     linkDuplex: z.enum(['shared', 'full']).default('shared'),
   }),
   log,
@@ -103,47 +103,47 @@
 /** Settings of `thistleway emulate platform`. */
 export const platformEmulatorSettings = z.strictObject({
   listen: address,
-  /** Rates of the table service, a second. */
+  /** Capacity of the table service. */
   writesPerSecond: z.number().positive().default(300),
   readsPerSecond: z.number().positive().default(2_000),
   origin: z.strictObject({
     bytesPerSecond: z.number().positive(),
-    /** The versions that lie at the origin. */
+    /** The versions that the origin serves. */
     versions: z.array(
       z.strictObject({
         label: name,
         bytes: z.number().int().min(1),
         chunkBytes: z.number().int().min(1),
-        /** The bytes follow from this number. */
+        /** Seed from which the bytes of the version are generated. */
         seed: z.number().int(),
-        /** Chunks from this share of the version on come from `changedSeed` instead. */
+        /** Chunks after this share of the version are generated from `changedSeed` instead. */
         unchangedShare: z.number().min(0).max(1).default(1),
         changedSeed: z.number().int().default(0),
       }),
     ),
   }),
-  /** Delay of the list of live and leaving machines. */
+  /** Delay after which changes appear in the machine list. */
   machineListLag: z.number().min(0).default(1_000),
 });
 
 /** Settings of `thistleway emulate engine`. */
 export const engineEmulatorSettings = z.strictObject({
   listen: address,
-  /** False for an engine that carries out every order, however old. */
+  /** False for an engine that executes every order, even a stale one. */
   checksFences: z.boolean().default(true),
-  /** Requests in one batch. */
+  /** Maximum number of requests in one batch. */
   batch: z.number().int().min(1).default(16),
-  /** Time of one decoding step of the batch. */
+  /** Duration of one decoding step of the batch. */
   stepMilliseconds: z.number().positive().default(15),
-  /** Prompt tokens read in a millisecond. */
+  /** Prompt tokens processed per millisecond. */
   prefillTokensPerMillisecond: z.number().positive().default(20),
-  /** Prompt tokens that the prefix cache holds. */
+  /** Capacity of the prefix cache, in prompt tokens. */
   prefixCacheTokens: z.number().int().min(0).default(20_000),
-  /** Time to load a version whose chunks are all there. */
+  /** Time to load a version whose chunks are all staged. */
   loadMilliseconds: z.number().min(0).default(200),
-  /** Age of the load that the engine reports. */
+  /** Delay with which the engine reports its load. */
   loadReportLag: z.number().min(0).default(300),
-  /** Delay of cache events, and the share of them that is lost. */
+  /** Delay of cache events, and the fraction of them that is lost. */
   cacheEventLag: z.number().min(0).default(500),
   cacheEventLoss: z.number().min(0).max(1).default(0.05),
 });
@@ -151,7 +151,7 @@
 /** Settings of `thistleway emulate service`. */
 export const serviceEmulatorSettings = z.strictObject({
   listen: address,
-  /** Time that a call takes. */
+  /** Duration of a call. */
   callMilliseconds: z.number().min(0).default(10),
 });
 
--- a/test/settings/document.test.ts
+++ b/test/settings/document.test.ts
@@ -18,7 +18,7 @@
 }
 
 describe('settings', () => {
-  it('may have comments and trailing commas, and get their defaults', () => {
+  it('may have comments and trailing commas, and defaults are filled in', () => {
     const read = readDocument('agent.jsonc', GOOD, agentSettings);
     expect(read).toMatchObject({
       ok: true,
@@ -29,10 +29,10 @@
   it.each([
     ['a wrong type', '"memoryBytes": 1000', '"memoryBytes": "x"', /^agent\.jsonc:8: weights\.memoryBytes: /],
     [
-      'a name instead of an IP number',
+      'a host name instead of an IPv4 address',
       '127.0.0.1:9000',
       'localhost:9000',
-      /^agent\.jsonc:4: listen\.peers: .*IP number/,
+      /^agent\.jsonc:4: listen\.peers: .*IPv4 address/,
     ],
     ['an unknown field', '"region"', '"regoin": 1, "region"', /^agent\.jsonc:1: .*regoin/],
     ['a missing field', '"place": "riga",', '', /^agent\.jsonc:1: place: /],
--- a/test/settings/examples.test.ts
+++ b/test/settings/examples.test.ts
@@ -13,7 +13,7 @@
 } from '../../src/settings/schemas.js';
 
 describe('the examples', () => {
-  it.each([ampervilla(), cooperative()])('declare what the demonstration does for $name', (user) => {
+  it.each([ampervilla(), cooperative()])('declare the same resources as the demo for $name', (user) => {
     const declared = readDeclarations(`examples/${user.name}`).map(({ value }) => value);
     const byName = (a: object, b: object) => (JSON.stringify(a) < JSON.stringify(b) ? -1 : 1);
     expect(declared.sort(byName)).toEqual(declarationsOf(user).sort(byName));
@@ -24,14 +24,14 @@
     ['entry', entrySettings],
     ['agent', agentSettings],
     ['engine', engineEmulatorSettings],
-  ])('have valid settings for %s', (name, schema) => {
+  ])('contain valid settings for %s', (name, schema) => {
     const file = `examples/${name}.jsonc`;
     expect(readDocument(file, readFileSync(file, 'utf8'), schema)).toMatchObject({ ok: true });
   });
 
-  it('name versions that the stand-in platform has', () => {
+  it('refer to versions that the platform emulator serves', () => {
     const read = readDocument('p', readFileSync('examples/platform.jsonc', 'utf8'), platformEmulatorSettings);
-    if (!read.ok) throw new Error('not valid');
+    if (!read.ok) throw new Error('examples/platform.jsonc is not valid');
     const versions = new OriginWeights(read.value.origin.versions).versions.map(({ version }) => version);
     const declared = [ampervilla(), cooperative()].map(({ deployment }) => deployment.spec.version);
     expect(versions).toEqual(declared);
