--- a/src/engine/engine-client.ts
+++ b/src/engine/engine-client.ts
@@ -1,44 +1,44 @@
-/** The client of the model engine beside an agent. */
+/** Client of the model engine on the machine of an agent. */
 
 import type { PlatformError } from '../clients/errors.js';
 import { callHttp, type HttpStream, openHttp, parseJson } from '../clients/http.js';
 import type { Digest } from '../model/manifest.js';
 import { failure, type Result, success } from '../model/result.js';
 
-/** Fences an order: the engine refuses one that is older than the latest it took. */
+/** Fencing token of an order: the engine refuses an order that is older than the latest one that it accepted. */
 export interface OrderFence {
-  /** Grows with each agent process of the machine; claimed at the engine itself. */
+  /** Increases with each agent process of the machine; claimed at the engine itself. */
   epoch: number;
-  /** Revision of the declaration that the order follows. */
+  /** Revision of the declaration that caused the order. */
   revision: number;
 }
 
-/** An order to change what the engine serves. */
+/** An order to load or unload a version. */
 export interface EngineOrder {
   kind: 'load' | 'unload';
   version: Digest;
   fence: OrderFence;
 }
 
-/** What an engine says of itself; its load lags. */
+/** State reported by an engine; its load value lags. */
 export interface EngineState {
   versions: Array<{ version: Digest; state: 'staging' | 'loading' | 'loaded'; loadedDigest?: Digest }>;
   fence: OrderFence;
   active: number;
 }
 
-/** Why an engine did not do what it was asked. */
+/** Why a call to an engine failed. */
 export type EngineError =
   | { type: 'engineUnreachable'; reason: string }
-  /** A newer agent process or a newer declaration has given orders. */
+  /** A newer agent process has claimed the engine, or an order for a newer declaration has been accepted. */
   | { type: 'fenced'; reason: string };
 
-/** One engine. */
+/** Client interface of one engine. */
 export interface EngineClient {
   state(signal: AbortSignal): Promise<Result<EngineState, EngineError>>;
-  /** Claims the engine for this agent process; returns the epoch for its orders. */
+  /** Claims the engine for this agent process; resolves to the epoch for its orders. */
   claim(signal: AbortSignal): Promise<Result<number, EngineError>>;
-  /** Puts a verified chunk beside what runs. */
+  /** Uploads a verified chunk to the staging area of the engine, without affecting the running version. */
   stage(
     version: Digest,
     chunk: number,
@@ -46,9 +46,9 @@
     signal: AbortSignal,
   ): Promise<Result<void, EngineError>>;
   order(order: EngineOrder, signal: AbortSignal): Promise<Result<void, EngineError>>;
-  /** Begins a completion; the answer is streamed. Throws what the client library throws. */
+  /** Starts a completion with a streamed answer. Rejects with the errors of the client library. */
   complete(body: object, signal: AbortSignal): Promise<HttpStream>;
-  /** Ends a request in the engine. */
+  /** Cancels a request in the engine. */
   cancel(requestId: string, signal: AbortSignal): Promise<void>;
 }
 
@@ -76,7 +76,7 @@
       const answer = await call('POST', '/v1/claims', signal, { json: { epoch } });
       if (!answer.ok) return failure(unreachable(answer.error));
       if (answer.value.status === 409)
-        return failure({ type: 'fenced', reason: 'claimed by another process' });
+        return failure({ type: 'fenced', reason: 'another agent process claimed the engine' });
       return success(epoch);
     },
     async stage(version, chunk, data, signal) {
@@ -87,7 +87,7 @@
       const answer = await call('POST', '/v1/orders', signal, { json: order });
       if (!answer.ok) return failure(unreachable(answer.error));
       if (answer.value.status === 409)
-        return failure({ type: 'fenced', reason: 'a newer order came before' });
+        return failure({ type: 'fenced', reason: 'the engine has already accepted a newer order' });
       return success(undefined);
     },
     complete(body, signal) {
--- a/src/resources/deployment-status.ts
+++ b/src/resources/deployment-status.ts
@@ -1,4 +1,4 @@
-/** How far a deployment is: what operators see in `thistleway status` and wait for in `apply --wait`. */
+/** Progress of deployments, as shown by `thistleway status` and awaited by `thistleway apply --wait`. */
 import type { AgentDirectory } from '../entry/agent-directory.js';
 import type { Configuration } from '../entry/configuration.js';
 import type { ModelDeployment } from './schemas.js';
@@ -10,18 +10,18 @@
   revision: number;
   version: string;
   replicasWanted: number;
-  /** Machines chosen. */
+  /** Number of machines that the placement has chosen. */
   replicasPlaced: number;
-  /** Machines whose engine reports the exact version. */
+  /** Number of chosen machines whose engine reports exactly this version as loaded. */
   replicasReady: number;
-  /** Bytes of the version in the memory of the chosen machines, and those that they need. */
+  /** Bytes of the version in the memory of the chosen machines, and the bytes that they need. */
   bytesHeld: number;
   bytesNeeded: number;
-  /** What the deployment waits for, empty when it is complete. */
+  /** What the deployment is waiting for; empty if it is complete. */
   waitsFor: string;
 }
 
-/** Computes the progress of a deployment from what this entry knows. */
+/** Computes the progress of a deployment from the state known to this entry. */
 export function deploymentStatus(
   deployment: { value: ModelDeployment; revision: number },
   configuration: Configuration,
--- a/src/resources/json-schemas.ts
+++ b/src/resources/json-schemas.ts
@@ -1,4 +1,4 @@
-/** JSON Schemas of the resources, made from the same definitions that check them; editors take them for completion. */
+/** JSON Schemas of the resources for completion in editors, generated from the schemas that validate the resources. */
 import { z } from 'zod';
 import { modelDeployment, service, tenant } from './schemas.js';
 
@@ -7,10 +7,9 @@
 /** A kind of resource. */
 export type ResourceKind = keyof typeof KINDS;
 
-/** All kinds. */
 export const RESOURCE_KINDS = Object.keys(KINDS) as ResourceKind[];
 
-/** The JSON Schema (draft 2020-12) of what operators write for a kind: fields with defaults may be left out. */
+/** Returns the JSON Schema (draft 2020-12) of the input for a kind: fields with defaults are optional. */
 export function jsonSchemaOf(kind: ResourceKind): object {
   return z.toJSONSchema(KINDS[kind], { io: 'input' });
 }
--- a/src/resources/resource-api.ts
+++ b/src/resources/resource-api.ts
@@ -1,9 +1,9 @@
 /**
- * The HTTP interface for operators: resources with revisions, applied as one transaction, and watched.
+ * The HTTP API for operators: lists, applies and watches resources with revisions. An apply is one transaction.
  *
  * - `GET /apis/v1/resources[?kind=K]`: all resources with their revisions.
  * - `POST /apis/v1/apply`: `{ operationId, resources: [{ resource, revision? }], deletes: [{ key, revision? }] }`.
- * - `POST /apis/v1/operations/:id/resolve`: what became of an apply whose answer was lost, once and for all.
+ * - `POST /apis/v1/operations/:id/resolve`: the final outcome of an apply whose answer was lost.
  * - `GET /apis/v1/watch?since=R`: changes after revision R as lines of JSON.
  * - `GET /apis/v1/status`: progress of every deployment.
  */
@@ -21,27 +21,27 @@
 const ACCEPTED = 'accepted';
 const ABANDONED = 'abandoned';
 
-/** What an operator asks to change, all or nothing. */
+/** Changes requested by an operator, applied atomically. */
 export interface ApplyRequest {
   operationId: string;
-  /** With a revision, the resource must still have it; 0 means that it must not exist. */
+  /** If `revision` is given, the resource must still have it; 0 means that the resource must not exist. */
   resources: Array<{ resource: unknown; revision?: number }>;
   deletes: Array<{ key: string; revision?: number }>;
 }
 
-/** What became of it. */
+/** Outcome of an apply. */
 export type ApplyAnswer =
   | { type: 'accepted'; revision: number }
   | { type: 'rejected'; problems: Array<{ resource: string; field: string; message: string }> }
   | { type: 'conflict'; rows: Array<{ key: string; revision: number; expected: number }> }
-  /** The platform's answer was lost: ask for the operation. */
+  /** The platform's answer was lost: resolve the operation to learn its outcome. */
   | { type: 'unknown'; operationId: string; retryAfter: number }
   | { type: 'unavailable'; retryAfter: number };
 
-/** What became of an operation, final except for `unavailable`. */
+/** Outcome of an operation; final unless `unavailable`. */
 export type ResolveAnswer =
   | { type: 'accepted'; revision: number }
-  /** It has not taken effect and never will. */
+  /** The operation has not taken effect and never will. */
   | { type: 'notAccepted' }
   | { type: 'unavailable'; retryAfter: number };
 
@@ -51,7 +51,7 @@
   unavailable: 503,
 };
 const RESOLVE_RETRY_AFTER = 1_000;
-/** Bytes of a watch that may lie unread before it is ended. */
+/** A watch is closed when more than this many bytes are buffered for it. */
 const MAX_WATCH_BUFFER_BYTES = 2 ** 20;
 
 const APPLY_STATUS: Record<ApplyAnswer['type'], number> = {
@@ -62,14 +62,14 @@
   unavailable: 503,
 };
 
-/** What the interface works with. */
+/** Dependencies of the API. */
 export interface ResourceApiComponents {
   configuration: Configuration;
   tables: TableService;
   directory: AgentDirectory;
 }
 
-/** Creates the interface. */
+/** Creates the router of the API. */
 export function resourceApi(components: ResourceApiComponents): Router {
   const { configuration, directory } = components;
   const router = new Router({ prefix: '/apis/v1' });
@@ -103,8 +103,9 @@
 }
 
 /**
- * Settles an operation whose answer was lost. A look-up alone could find nothing while the transaction is still on
- * its way; so the operation's row is claimed, on the condition that it does not exist, which every apply depends on.
+ * Resolves an operation whose answer was lost. A look-up alone is not enough, as the transaction may still be in flight. So
+ * this writes the operation's row on the condition that it does not exist; every apply has the same condition, so only one
+ * of the two can commit.
  */
 async function resolveOperation(components: ResourceApiComponents, id: string): Promise<ResolveAnswer> {
   const { tables, configuration } = components;
@@ -189,8 +190,9 @@
 }
 
 /**
- * Streams changes of resources as lines of JSON, beginning with what changed after `since`: 0 for all resources. Answers
- * 410 where this entry does not know what was deleted since then: list, and watch from the list's revision.
+ * Streams changes of resources as JSON lines, beginning with the changes after `since`; 0 starts with all resources. Answers
+ * 410 if this entry does not know which resources were deleted since then: the client must list the resources and watch
+ * from the revision of the list.
  */
 function watch(context: Koa.Context, configuration: Configuration): void {
   const since = Number(context.query.since ?? 0);
@@ -211,7 +213,7 @@
   };
   const bookmark = () => {
     res.write(`${JSON.stringify({ type: 'bookmark', revision: configuration.revision })}\n`);
-    // Who does not read is not waited for: it may come back with its last bookmark.
+    // Close the watch of a slow reader; it can resume from its last bookmark.
     if (res.writableLength > MAX_WATCH_BUFFER_BYTES) res.destroy();
   };
   const changed = configuration.rows(TABLES.resources).filter((row) => row.revision > since);
--- a/src/resources/schemas.ts
+++ b/src/resources/schemas.ts
@@ -1,4 +1,4 @@
-/** The resources that operators declare. */
+/** Schemas of the resources that operators declare. */
 import { z } from 'zod';
 import { DEFAULT_TENANT_LIMITS } from '../systems/admission.js';
 
@@ -11,30 +11,30 @@
 const digest = z.string().regex(/^[0-9a-f]{64}$/, 'must be a SHA-256 digest: 64 hexadecimal digits');
 const metadata = z.strictObject({ name });
 
-/** Which model and version serves which tenant, where, how often and how urgently. */
+/** Deploys a version of a model for a tenant: its places, number of replicas and priority. */
 export const modelDeployment = z.strictObject({
   apiVersion: z.literal(API_VERSION),
   kind: z.literal('ModelDeployment'),
   metadata,
   spec: z.strictObject({
     tenant: name,
-    /** Name under which callers ask for the model. */
+    /** Name by which callers request the model. */
     model: z.string().min(1),
     /** Digest of the version's manifest. */
     version: digest,
-    /** Pool of engines that serve it. */
+    /** Pool of engines that serve the model. */
     pool: name,
-    /** Places in which weights may lie and answers may travel. */
+    /** Places in which weights may be stored and through which answers may pass. */
     places: z.array(name).min(1),
     replicas: z.number().int().min(0).max(10_000),
-    /** Higher goes first, in placement and in bursts. */
+    /** Higher priorities go first, in placement and in bursts. */
     priority: z.number().int().min(0).max(1_000).default(0),
-    /** What a burst weighs most. */
+    /** Optimization goal of a burst. */
     objective: z.enum(['fastest', 'leastOriginBytes']).default('fastest'),
   }),
 });
 
-/** A plain service beside the engines. */
+/** A plain service, which is not a model engine. */
 export const service = z.strictObject({
   apiVersion: z.literal(API_VERSION),
   kind: z.literal('Service'),
@@ -42,9 +42,9 @@
   spec: z.strictObject({
     tenant: name,
     places: z.array(name).min(1),
-    /** Higher goes first at an entry that is full. */
+    /** Higher priorities go first at an entry that is full. */
     priority: z.number().int().min(0).max(1_000).default(0),
-    /** Paths (by prefix) whose calls may be repeated; GET and HEAD always may. */
+    /** Path prefixes of calls that may be repeated; GET and HEAD calls always may. */
     repeatable: z.array(z.string().startsWith('/')).default([]),
   }),
 });
@@ -56,12 +56,12 @@
   metadata,
   spec: z.strictObject({
     title: z.string().default(''),
-    /** What the tenant may have at one entry. */
+    /** Limits of the tenant at one entry. */
     limits: z
       .strictObject({
-        /** Requests that run at the same time. */
+        /** Maximum number of concurrent requests. */
         inProgress: z.number().int().min(1).default(DEFAULT_TENANT_LIMITS.inProgress),
-        /** Requests that wait. */
+        /** Maximum number of queued requests. */
         queued: z.number().int().min(0).default(DEFAULT_TENANT_LIMITS.queued),
       })
       .prefault({}),
--- a/src/server/client-error-handler.ts
+++ b/src/server/client-error-handler.ts
@@ -1,18 +1,18 @@
 /**
- * Connections of an HTTP server from which nothing more can be read, as what came there is no request. What was asked there
- * before is still answered; then the connection closes.
+ * Handles connections of an HTTP server on which a malformed request arrived. Earlier requests on the connection are still
+ * answered; then the connection closes.
  */
 import type { Server, ServerResponse } from 'node:http';
 import type { Duplex } from 'node:stream';
 
-/** The connections of one server. */
+/** Handles the client errors of one server. */
 export class ClientErrorHandler {
   readonly #failedSockets = new WeakSet<Duplex>();
-  /** Responses that have not closed, in the order of their requests. */
+  /** Responses that have not been closed, in the order of their requests. */
   readonly #openResponses = new Set<ServerResponse>();
 
   /**
-   * @param reject - ends a connection on which nothing is owed
+   * @param reject - closes a connection that has no pending response
    */
   constructor(server: Server, reject: (error: Error, socket: Duplex) => void) {
     server.on('request', (_request, response) => this.#add(response));
@@ -32,8 +32,8 @@
   }
 
   /**
-   * Tells the caller with the last answer that is owed on `socket` that the connection closes, where its head is still to be
-   * written; returns false where none is owed.
+   * Sends `Connection: close` with the last pending response on `socket`, unless its headers have been sent. Returns false if no
+   * response is pending.
    */
   #closeAfterLastResponse(socket: Duplex): boolean {
     const pending = [...this.#openResponses].filter(({ req }) => req.socket === socket && req.complete);
--- a/src/server/http-server.ts
+++ b/src/server/http-server.ts
@@ -1,4 +1,4 @@
-/** An HTTP server on a given address that can be stopped at once. */
+/** HTTP servers that can be stopped immediately, and helpers for their handlers. */
 import { createServer, type RequestListener, type Server, STATUS_CODES } from 'node:http';
 import type { Duplex } from 'node:stream';
 import type Router from '@koa/router';
@@ -8,7 +8,7 @@
 import { closeIdleConnectionsOnceRead } from './idle-connections.js';
 
 const BAD_REQUEST = 400;
-/** Statuses for errors of Node's parser, as Node's server gives them by itself. */
+/** Statuses for errors of Node's HTTP parser, as in the default error handling of Node's server. */
 const STATUS_OF_ERROR: Readonly<Record<string, number>> = {
   HPE_HEADER_OVERFLOW: 431,
   HPE_CHUNK_EXTENSIONS_OVERFLOW: 413,
@@ -40,7 +40,7 @@
   };
 }
 
-/** Answers what is no request as Node's server does by itself, and closes its connection. */
+/** Answers a malformed request like the default error handling of Node's server, and closes the connection. */
 function rejectMalformedRequest(error: Error & { code?: string }, socket: Duplex): void {
   const status = STATUS_OF_ERROR[error.code ?? ''] ?? BAD_REQUEST;
   if (socket.writable)
@@ -48,14 +48,14 @@
   socket.destroy(error);
 }
 
-/** Creates a koa application that answers every failure of a handler with status 500 and its text. */
+/** Creates a Koa application that does not print errors of handlers; Koa answers them with status 500. */
 export function createApplication(): Koa {
   const app = new Koa();
   app.silent = true;
   return app;
 }
 
-/** What answers requests by the routes of `router`. */
+/** Creates a request listener for the routes of `router`. */
 export function createRequestListener(router: Router): RequestListener {
   const app = createApplication();
   app.use(router.routes());
--- a/test/contracts/engine.test.ts
+++ b/test/contracts/engine.test.ts
@@ -51,7 +51,7 @@
 }
 
 describe('a model engine', () => {
-  it('reports the digest of what it loaded, not of what it was told', async () => {
+  it('reports the digest of the loaded bytes, not the digest named in the order', async () => {
     const whole = await engine();
     await load(whole.client, whole.epoch);
     expect(await whole.client.state(signal())).toMatchObject({
@@ -80,7 +80,7 @@
     expect(answer.statusCode).toBe(409);
   });
 
-  it('streams an answer to its end mark, and resumes it from a token', async () => {
+  it('streams an answer to its end marker and resumes it from a token', async () => {
     const { client, epoch, address } = await engine();
     await load(client, epoch);
     const text = await textOf(await client.complete(completion('r', 3), signal()));
@@ -90,7 +90,7 @@
     expect(resumed.match(/topic-\d/g)).toEqual(['topic-2']);
   });
 
-  it('cancels a request, cutting its stream', async () => {
+  it('cancels a request and cuts off its stream', async () => {
     const { client, epoch } = await engine();
     await load(client, epoch);
     const answer = await client.complete(completion('r', 1_000_000), signal());
@@ -98,7 +98,7 @@
     await expect(textOf(answer)).rejects.toThrow();
   });
 
-  it('hands a request over to another engine with its tokens so far', async () => {
+  it('transfers a request with its generated tokens to another engine', async () => {
     const [first, second] = [await engine(), await engine()];
     for (const each of [first, second]) await load(each.client, each.epoch);
     await textOf(await first.client.complete(completion('r', 2), signal()));
@@ -123,7 +123,7 @@
 });
 
 describe('a plain service', () => {
-  it('notes every run with its idempotency key', async () => {
+  it('records every run with its idempotency key', async () => {
     const address = await freeAddress();
     const emulator = serviceEmulator(serviceEmulatorSettings.parse({ listen: address, callMilliseconds: 0 }));
     await emulator.start();
--- a/test/contracts/platform.test.ts
+++ b/test/contracts/platform.test.ts
@@ -55,7 +55,7 @@
 }
 
 describe('the table service', () => {
-  it('gives rising revisions, and lists what changed after one', async () => {
+  it('increases revisions by one and lists the changes after a revision', async () => {
     const first = await committed('a', 1);
     const second = await committed('b', 2);
     expect(second).toBe(first + 1);
@@ -66,7 +66,7 @@
     });
   });
 
-  it('commits all or nothing, and names the rows that did not meet their conditions', async () => {
+  it('commits atomically and returns the rows whose conditions failed', async () => {
     const revision = await committed('c', 1);
     const transaction = {
       operationId: 'all-or-nothing',
@@ -82,7 +82,7 @@
     expect(changes).toMatchObject({ ok: true, value: { rows: [] } });
   });
 
-  it('takes revision 0 for a row that does not exist, also after it was deleted', async () => {
+  it('accepts revision 0 for a row that does not exist, also after its deletion', async () => {
     await committed('e', 1, 0);
     expect(await write('e', 2, 0)).toMatchObject({ ok: true, value: { type: 'conflict' } });
     await committed('e', null);
@@ -95,7 +95,7 @@
   });
 
   it.each([['it is down', { tablesDown: true }, { tablesDown: false }]])(
-    'says that nothing took effect, and when to come back, while %s',
+    'reports that nothing took effect and when to retry while %s',
     async (_, fault, repair) => {
       await setFaults(fault);
       const outcome = await write('g', 1);
@@ -120,7 +120,7 @@
 });
 
 describe('the object store', () => {
-  it('gives back what was put, and says when there is nothing', async () => {
+  it('returns stored objects and reports missing ones', async () => {
     await objects.put('folder/key', Buffer.from('value'), signal());
     expect(await objects.get('folder/key', signal())).toMatchObject({
       ok: true,
@@ -151,7 +151,7 @@
     );
   }
 
-  it('has the chunks of its versions, under manifests that their versions name', async () => {
+  it('serves the chunks of its versions; the digests of the manifests are the versions', async () => {
     for (const { version, manifest } of await manifests()) {
       expect(isManifestOf(manifest, version)).toBe(true);
       for (const { digest, bytes } of manifest.chunks) {
@@ -172,7 +172,7 @@
   it.each([
     ['has no such chunk', {}, '0'.repeat(64), 'notFound'],
     ['is down', { originDown: true }, undefined, 'unavailable'],
-  ])('says so when it %s', async (_, fault, asked, expected) => {
+  ])('returns an error when it %s', async (_, fault, asked, expected) => {
     const [{ manifest }] = await manifests();
     await setFaults(fault);
     const drawn = await origin.chunk(asked ?? manifest.chunks[0].digest, signal());
@@ -180,7 +180,7 @@
     expect(drawn).toMatchObject({ ok: false, error: { type: expected } });
   });
 
-  it('may stall: the caller gives up by its own signal', async () => {
+  it('may stall: the signal of the caller ends the call', async () => {
     const [{ manifest }] = await manifests();
     await setFaults({ originStalled: true });
     const drawn = await origin.chunk(manifest.chunks[0].digest, AbortSignal.timeout(50));
--- a/test/contracts/store-contract.ts
+++ b/test/contracts/store-contract.ts
@@ -1,10 +1,10 @@
-/** What every client of a store keeps, whatever store is behind it. */
+/** Contract tests that every store client must pass. */
 import { beforeEach, describe, expect, it } from 'vitest';
 import type { MemoryStore } from '../../emulator/store/memory-store.js';
 import type { ListedObjectStore } from '../../src/clients/object-store.js';
 import type { WatchedTables } from '../../src/clients/watched-tables.js';
 
-/** A client, and the store behind it. */
+/** A client under test and the in-memory store behind it. */
 export interface StoreUnderTest {
   tables: WatchedTables;
   objects: ListedObjectStore;
@@ -19,9 +19,9 @@
   value: Buffer.from(text),
 });
 
-/** The suite; `create` makes a new store and its client. */
+/** Defines the tests; `create` returns a new store and its client. */
 export function storeContract(name: string, create: () => Promise<StoreUnderTest>): void {
-  describe(`${name} keeps the contract of a store`, () => {
+  describe(`${name} fulfils the contract of a store`, () => {
     let store: StoreUnderTest;
     beforeEach(async () => {
       store = await create();
@@ -38,7 +38,7 @@
       ]);
     });
 
-    it('commits nothing where a condition fails, and tells the rows as they are', async () => {
+    it('commits nothing if a condition fails, and returns the current rows', async () => {
       const { tables } = store;
       await tables.transact([], [row('a', 'one')], forever());
       const absent = { table: 'things', partition: '', key: 'a', revision: 0 };
@@ -48,7 +48,7 @@
       expect(read.ok && read.value.rows[0].value?.toString()).toBe('one');
     });
 
-    it('tells changes after a revision, deletions among them', async () => {
+    it('lists the changes after a revision, including deletions', async () => {
       const { tables, behind } = store;
       const first = behind.write('things', 'a', 'one');
       behind.write('things', 'a', undefined);
@@ -63,7 +63,7 @@
       expect(await waiting).toMatchObject({ ok: true, value: { rows: [{ key: 'late' }] } });
     });
 
-    it('says so where the history since is forgotten', async () => {
+    it('reports forgotten history', async () => {
       const { tables, behind } = store;
       behind.write('things', 'a', 'one');
       behind.forgetHistory();
@@ -77,19 +77,19 @@
       expect(read).toMatchObject({ ok: false, error: { type: 'unavailable' } });
     });
 
-    it('gives a silent store up at the signal', async () => {
+    it('ends a call to an unresponsive store when its signal aborts', async () => {
       store.behind.faults.silent = true;
       const read = await store.tables.read('things', '', AbortSignal.timeout(40));
       expect(read.ok).toBe(false);
     });
 
-    it('does not know what became of a write whose answer was lost', async () => {
+    it('reports the outcome of a write as unknown if its answer was lost', async () => {
       store.behind.faults.losesAnswers = true;
       const outcome = await store.tables.transact([], [row('a', 'one')], forever());
       expect(outcome).toMatchObject({ ok: false, error: { type: 'outcomeUnknown' } });
     });
 
-    it('keeps, lists and misses objects', async () => {
+    it('stores and lists objects, and reports missing ones', async () => {
       const { objects } = store;
       await objects.put('weights.m.1.0', Buffer.from('bytes'), forever());
       expect(await objects.get('weights.m.1.0', forever())).toMatchObject({ ok: true });
--- a/test/resources/watch.test.ts
+++ b/test/resources/watch.test.ts
@@ -19,7 +19,7 @@
   return { table: 'resources', key, value, revision };
 }
 
-/** The first lines of a watch, up to the first bookmark; or the status where there is none. */
+/** Returns the lines of a watch up to its first bookmark, or the status if the watch is refused. */
 async function watchFrom(configuration: Configuration, since: number): Promise<number | object[]> {
   const address = await freeAddress();
   const app = new Koa();
@@ -48,7 +48,7 @@
   configuration.take(0, [row('Tenant/a', 2), row('Tenant/b', 4)], 4);
   configuration.take(4, [row('Tenant/b', 5, null), row('Tenant/c', 6)], 6);
 
-  it('goes on from a revision with all changes and deletions in their order', async () => {
+  it('resumes from a revision with all changes and deletions in order', async () => {
     expect(await watchFrom(configuration, 4)).toEqual([
       { type: 'deleted', key: 'Tenant/b', revision: 5, value: null },
       { type: 'changed', key: 'Tenant/c', revision: 6, value: 6 },
@@ -64,7 +64,7 @@
     ]);
   });
 
-  it('says that a revision is too old when deletions since then are not known', async () => {
+  it('answers 410 if the deletions since the revision are not known', async () => {
     expect(await watchFrom(configuration, 3)).toBe(410);
   });
 });
--- a/test/server/answer-cut-by-connection.test.ts
+++ b/test/server/answer-cut-by-connection.test.ts
@@ -1,4 +1,4 @@
-/** An answer under way on a server of this system is not cut by what else comes on its connection. */
+/** A malformed request must not cut off the response in progress on the same connection. */
 
 import type { RequestListener } from 'node:http';
 import { connect, type Socket } from 'node:net';
