--- a/src/server/client-error-handler.ts
+++ b/src/server/client-error-handler.ts
@@ -9,7 +9,7 @@
 export class ClientErrorHandler {
   readonly #failedSockets = new WeakSet<Duplex>();
   /** Responses that have not been closed, in the order of their requests. */
-  readonly #openResponses = new Set<ServerResponse>();
+  readonly #responses = new Set<ServerResponse>();
 
   /**
    * @param reject - closes a connection that has no pending response
@@ -18,16 +18,16 @@
     server.on('request', (_request, response) => this.#add(response));
     server.on('clientError', (error, socket) => {
       this.#failedSockets.add(socket);
-      if (!this.#closeAfterLastResponse(socket)) reject(error, socket);
+      if (!this.#announceClose(socket)) reject(error, socket);
     });
   }
 
   #add(response: ServerResponse): void {
-    this.#openResponses.add(response);
+    this.#responses.add(response);
     response.once('close', () => {
-      this.#openResponses.delete(response);
+      this.#responses.delete(response);
       const { socket } = response.req;
-      if (this.#failedSockets.has(socket) && !this.#closeAfterLastResponse(socket)) socket.destroy();
+      if (this.#failedSockets.has(socket) && !this.#announceClose(socket)) socket.destroy();
     });
   }
 
@@ -35,8 +35,8 @@
    * Sends `Connection: close` with the last pending response on `socket`, unless its headers have been sent. Returns false if no
    * response is pending.
    */
-  #closeAfterLastResponse(socket: Duplex): boolean {
-    const pending = [...this.#openResponses].filter(({ req }) => req.socket === socket && req.complete);
+  #announceClose(socket: Duplex): boolean {
+    const pending = [...this.#responses].filter(({ req }) => req.socket === socket && req.complete);
     const last = pending.at(-1);
     if (last === undefined) return false;
     if (!last.headersSent) last.shouldKeepAlive = false;
