--- a/src/cli/bench.ts
+++ b/src/cli/bench.ts
@@ -1,4 +1,4 @@
-/** `thistleway bench burst`: measures a burst and prints one JSON object as its last line. */
+/** The `thistleway bench` commands and `thistleway demo`. Reports are printed as JSON. */
 import { Option } from 'clipanion';
 import type { BurstReport } from '../../bench/burst-report.js';
 import type { RequestReport } from '../../bench/processes/request-bench.js';
@@ -9,7 +9,7 @@
 import { CommandFailure, EXIT_USAGE } from './errors.js';
 import { readSettings, runUntilSignal } from './process.js';
 
-/** One run of the table. */
+/** A named run of the burst benchmark, with or without a fault. */
 interface BurstRun {
   name: string;
   run: () => Promise<BurstReport>;
@@ -110,7 +110,7 @@
   }
 }
 
-/** A burst is sound when it ended and broke none of the promises; how fast it was is another matter. */
+/** Returns true if the burst completed without violating a guarantee, whatever its duration. */
 function meetsBurstGuarantees(report: BurstReport): boolean {
   const { placeBreaches, unverifiedChunksPassedOn, partialLoads, mixedVersionAnswers } = report;
   return (
@@ -118,7 +118,7 @@
   );
 }
 
-/** A bench that runs cases of faults and reports each. */
+/** A benchmark that runs fault cases and reports each of them. */
 abstract class FaultBenchCommand extends ThistlewayCommand {
   faults = Option.String('--faults', 'none', {
     description: 'none, table (all cases), or the name of a case',
@@ -126,7 +126,7 @@
   seed = Option.String('--seed', '1', { description: 'seed of all random choices' });
   json = Option.Boolean('--json', false, { description: 'print the report as JSON' });
 
-  /** Prints the reports, or the only one; returns the exit code. */
+  /** Prints the reports, or a single report by itself; returns the exit code. */
   protected printReports(reports: object[], sound: boolean): number {
     const whole = reports.length === 1 ? reports[0] : { cases: reports, sound };
     this.context.stdout.write(`${this.json ? JSON.stringify(whole) : JSON.stringify(whole, undefined, 2)}\n`);
@@ -205,7 +205,7 @@
   }
 }
 
-/** `thistleway bench hollow`: a part of `bench config`, started by it. */
+/** `thistleway bench hollow`: a process that `bench config` starts. */
 export class BenchHollowCommand extends ThistlewayCommand {
   static override paths = [['bench', 'hollow']];
   config = Option.String('--config', { required: true, description: 'settings file (JSON with comments)' });
@@ -274,7 +274,7 @@
   return lost + crossed + ranTwice + falseNotRun + newWorkAfterLeaving + (planned ? cut : 0) === 0;
 }
 
-/** The cases that `--faults` names; undefined stands for a run without any. */
+/** Returns the cases selected by `--faults`; undefined stands for a run without faults. */
 function selectFaults<T extends { name: string }>(wanted: string, cases: readonly T[]): Array<T | undefined> {
   if (wanted === 'none') return [undefined];
   if (wanted === 'table') return [...cases];
--- a/src/cli/command.ts
+++ b/src/cli/command.ts
@@ -1,10 +1,10 @@
-/** What all commands of the command line have in common. */
+/** Base class of all commands. */
 import { Command } from 'clipanion';
 import { CommandFailure } from './errors.js';
 
-/** A command whose failures are printed without a stack and become exit codes. */
+/** A command that prints a {@link CommandFailure} without a stack trace and returns its exit code. */
 export abstract class ThistlewayCommand extends Command {
-  /** What the command does; returns the exit code. */
+  /** Runs the command; resolves to the exit code. */
   abstract perform(): Promise<number>;
 
   async execute(): Promise<number> {
--- a/src/cli/declarations.ts
+++ b/src/cli/declarations.ts
@@ -1,4 +1,4 @@
-/** The declarations in a folder (or one file) of version control, and how they differ from what is in force. */
+/** Reads resource declarations from a folder or file and compares them with the resources in force. */
 import { existsSync, readdirSync, readFileSync, statSync } from 'node:fs';
 import { join } from 'node:path';
 import { type Resource, resource, resourceKey } from '../resources/schemas.js';
@@ -13,18 +13,18 @@
   value: Resource;
 }
 
-/** One step of the plan. */
+/** One change of a plan. */
 export interface PlannedChange {
   action: 'create' | 'update' | 'delete' | 'keep';
   key: string;
-  /** Revision that the resource must still have. */
+  /** Revision that the resource must still have when the change is applied. */
   revision: number;
   value: Resource | undefined;
   /** Fields that differ, as `path: old -> new`. */
   differences: string[];
 }
 
-/** Reads every `.json` and `.jsonc` file below `path`, in the order of their names. */
+/** Reads every `.json` and `.jsonc` file below `path`, sorted by name. */
 export function readDeclarations(path: string): Declaration[] {
   if (!existsSync(path)) throw new CommandFailure(`${path}:1: there is no such file or folder`, EXIT_USAGE);
   const declarations: Declaration[] = [];
@@ -39,7 +39,7 @@
   return declarations;
 }
 
-/** Compares declarations with what is in force. With `prune`, resources that are not declared are deleted. */
+/** Plans the changes from the resources in force to the declarations. With `prune`, undeclared resources are deleted. */
 export function plan(
   declarations: readonly Declaration[],
   inForce: readonly ResourceItem[],
@@ -62,7 +62,7 @@
   return [...changes, ...deletes];
 }
 
-/** The plan as lines of text. */
+/** Formats the plan as lines of text. */
 export function formatPlan(changes: readonly PlannedChange[]): string {
   const signs = { create: '+', update: '~', delete: '-', keep: ' ' } as const;
   return changes
@@ -88,7 +88,7 @@
     const earlier = first.get(key);
     first.set(key, earlier ?? file);
     if (earlier === undefined) return [];
-    return [{ file, line: 1, field: 'metadata.name', message: `${key} is declared in ${earlier}, too` }];
+    return [{ file, line: 1, field: 'metadata.name', message: `${key} is already declared in ${earlier}` }];
   });
 }
 
--- a/src/cli/entry-client.ts
+++ b/src/cli/entry-client.ts
@@ -1,4 +1,4 @@
-/** What the operators' commands ask of an entry. */
+/** Client of an entry for the operator commands. */
 import { callHttp, parseJson } from '../clients/http.js';
 import type { DeploymentStatus } from '../resources/deployment-status.js';
 import type { ApplyAnswer, ApplyRequest, ResolveAnswer } from '../resources/resource-api.js';
@@ -30,12 +30,12 @@
     return this.get('/apis/v1/status');
   }
 
-  /** Applies a change; where the answer is lost, asks what became of the operation. */
+  /** Applies changes; the answer `unknown` means that the operation must be resolved. */
   async apply(request: ApplyRequest): Promise<ApplyAnswer> {
     return this.#call<ApplyAnswer>('POST', '/apis/v1/apply', request);
   }
 
-  /** Settles what became of an operation whose answer was lost. */
+  /** Resolves the outcome of an operation whose answer was lost. */
   resolve(operationId: string): Promise<ResolveAnswer> {
     return this.post(`/apis/v1/operations/${operationId}/resolve`);
   }
--- a/src/cli/errors.ts
+++ b/src/cli/errors.ts
@@ -1,13 +1,13 @@
-/** How commands fail: a message without a stack, and an exit code that scripts can tell apart. */
+/** Failures of commands: a message without a stack trace, and an exit code that scripts can check. */
 
-/** Exit code for bad arguments, settings or files. */
+/** Exit code for invalid arguments, settings or files. */
 export const EXIT_USAGE = 2;
-/** Exit code for a conflict with another operator. */
+/** Exit code for a conflict with a change by another operator. */
 export const EXIT_CONFLICT = 3;
-/** Exit code when the outcome is not known, or not reached in time. */
+/** Exit code if the outcome is unknown or was not reached in time. */
 export const EXIT_UNKNOWN = 4;
 
-/** Ends the command with a message and a code. */
+/** Thrown to end a command with a message and an exit code. */
 export class CommandFailure extends Error {
   readonly exitCode: number;
 
--- a/src/cli/explain.ts
+++ b/src/cli/explain.ts
@@ -1,4 +1,4 @@
-/** `thistleway explain`: what the logs tell of one request. */
+/** `thistleway explain`: shows the history of one request from logs. */
 import { Command, Option } from 'clipanion';
 import { formatHistory, historyOf } from '../observability/request-history.js';
 import { ThistlewayCommand } from './command.js';
@@ -10,9 +10,9 @@
   static override paths = [['explain']];
   static override usage = Command.Usage({
     category: 'Operators',
-    description: 'show what the logs of all processes tell of one request',
+    description: 'show the history of one request from the logs of all processes',
     details:
-      'Lines about the request are marked with *; around them stand the changes of belief of the processes that handled it, from 3 s before.',
+      'Lines about the request are marked with *. The other lines are state changes of the processes that handled it and of its back ends, from 3 s before.',
   });
   id = Option.String({ required: true });
   files = Option.Rest({ required: 1 });
@@ -20,7 +20,9 @@
   async perform(): Promise<number> {
     const history = historyOf(this.id, readLogs(this.files));
     if (history.length === 0) {
-      this.context.stderr.write(`no line names ${this.id}; a caller that asks again uses another id\n`);
+      this.context.stderr.write(
+        `no log line mentions request ${this.id}; a retry by the caller has another id\n`,
+      );
       return EXIT_UNKNOWN;
     }
     this.context.stdout.write(`${formatHistory(this.id, history).join('\n')}\n`);
--- a/src/cli/logs.ts
+++ b/src/cli/logs.ts
@@ -1,9 +1,9 @@
-/** Reading the logs that commands work on. */
+/** Reads the log files given to commands. */
 import { readFileSync } from 'node:fs';
 import { type LogLine, parseLogLine } from '../observability/request-history.js';
 import { CommandFailure, EXIT_USAGE } from './errors.js';
 
-/** The lines of several logs, one file after the other; what is no line of a log is passed over. */
+/** Reads the log lines of several files in sequence; text that is not a log line is skipped. */
 export function readLogs(files: readonly string[]): LogLine[] {
   return files.flatMap((file) => readLines(file)).flatMap((text) => parseLogLine(text) ?? []);
 }
--- a/src/cli/losses.ts
+++ b/src/cli/losses.ts
@@ -1,4 +1,4 @@
-/** `thistleway losses`: when service was lost in a run, and for which reasons. */
+/** `thistleway losses`: summarizes failed requests in a run and their reasons. */
 import { Command, Option } from 'clipanion';
 import { formatCrashes, summarizeCrashes } from '../observability/crash-summary.js';
 import { formatLosses, lossTable, switchOutages } from '../observability/loss-table.js';
@@ -12,20 +12,20 @@
   static override paths = [['losses']];
   static override usage = Command.Usage({
     category: 'Operators',
-    description: 'show from the logs of all processes when service was lost, and why',
+    description: 'summarize failed requests and their reasons from the logs of all processes',
     details:
-      'One line for each span and service: attempts, answers, refusals with the reasons for which back ends were left out; then the switches of engines to other versions, with the time that each took; then where the slots of engines were: granted, used and waited for.',
+      'One line per interval and service: attempts, answers, and refusals with the reasons for excluding back ends; then the version switches of engines with their durations; then the back ends that crashed; then the use of engine slots: granted, running and waited for.',
   });
-  step = Option.String('--step', '1', { description: 'length of a span, in seconds' });
+  step = Option.String('--step', '1', { description: 'length of an interval, in seconds' });
   files = Option.Rest({ required: 1 });
 
   async perform(): Promise<number> {
     const step = Number(this.step);
-    if (!(step > 0)) throw new CommandFailure('--step takes a number of seconds above 0', EXIT_USAGE);
+    if (!(step > 0)) throw new CommandFailure('--step must be a number of seconds above 0', EXIT_USAGE);
     const lines = readLogs(this.files).sort((one, other) => one.time - other.time);
     const rows = lossTable(lines, step);
     if (rows.length === 0) {
-      this.context.stderr.write('no line tells of a request\n');
+      this.context.stderr.write('no log line mentions a request\n');
       return EXIT_UNKNOWN;
     }
     const losses = [...formatLosses(rows, switchOutages(lines)), ...formatCrashes(summarizeCrashes(lines))];
--- a/src/cli/main.ts
+++ b/src/cli/main.ts
@@ -1,4 +1,4 @@
-/** The command line: one binary with all roles. */
+/** Entry point of the command line: one binary contains all roles and commands. */
 import { Builtins, Cli } from 'clipanion';
 import {
   BenchBurstCommand,
--- a/src/cli/operators.ts
+++ b/src/cli/operators.ts
@@ -1,4 +1,4 @@
-/** The operators' commands: declarations in, progress and time lines out. */
+/** The operator commands: apply and inspect declarations, and show progress and timelines. */
 import { randomUUID } from 'node:crypto';
 import { Command, Option } from 'clipanion';
 import { stampTime } from '../model/hybrid-clock.js';
@@ -13,10 +13,10 @@
 import { CommandFailure, EXIT_CONFLICT, EXIT_UNKNOWN, EXIT_USAGE } from './errors.js';
 
 const WAIT_INTERVAL = 500;
-/** Tries to learn what became of an operation whose answer was lost, one a second. */
+/** Maximum number of attempts to resolve an operation whose answer was lost, one per second. */
 const MAX_RESOLVE_ATTEMPTS = 30;
 
-/** What every operators' command has. */
+/** Base class of the commands that call an entry. */
 abstract class OperatorCommand extends ThistlewayCommand {
   entry = Option.String('--entry', '127.0.0.1:8080', { description: 'address of an entry (host:port)' });
 
@@ -34,7 +34,7 @@
   static override paths = [['diff']];
   static override usage = Command.Usage({
     category: 'Operators',
-    description: 'show what apply would change; exit code 1 when there is something',
+    description: 'show what apply would change; exit code 1 if there are changes',
   });
   files = Option.String('-f,--file', { required: true, description: 'file or folder of declarations' });
   prune = Option.Boolean('--prune', false, { description: 'also delete what is not declared' });
@@ -104,13 +104,13 @@
         throw new CommandFailure(lines.join('\n'), EXIT_CONFLICT);
       }
       case 'unavailable':
-        throw new CommandFailure(`not accepted; come back in ${answer.retryAfter} ms`, EXIT_UNKNOWN);
+        throw new CommandFailure(`not accepted; retry in ${answer.retryAfter} ms`, EXIT_UNKNOWN);
       case 'unknown':
         return this.#resolve(operationId);
     }
   }
 
-  /** An entry that cannot answer now is asked again. */
+  /** Treats a failed call as `unavailable`, so that it is retried. */
   async #tryResolve(operationId: string): Promise<ResolveAnswer> {
     try {
       return await this.client.resolve(operationId);
@@ -120,7 +120,7 @@
     }
   }
 
-  /** The platform's answer was lost: the operation is settled, one way or the other. */
+  /** Resolves an operation after the platform's answer was lost; returns its revision if it was accepted. */
   async #resolve(operationId: string): Promise<number> {
     for (let attempt = 0; attempt < MAX_RESOLVE_ATTEMPTS; attempt++) {
       const found = await this.#tryResolve(operationId);
@@ -128,10 +128,10 @@
       if (found.type === 'notAccepted') throw new CommandFailure('not accepted; apply again', EXIT_UNKNOWN);
       await pause(1_000);
     }
-    throw new CommandFailure(`outcome unknown: ask for operation ${operationId}`, EXIT_UNKNOWN);
+    throw new CommandFailure(`outcome of operation ${operationId} unknown`, EXIT_UNKNOWN);
   }
 
-  /** Waits until the entry knows the declared versions, and all their replicas are ready. */
+  /** Waits until the entry knows the declared versions and all their replicas are ready. */
   async #waitUntilReady(declared: ModelDeployment[]): Promise<void> {
     const endsAt = performance.now() + Number(this.timeout) * 1_000;
     while (performance.now() < endsAt) {
@@ -149,7 +149,7 @@
         return;
       await pause(WAIT_INTERVAL);
     }
-    throw new CommandFailure('not all replicas are ready in time', EXIT_UNKNOWN);
+    throw new CommandFailure('not all replicas became ready in time', EXIT_UNKNOWN);
   }
 }
 
@@ -178,7 +178,7 @@
   async perform(): Promise<number> {
     const { items } = await this.client.resources();
     const found = items.find((item) => item.key === this.key);
-    if (found === undefined) throw new CommandFailure(`there is no ${this.key}`, EXIT_USAGE);
+    if (found === undefined) throw new CommandFailure(`no such resource: ${this.key}`, EXIT_USAGE);
     const { key, revision } = found;
     const answer = await this.client.apply({
       operationId: randomUUID(),
@@ -214,7 +214,7 @@
   static override paths = [['watch']];
   static override usage = Command.Usage({
     category: 'Operators',
-    description: 'print changes of resources as lines of JSON until interrupted',
+    description: 'print changes of resources as JSON lines until interrupted',
   });
   since = Option.String('--since', '0', { description: 'revision after which to begin' });
 
@@ -226,13 +226,13 @@
     const { signal } = interrupted;
     const stream = await openHttp({ service: 'entry', method: 'GET', url, signal });
     if (stream.statusCode === 410) {
-      const reason = `the entry does not know what was deleted after revision ${this.since}`;
-      throw new CommandFailure(`${reason}: watch again from 0`, EXIT_UNKNOWN);
+      const reason = `the entry no longer knows the deletions after revision ${this.since}`;
+      throw new CommandFailure(`${reason}; watch again from revision 0`, EXIT_UNKNOWN);
     }
     try {
       for await (const part of stream.body) this.context.stdout.write(part);
     } catch (cause) {
-      if (!signal.aborted) throw new CommandFailure(`the watch ended: ${String(cause)}`, EXIT_UNKNOWN);
+      if (!signal.aborted) throw new CommandFailure(`watch failed: ${String(cause)}`, EXIT_UNKNOWN);
     }
     return 0;
   }
@@ -263,13 +263,13 @@
   static override paths = [['drain']];
   static override usage = Command.Usage({
     category: 'Operators',
-    description: 'let an entry (callers address) or agent (operators address) take no new work',
+    description: 'stop an entry (callers address) or agent (operators address) from accepting new work',
   });
   address = Option.String({ required: true });
 
   async perform(): Promise<number> {
     await new EntryClient(this.address).post('/drain');
-    this.context.stdout.write(`${this.address} leaves\n`);
+    this.context.stdout.write(`${this.address} is draining\n`);
     return 0;
   }
 }
@@ -281,7 +281,7 @@
     category: 'Operators',
     description: 'print the events of all processes in causal order',
   });
-  json = Option.Boolean('--json', false, { description: 'one JSON object a line' });
+  json = Option.Boolean('--json', false, { description: 'print one JSON object per line' });
 
   async perform(): Promise<number> {
     const { entries, agents } = await this.client.get<{ entries: EntryInfo[]; agents: AgentStatus[] }>(
@@ -301,7 +301,7 @@
     try {
       return await new EntryClient(address).get<TimelineEntry[]>('/timeline');
     } catch (cause) {
-      this.context.stderr.write(`${address}: no time line: ${String(cause)}\n`);
+      this.context.stderr.write(`${address}: cannot read timeline: ${String(cause)}\n`);
       return [];
     }
   }
--- a/src/cli/process.ts
+++ b/src/cli/process.ts
@@ -1,4 +1,4 @@
-/** How a role runs as a process: started, drained on a first signal, stopped when its work has ended. */
+/** Runs a role as a process: starts it, drains it at the first signal, and stops it when its requests have ended. */
 import { existsSync, readFileSync } from 'node:fs';
 import { setFlagsFromString } from 'node:v8';
 import type { ZodType } from 'zod';
@@ -8,13 +8,13 @@
 import { formatProblem, readDocument } from '../settings/document.js';
 import { CommandFailure, EXIT_USAGE } from './errors.js';
 
-/** Longest wait for requests in progress at a planned stop, in milliseconds. */
+/** Maximum time to wait for requests in progress at a planned stop, in milliseconds. */
 const DRAIN_TIMEOUT = 120_000;
 const DRAIN_CHECK_INTERVAL = 50;
-/** Parts that have not stopped after this are left to the end of the process, in milliseconds. */
+/** Maximum time to wait for a component to stop before the process exits, in milliseconds. */
 const STOP_TIMEOUT = 5_000;
 
-/** Reads a settings file; every problem is reported with file, line and field. */
+/** Reads and validates a settings file; throws a {@link CommandFailure} with the file, line and field of every problem. */
 export function readSettings<T>(file: string, schema: ZodType<T>): T {
   if (!existsSync(file)) throw new CommandFailure(`${file}:1: there is no such file`, EXIT_USAGE);
   const read = readDocument(file, readFileSync(file, 'utf8'), schema);
@@ -25,19 +25,19 @@
 /** A role that can be drained before it is stopped. */
 export interface Drainable extends Startable {
   drain(): void;
-  /** Requests in progress. */
+  /** Number of requests in progress. */
   readonly active: number;
 }
 
 /**
- * Keeps the young generation of the heap at its first size. A burst of news at the start of a large system lets it grow
- * to 32 MB, which are never given back; a role has 128 MB in all.
+ * Keeps the young generation of the heap at its initial size. Otherwise, the burst of updates at the start of a large system
+ * makes it grow to 32 MB, which are never returned; a role has 128 MB of memory in total.
  */
 export function limitYoungGeneration(): void {
   setFlagsFromString('--semi-space-growth-factor=1');
 }
 
-/** Runs a part until the first signal; a role that can be drained ends its requests first, whatever signals follow. */
+/** Runs a component until the first signal. A drainable role then finishes its requests; later signals are ignored. */
 export async function runUntilSignal(part: Startable | Drainable, minDrainMilliseconds = 0): Promise<void> {
   await startUntilOrdered(part, new StopOrder(['SIGTERM', 'SIGINT']));
   if ('drain' in part) await drainFully(part, minDrainMilliseconds);
--- a/src/cli/roles.ts
+++ b/src/cli/roles.ts
@@ -1,4 +1,4 @@
-/** The commands that run a process of the system or a stand-in. Roles are loaded when they are started. */
+/** The commands that run a process of the system or an emulator. The module of a role is imported when the role starts. */
 import { Command, Option } from 'clipanion';
 import {
   agentSettings,
@@ -24,7 +24,7 @@
     const settings = readSettings(this.config, entrySettings);
     limitYoungGeneration();
     const { createEntry } = await import('../entry/entry.js');
-    // Callers may hold this entry's address for as long as they were told: it serves until then.
+    // Callers may cache the address of this entry for its lifetime, so the entry drains for at least that long.
     await runUntilSignal(createEntry(settings), settings.discovery.addressLifetimeSeconds * 1_000);
     return 0;
   }
@@ -35,7 +35,7 @@
   static override paths = [['agent']];
   static override usage = Command.Usage({
     category: 'Processes',
-    description: 'run the process in the slot of a back-end machine',
+    description: 'run the agent of a back-end machine',
     examples: [['Run an agent', 'thistleway agent --config agent.jsonc']],
   });
   config = Option.String('--config', { required: true, description: 'settings file (JSON with comments)' });
@@ -54,7 +54,7 @@
   static override paths = [['emulate']];
   static override usage = Command.Usage({
     category: 'Development',
-    description: 'run a stand-in for a system that thistleway meets: platform, engine or service',
+    description: 'run an emulator of an external system: platform, engine or service',
     examples: [['Run an engine', 'thistleway emulate engine --config engine.jsonc']],
   });
   kind = Option.String({ required: true });
@@ -64,7 +64,7 @@
     if (this.kind === 'platform') return this.#platform();
     if (this.kind === 'engine') return this.#engine();
     if (this.kind === 'service') return this.#service();
-    this.context.stderr.write(`no stand-in "${this.kind}"; there are platform, engine and service\n`);
+    this.context.stderr.write(`unknown emulator "${this.kind}"; available: platform, engine, service\n`);
     return 2;
   }
 
