--- a/src/cli/bench.ts
+++ b/src/cli/bench.ts
@@ -20,7 +20,7 @@
   static override paths = [['demo']];
   static override usage = ThistlewayCommand.Usage({
     category: 'Development',
-    description: "run both users' systems on this machine: a burst, then requests; ends by itself",
+    description: 'run the example systems of both users on this machine: a burst, then requests; then exit',
   });
 
   async perform(): Promise<number> {
@@ -34,7 +34,7 @@
   static override paths = [['bench', 'burst']];
   static override usage = ThistlewayCommand.Usage({
     category: 'Development',
-    description: 'measure how a model reaches N machines',
+    description: 'measure the distribution of a model to N machines',
     examples: [
       ['24 real machines', 'thistleway bench burst --machines 24 --json'],
       ['780 machines in virtual time', 'thistleway bench burst --machines 780 --simulated --json'],
@@ -47,9 +47,9 @@
     description: 'none, table (all cases), or the name of a case',
   });
   duplex = Option.String('--duplex', 'shared', {
-    description: 'shared: both directions draw on one budget; full',
+    description: 'shared: both directions share one budget; full: each direction has its own',
   });
-  simulated = Option.Boolean('--simulated', false, { description: 'in virtual time' });
+  simulated = Option.Boolean('--simulated', false, { description: 'run in virtual time' });
   seed = Option.String('--seed', '1', { description: 'seed of all random choices' });
   json = Option.Boolean('--json', false, { description: 'print the report as JSON' });
 
@@ -139,11 +139,11 @@
   static override paths = [['bench', 'requests']];
   static override usage = ThistlewayCommand.Usage({
     category: 'Development',
-    description: 'measure the request path while things fail',
+    description: 'measure the request path under faults',
     examples: [['All fault cases', 'thistleway bench requests --faults table --json']],
   });
-  seconds = Option.String('--seconds', '15', { description: 'length of the load' });
-  rate = Option.String('--rate', '100', { description: 'requests a second' });
+  seconds = Option.String('--seconds', '15', { description: 'duration of the load, in seconds' });
+  rate = Option.String('--rate', '100', { description: 'requests per second' });
 
   async perform(): Promise<number> {
     const { runRequestBench } = await import('../../bench/processes/request-bench.js');
@@ -166,9 +166,9 @@
   static override paths = [['bench', 'footprint']];
   static override usage = ThistlewayCommand.Usage({
     category: 'Development',
-    description: 'measure processor time, memory and control bytes of real processes',
+    description: 'measure CPU time, memory and control traffic of real processes',
   });
-  rate = Option.String('--rate', '60', { description: 'requests a second' });
+  rate = Option.String('--rate', '60', { description: 'requests per second' });
   seed = Option.String('--seed', '1', { description: 'seed of all random choices' });
 
   async perform(): Promise<number> {
@@ -184,12 +184,12 @@
   static override paths = [['bench', 'config']];
   static override usage = ThistlewayCommand.Usage({
     category: 'Development',
-    description: 'measure changes of configuration at size, hollow processes beside real ones',
-    examples: [['The size to design for', 'thistleway bench config --entries 400 --agents 2300 --json']],
+    description: 'measure configuration changes at scale, with hollow processes in addition to real ones',
+    examples: [['The design size', 'thistleway bench config --entries 400 --agents 2300 --json']],
   });
   entries = Option.String('--entries', '40', { description: 'number of entries' });
   agents = Option.String('--agents', '230', { description: 'number of agents' });
-  changes = Option.String('--changes', '40', { description: 'changes to declare, two a second' });
+  changes = Option.String('--changes', '40', { description: 'number of changes to declare, two per second' });
 
   async perform(): Promise<number> {
     const { runConfigBench } = await import('../../bench/scale/config-bench.js');
@@ -222,9 +222,9 @@
   static override paths = [['bench', 'routing']];
   static override usage = ThistlewayCommand.Usage({
     category: 'Development',
-    description: 'compare ways to use prefix caches, in virtual time',
+    description: 'compare routing policies for prefix caches, in virtual time',
   });
-  rate = Option.String('--rate', '80', { description: 'requests a second over 8 replicas' });
+  rate = Option.String('--rate', '80', { description: 'requests per second over 8 replicas' });
   prefixes = Option.String('--prefixes', '20', { description: 'number of different prompt prefixes' });
   seed = Option.String('--seed', '1', { description: 'seed of all random choices' });
 
@@ -243,10 +243,12 @@
   static override paths = [['bench', 'placement']];
   static override usage = ThistlewayCommand.Usage({
     category: 'Development',
-    description: 'compare ways to place requests at 100 entries and 84 to 143 engines, in virtual time',
+    description: 'compare request placement policies with 100 entries and 84 to 143 engines, in virtual time',
   });
-  policy = Option.String('--policy', { description: 'one of them alone: reportedLoads, ownCounts or slots' });
-  load = Option.String('--load', '1', { description: 'share of the peak that is asked' });
+  policy = Option.String('--policy', {
+    description: 'run only this policy: reportedLoads, ownCounts or slots',
+  });
+  load = Option.String('--load', '1', { description: 'load as a fraction of the peak' });
   seed = Option.String('--seed', '1', { description: 'seed of all random choices' });
 
   async perform(): Promise<number> {
@@ -258,7 +260,7 @@
     );
     if (policies.length === 0)
       throw new CommandFailure(
-        `no policy "${this.policy}"; there are ${PLACEMENT_POLICIES.join(', ')}`,
+        `unknown policy "${this.policy}"; available: ${PLACEMENT_POLICIES.join(', ')}`,
         EXIT_USAGE,
       );
     for (const policy of policies) {
@@ -280,6 +282,7 @@
   if (wanted === 'table') return [...cases];
   const found = cases.find((fault) => fault.name === wanted);
   const names = cases.map((fault) => fault.name).join(', ');
-  if (found === undefined) throw new CommandFailure(`no fault "${wanted}"; there are ${names}`, EXIT_USAGE);
+  if (found === undefined)
+    throw new CommandFailure(`unknown fault "${wanted}"; available: ${names}`, EXIT_USAGE);
   return [found];
 }
--- a/src/cli/operators.ts
+++ b/src/cli/operators.ts
@@ -251,7 +251,10 @@
     const { jsonSchemaOf, RESOURCE_KINDS } = await import('../resources/json-schemas.js');
     const kind = RESOURCE_KINDS.find((known) => known === this.kind);
     if (kind === undefined) {
-      throw new CommandFailure(`no kind "${this.kind}"; there are ${RESOURCE_KINDS.join(', ')}`, EXIT_USAGE);
+      throw new CommandFailure(
+        `unknown kind "${this.kind}"; available: ${RESOURCE_KINDS.join(', ')}`,
+        EXIT_USAGE,
+      );
     }
     this.context.stdout.write(`${JSON.stringify(jsonSchemaOf(kind), undefined, 2)}\n`);
     return 0;
--- a/src/server/client-error-handler.ts
+++ b/src/server/client-error-handler.ts
@@ -32,8 +32,8 @@
   }
 
   /**
-   * Sends `Connection: close` with the last pending response on `socket`, unless its headers have been sent. Returns false if no
-   * response is pending.
+   * Sends `Connection: close` with the last pending response on `socket`, unless its headers have been sent. Returns false if
+   * no response is pending.
    */
   #announceClose(socket: Duplex): boolean {
     const pending = [...this.#responses].filter(({ req }) => req.socket === socket && req.complete);
