--- a/src/cli/bench.ts
+++ b/src/cli/bench.ts
@@ -1,4 +1,4 @@
-/** `thistleway bench burst`: measures a burst and prints one JSON object as its last line. */
+/** The `thistleway bench` commands and `thistleway demo`. Reports are printed as JSON. */
 import { Option } from 'clipanion';
 import type { BurstReport } from '../../bench/burst-report.js';
 import type { RequestReport } from '../../bench/processes/request-bench.js';
@@ -9,7 +9,7 @@
 import { CommandFailure, EXIT_USAGE } from './errors.js';
 import { readSettings, runUntilSignal } from './process.js';
 
-/** One run of the table. */
+/** A named run of the burst benchmark, with or without a fault. */
 interface BurstRun {
   name: string;
   run: () => Promise<BurstReport>;
@@ -20,7 +20,7 @@
   static override paths = [['demo']];
   static override usage = ThistlewayCommand.Usage({
     category: 'Development',
-    description: "run both users' systems on this machine: a burst, then requests; ends by itself",
+    description: 'run the example systems of both users on this machine: a burst, then requests; then exit',
   });
 
   async perform(): Promise<number> {
@@ -34,7 +34,7 @@
   static override paths = [['bench', 'burst']];
   static override usage = ThistlewayCommand.Usage({
     category: 'Development',
-    description: 'measure how a model reaches N machines',
+    description: 'measure the distribution of a model to N machines',
     examples: [
       ['24 real machines', 'thistleway bench burst --machines 24 --json'],
       ['780 machines in virtual time', 'thistleway bench burst --machines 780 --simulated --json'],
@@ -47,9 +47,9 @@
     description: 'none, table (all cases), or the name of a case',
   });
   duplex = Option.String('--duplex', 'shared', {
-    description: 'shared: both directions draw on one budget; full',
+    description: 'shared: both directions share one budget; full: each direction has its own',
   });
-  simulated = Option.Boolean('--simulated', false, { description: 'in virtual time' });
+  simulated = Option.Boolean('--simulated', false, { description: 'run in virtual time' });
   seed = Option.String('--seed', '1', { description: 'seed of all random choices' });
   json = Option.Boolean('--json', false, { description: 'print the report as JSON' });
 
@@ -61,7 +61,7 @@
       reports.push(await run());
     }
     this.#print(reports);
-    return reports.every(isSound) ? 0 : 1;
+    return reports.every(meetsBurstGuarantees) ? 0 : 1;
   }
 
   async #simulatedRuns(): Promise<BurstRun[]> {
@@ -104,20 +104,21 @@
       for (const report of reports) stdout.write(`${JSON.stringify(report, undefined, 2)}\n`);
       return;
     }
-    const whole = reports.length === 1 ? reports[0] : { cases: reports, sound: reports.every(isSound) };
+    const whole =
+      reports.length === 1 ? reports[0] : { cases: reports, sound: reports.every(meetsBurstGuarantees) };
     stdout.write(`${JSON.stringify(whole)}\n`);
   }
 }
 
-/** A burst is sound when it ended and broke none of the promises; how fast it was is another matter. */
-function isSound(report: BurstReport): boolean {
+/** Returns true if the burst completed without violating a guarantee, whatever its duration. */
+function meetsBurstGuarantees(report: BurstReport): boolean {
   const { placeBreaches, unverifiedChunksPassedOn, partialLoads, mixedVersionAnswers } = report;
   return (
     report.complete && placeBreaches + unverifiedChunksPassedOn + partialLoads + mixedVersionAnswers === 0
   );
 }
 
-/** A bench that runs cases of faults and reports each. */
+/** A benchmark that runs fault cases and reports each of them. */
 abstract class FaultBenchCommand extends ThistlewayCommand {
   faults = Option.String('--faults', 'none', {
     description: 'none, table (all cases), or the name of a case',
@@ -125,7 +126,7 @@
   seed = Option.String('--seed', '1', { description: 'seed of all random choices' });
   json = Option.Boolean('--json', false, { description: 'print the report as JSON' });
 
-  /** Prints the reports, or the only one; returns the exit code. */
+  /** Prints the reports, or a single report by itself; returns the exit code. */
   protected printReports(reports: object[], sound: boolean): number {
     const whole = reports.length === 1 ? reports[0] : { cases: reports, sound };
     this.context.stdout.write(`${this.json ? JSON.stringify(whole) : JSON.stringify(whole, undefined, 2)}\n`);
@@ -138,11 +139,11 @@
   static override paths = [['bench', 'requests']];
   static override usage = ThistlewayCommand.Usage({
     category: 'Development',
-    description: 'measure the request path while things fail',
+    description: 'measure the request path under faults',
     examples: [['All fault cases', 'thistleway bench requests --faults table --json']],
   });
-  seconds = Option.String('--seconds', '15', { description: 'length of the load' });
-  rate = Option.String('--rate', '100', { description: 'requests a second' });
+  seconds = Option.String('--seconds', '15', { description: 'duration of the load, in seconds' });
+  rate = Option.String('--rate', '100', { description: 'requests per second' });
 
   async perform(): Promise<number> {
     const { runRequestBench } = await import('../../bench/processes/request-bench.js');
@@ -154,7 +155,7 @@
       const [seconds, rate, seed] = [this.seconds, this.rate, this.seed].map(Number);
       const report = await runRequestBench({ seconds, rate, seed, fault });
       reports.push(report);
-      sound = sound && keepsPromises(report, fault?.planned ?? false);
+      sound = sound && meetsGuarantees(report, fault?.planned ?? false);
     }
     return this.printReports(reports, sound);
   }
@@ -165,9 +166,9 @@
   static override paths = [['bench', 'footprint']];
   static override usage = ThistlewayCommand.Usage({
     category: 'Development',
-    description: 'measure processor time, memory and control bytes of real processes',
+    description: 'measure CPU time, memory and control traffic of real processes',
   });
-  rate = Option.String('--rate', '60', { description: 'requests a second' });
+  rate = Option.String('--rate', '60', { description: 'requests per second' });
   seed = Option.String('--seed', '1', { description: 'seed of all random choices' });
 
   async perform(): Promise<number> {
@@ -183,12 +184,12 @@
   static override paths = [['bench', 'config']];
   static override usage = ThistlewayCommand.Usage({
     category: 'Development',
-    description: 'measure changes of configuration at size, hollow processes beside real ones',
-    examples: [['The size to design for', 'thistleway bench config --entries 400 --agents 2300 --json']],
+    description: 'measure configuration changes at scale, with hollow processes in addition to real ones',
+    examples: [['The design size', 'thistleway bench config --entries 400 --agents 2300 --json']],
   });
   entries = Option.String('--entries', '40', { description: 'number of entries' });
   agents = Option.String('--agents', '230', { description: 'number of agents' });
-  changes = Option.String('--changes', '40', { description: 'changes to declare, two a second' });
+  changes = Option.String('--changes', '40', { description: 'number of changes to declare, two per second' });
 
   async perform(): Promise<number> {
     const { runConfigBench } = await import('../../bench/scale/config-bench.js');
@@ -204,7 +205,7 @@
   }
 }
 
-/** `thistleway bench hollow`: a part of `bench config`, started by it. */
+/** `thistleway bench hollow`: a process that `bench config` starts. */
 export class BenchHollowCommand extends ThistlewayCommand {
   static override paths = [['bench', 'hollow']];
   config = Option.String('--config', { required: true, description: 'settings file (JSON with comments)' });
@@ -221,9 +222,9 @@
   static override paths = [['bench', 'routing']];
   static override usage = ThistlewayCommand.Usage({
     category: 'Development',
-    description: 'compare ways to use prefix caches, in virtual time',
+    description: 'compare routing policies for prefix caches, in virtual time',
   });
-  rate = Option.String('--rate', '80', { description: 'requests a second over 8 replicas' });
+  rate = Option.String('--rate', '80', { description: 'requests per second over 8 replicas' });
   prefixes = Option.String('--prefixes', '20', { description: 'number of different prompt prefixes' });
   seed = Option.String('--seed', '1', { description: 'seed of all random choices' });
 
@@ -242,10 +243,12 @@
   static override paths = [['bench', 'placement']];
   static override usage = ThistlewayCommand.Usage({
     category: 'Development',
-    description: 'compare ways to place requests at 100 entries and 84 to 143 engines, in virtual time',
+    description: 'compare request placement policies with 100 entries and 84 to 143 engines, in virtual time',
   });
-  policy = Option.String('--policy', { description: 'one of them alone: reportedLoads, ownCounts or slots' });
-  load = Option.String('--load', '1', { description: 'share of the peak that is asked' });
+  policy = Option.String('--policy', {
+    description: 'run only this policy: reportedLoads, ownCounts or slots',
+  });
+  load = Option.String('--load', '1', { description: 'load as a fraction of the peak' });
   seed = Option.String('--seed', '1', { description: 'seed of all random choices' });
 
   async perform(): Promise<number> {
@@ -257,7 +260,7 @@
     );
     if (policies.length === 0)
       throw new CommandFailure(
-        `no policy "${this.policy}"; there are ${PLACEMENT_POLICIES.join(', ')}`,
+        `unknown policy "${this.policy}"; available: ${PLACEMENT_POLICIES.join(', ')}`,
         EXIT_USAGE,
       );
     for (const policy of policies) {
@@ -268,17 +271,18 @@
   }
 }
 
-function keepsPromises(report: RequestReport, planned: boolean): boolean {
+function meetsGuarantees(report: RequestReport, planned: boolean): boolean {
   const { lost, crossed, ranTwice, falseNotRun, newWorkAfterLeaving, cut } = report;
   return lost + crossed + ranTwice + falseNotRun + newWorkAfterLeaving + (planned ? cut : 0) === 0;
 }
 
-/** The cases that `--faults` names; undefined stands for a run without any. */
+/** Returns the cases selected by `--faults`; undefined stands for a run without faults. */
 function selectFaults<T extends { name: string }>(wanted: string, cases: readonly T[]): Array<T | undefined> {
   if (wanted === 'none') return [undefined];
   if (wanted === 'table') return [...cases];
   const found = cases.find((fault) => fault.name === wanted);
   const names = cases.map((fault) => fault.name).join(', ');
-  if (found === undefined) throw new CommandFailure(`no fault "${wanted}"; there are ${names}`, EXIT_USAGE);
+  if (found === undefined)
+    throw new CommandFailure(`unknown fault "${wanted}"; available: ${names}`, EXIT_USAGE);
   return [found];
 }
--- a/src/fleet/store-sync.ts
+++ b/src/fleet/store-sync.ts
@@ -4,14 +4,14 @@
  */
 import { setImmediate as nextTurn } from 'node:timers/promises';
 import { eraOf, type StoreRevision } from '../clients/store-revision.js';
-import type { RowsAt, StoredRow, WatchedTables } from '../clients/watched-tables.js';
+import type { RowsSnapshot, StoredRow, WatchedTables } from '../clients/watched-tables.js';
 import { isSameStart } from '../model/back-end-identity.js';
 import type { Random } from '../model/random.js';
 import type { Result } from '../model/result.js';
 import { type Startable, StartableGroup } from '../model/startable.js';
 import type { Log } from '../observability/log.js';
 import type { BackEndRecord } from '../protocol/back-end-list-state.js';
-import type { FollowedTable, StoreNews, TableNews } from '../protocol/store-news.js';
+import type { FollowedTable, StoreUpdate, TableUpdate } from '../protocol/store-update.js';
 import { type BackEndChange, hasSameContent } from './back-end-list.js';
 import type { FleetView } from './fleet-view.js';
 import type { OperatorRecord, RecordDecoder, RecordFault } from './record-decoder.js';
@@ -67,7 +67,7 @@
   /** Whether this process reads the table; false while another process reads it and forwards the changes. */
   isReader: (table: FollowedTable) => boolean = () => true;
   /** Receives what this process has read, to be forwarded to others. */
-  onForward: (news: StoreNews) => void = () => {};
+  onForward: (news: StoreUpdate) => void = () => {};
   /** Called when the store was restored from an older copy: recent writes of this process may be lost. */
   onStoreRestored: () => void = () => {};
   readonly faults: RecordFaults;
@@ -130,14 +130,14 @@
   }
 
   /** Applies what another process has read from the store. */
-  applyForwarded({ table, holdsRemovalsFor, ...news }: StoreNews): void {
+  applyForwarded({ table, holdsRemovalsFor, ...news }: StoreUpdate): void {
     if (holdsRemovalsFor > 0)
       this.#holdRemovalsUntil = Math.max(this.#holdRemovalsUntil, performance.now() + holdsRemovalsFor);
     (table === 'operator' ? this.#operator : this.#backEnds).applyForwarded(news);
   }
 
   /** Forwards changes to others; heartbeats that change nothing are left out. */
-  #forward(table: FollowedTable, news: TableNews): void {
+  #forward(table: FollowedTable, news: TableUpdate): void {
     if (!this.isReader(table)) return;
     const holdsRemovalsFor = Math.max(0, this.#holdRemovalsUntil - performance.now());
     const rows = table === 'operator' ? news.rows : news.rows.filter((row) => this.#isWorthForwarding(row));
@@ -181,7 +181,7 @@
   }
 
   /** @param since - the changes were written after this, in milliseconds of the store's clock */
-  #applyOperatorRows({ rows }: RowsAt, since: number): void {
+  #applyOperatorRows({ rows }: RowsSnapshot, since: number): void {
     for (const row of rows) {
       const decoded = this.#options.decoder.operatorRecord(row);
       if (decoded === undefined) continue;
@@ -219,7 +219,7 @@
     this.onStoreRestored();
   }
 
-  #applySnapshot({ rows, revision }: RowsAt): void {
+  #applySnapshot({ rows, revision }: RowsSnapshot): void {
     this.#checkEra(revision);
     const present = new Set(rows.map(({ key }) => key));
     this.faults.retainOnly(this.#options.decoder.backEndTable, present);
@@ -229,7 +229,7 @@
     this.#apply([...missing, ...this.#decode(rows)], revision);
   }
 
-  #applyChanges({ rows, revision }: RowsAt): void {
+  #applyChanges({ rows, revision }: RowsSnapshot): void {
     this.#apply(this.#decode(rows), revision);
   }
 
--- a/src/fleet/table-follower.ts
+++ b/src/fleet/table-follower.ts
@@ -2,12 +2,12 @@
  * Follows one table of the store: reads it completely, then waits for changes. Failed calls are repeated with a jittered
  * exponential backoff. If the store no longer has the history of changes, the table is read completely again.
  */
-import type { ChangesError, RowsAt, StoredRow, WatchedTables } from '../clients/watched-tables.js';
+import type { ChangesError, RowsSnapshot, StoredRow, WatchedTables } from '../clients/watched-tables.js';
 import type { Random } from '../model/random.js';
 import type { Result } from '../model/result.js';
 import type { Startable } from '../model/startable.js';
 import { AnswerLimit } from '../model/time-limit.js';
-import type { TableNews } from '../protocol/store-news.js';
+import type { TableUpdate } from '../protocol/store-update.js';
 import type { StoreClock } from './store-clock.js';
 
 /**
@@ -40,9 +40,9 @@
 /** Events of a follower. */
 export interface TableFollowerEvents {
   /** The complete table; changes in it were written after `since`, in milliseconds of the store's clock. */
-  onSnapshot(rows: RowsAt, since: number): void;
+  onSnapshot(rows: RowsSnapshot, since: number): void;
   /** Rows changed since the previous event, all written after `since`. */
-  onChanges(rows: RowsAt, since: number): void;
+  onChanges(rows: RowsSnapshot, since: number): void;
   /**
    * The store answers again after `silence` milliseconds. `isOutage` is false if only one call failed to get a response and
    * the next one, on a new connection, succeeded.
@@ -53,7 +53,7 @@
   /** Called with received rows before they are passed to the other events, for expensive work that yields to the event loop. */
   prepare(rows: readonly StoredRow[]): Promise<void>;
   /** Changes to be forwarded to other processes; called before `onSnapshot` and `onChanges`. */
-  onForward(news: TableNews): void;
+  onForward(news: TableUpdate): void;
 }
 
 export interface TableFollowerOptions {
@@ -133,7 +133,7 @@
   }
 
   /** Applies changes that another process has read. */
-  applyForwarded({ after, revision, storeTime, since, rows }: TableNews): void {
+  applyForwarded({ after, revision, storeTime, since, rows }: TableUpdate): void {
     if (this.#revision === undefined || revision <= this.#revision) return;
     this.#hasGap = after > this.#revision;
     if (this.#hasGap) return;
@@ -189,7 +189,7 @@
   }
 
   /** Makes a call, and records the response time unless the response came before the end of the wait. */
-  async #measureResponse<T extends Result<RowsAt, ChangesError>>(
+  async #measureResponse<T extends Result<RowsSnapshot, ChangesError>>(
     wait: number,
     call: () => Promise<T>,
   ): Promise<T> {
@@ -201,10 +201,10 @@
   }
 
   #handleResponse(
-    answer: Result<RowsAt, ChangesError>,
+    answer: Result<RowsSnapshot, ChangesError>,
     limit: AbortSignal,
     { requestedAt, gap, signal }: FollowerCall,
-    tell: (rows: RowsAt, since: number) => void,
+    tell: (rows: RowsSnapshot, since: number) => void,
   ): number {
     if (signal.aborted) return 0;
     if (answer.ok) {
@@ -236,7 +236,7 @@
    * there is a change, so if no gap precedes the call, the change was written just before the response.
    * @param gap - time between the previous response and this call, in milliseconds
    */
-  #writtenSince({ storeTime }: RowsAt, gap: number): number {
+  #writtenSince({ storeTime }: RowsSnapshot, gap: number): number {
     return gap <= MAX_CONTIGUOUS_GAP
       ? Math.max(this.#storeTime, storeTime - MAX_CONTIGUOUS_GAP)
       : this.#storeTime;
--- a/src/observability/crash-losses.ts
+++ b/src/observability/crash-summary.ts
@@ -1,31 +1,31 @@
-/** Back ends that were lost to a request, from the logs of a run: each crash, and the contents that were blamed for it. */
-import { firstTime } from './loss-table.js';
+/** Lists the back-end crashes in the logs of a run, with the request contents that were quarantined for them. */
+import { startTime } from './loss-table.js';
 import type { LogLine } from './request-history.js';
 
-const MILLISECONDS = 1_000;
+const MILLISECONDS_PER_SECOND = 1_000;
 
 /** One crash of a back end. */
-export interface CrashLoss {
+export interface CrashSummary {
   backEnd: string;
   /** Seconds since the first line. */
   from: number;
-  /** Entries that saw it. */
+  /** Number of entries that detected the crash. */
   entries: number;
-  /** Requests of all of them that were in progress there. */
+  /** Requests of all entries that were in progress at the back end. */
   suspects: number;
-  /** Contents that were quarantined by it. */
+  /** Fingerprints of contents that were quarantined because of the crash. */
   quarantined: string[];
 }
 
-/** The crashes, in the order of time. */
-export function crashLosses(lines: readonly LogLine[]): CrashLoss[] {
-  const start = firstTime(lines);
-  const losses = new Map<string, CrashLoss>();
+/** Summarizes the crashes in `lines`, sorted by time. */
+export function summarizeCrashes(lines: readonly LogLine[]): CrashSummary[] {
+  const start = startTime(lines);
+  const losses = new Map<string, CrashSummary>();
   for (const { message, time, fields } of lines) {
     const { backEnd, fingerprint } = fields;
     if (typeof backEnd !== 'string') continue;
     if (message === 'back end crashed') {
-      const from = (time - start) / MILLISECONDS;
+      const from = (time - start) / MILLISECONDS_PER_SECOND;
       const loss = losses.get(backEnd) ?? { backEnd, from, entries: 0, suspects: 0, quarantined: [] };
       losses.set(backEnd, loss);
       loss.from = Math.min(loss.from, from);
@@ -39,8 +39,8 @@
   return [...losses.values()].sort((one, other) => one.from - other.from);
 }
 
-/** The list for a reader; nothing where no back end crashed. */
-export function formatCrashes(losses: readonly CrashLoss[]): string[] {
+/** Formats the crashes as lines of text; empty if there are none. */
+export function formatCrashes(losses: readonly CrashSummary[]): string[] {
   if (losses.length === 0) return [];
   const rows = losses.map(({ backEnd, from, entries, suspects, quarantined }) =>
     [
--- a/src/observability/loss-table.ts
+++ b/src/observability/loss-table.ts
@@ -1,88 +1,88 @@
 /**
- * Where service is lost, from the logs of a run: per span of time and service, what became of requests and why back
- * ends were left out; and which engines were away for a change of version.
+ * Summarizes failed and delayed requests from the logs of a run: for each time interval and service, the outcomes of requests
+ * and the reasons for excluding back ends; and the outages of engines during version switches.
  */
 import type { LogLine } from './request-history.js';
 
-const MILLISECONDS = 1_000;
+const MILLISECONDS_PER_SECOND = 1_000;
 
-/** What happened to the requests of one service in one span. */
+/** Outcomes of the requests of one service in one interval. */
 export interface LossRow {
-  /** Begin of the span, in seconds since the first line. */
+  /** Start of the interval, in seconds since the first log line. */
   from: number;
   service: string;
-  /** Attempts sent, and those among them that followed another one. */
+  /** Attempts sent, and those among them that were retries. */
   sent: number;
-  sentAgain: number;
+  sentRetries: number;
   served: number;
-  /** Median time to the first part of an answer, in milliseconds; undefined without one. */
-  firstMedian: number | undefined;
-  /** Medians over what was sent: back ends to choose from, and the load of the chosen one. */
+  /** Median time to the first part of an answer, in milliseconds; undefined if nothing was served. */
+  firstPartMedian: number | undefined;
+  /** Medians over the attempts sent: number of eligible back ends, and load of the chosen one. */
   choicesMedian: number | undefined;
   loadMedian: number | undefined;
   held: number;
   cut: number;
-  /** Callers that left. */
+  /** Requests whose callers disconnected. */
   left: number;
-  /** Ended with an error, by status and reason. */
+  /** Requests that ended with an error, by status and reason. */
   refused: Record<string, number>;
-  /** Why attempts failed. */
+  /** Failed attempts by reason. */
   failures: Record<string, number>;
-  /** Back ends that were left out, by reason, on average over the refusals of the span. */
+  /** Mean number of excluded back ends, by reason, over the refusals of the interval. */
   excluded: Record<string, number>;
-  /** Served, by version; 0 where it is not told. */
+  /** Requests served, by version; version 0 if the log line has none. */
   versions: Record<string, number>;
 }
 
-/** A time in which an engine took nothing, as it changed its version. */
+/** A period in which an engine accepted no requests because it was switching versions. */
 export interface SwitchOutage {
   process: string;
-  /** Seconds since the first line. */
+  /** Start of the outage, in seconds since the first log line. */
   from: number;
-  /** Version before and after; 0 for none. */
+  /** Versions before and after the switch; 0 for none. */
   fromVersion: number;
   toVersion: number;
-  /** What became of its requests, and how many there were. */
+  /** How the running requests were handled, and their number. */
   running: string;
   load: number;
-  /** In milliseconds; undefined where the end was not logged. */
+  /** Duration in milliseconds; undefined if the end was not logged. */
   took: number | undefined;
 }
 
-interface Tally {
+interface RowAccumulator {
   row: LossRow;
-  firsts: number[];
+  firstPartTimes: number[];
   choices: number[];
   loads: number[];
   exclusions: number;
 }
 
-/** The losses by span of `step` seconds and service, in the order of time. */
+/** Computes a row for each interval of `step` seconds and service, sorted by time. */
 export function lossTable(lines: readonly LogLine[], step: number): LossRow[] {
-  const start = firstTime(lines);
-  const tallies = new Map<string, Tally>();
+  const start = startTime(lines);
+  const accumulators = new Map<string, RowAccumulator>();
   for (const line of lines) {
     const { service } = line.fields;
     if (line.request === undefined || typeof service !== 'string') continue;
-    const from = Math.floor((line.time - start) / MILLISECONDS / step) * step;
+    const from = Math.floor((line.time - start) / MILLISECONDS_PER_SECOND / step) * step;
     const key = `${from} ${service}`;
-    const tally = tallies.get(key) ?? createTally(from, service);
-    tallies.set(key, tally);
-    count(tally, line);
+    const accumulator = accumulators.get(key) ?? createAccumulator(from, service);
+    accumulators.set(key, accumulator);
+    count(accumulator, line);
   }
-  return [...tallies.values()].map(finished).sort((one, other) => one.from - other.from);
+  return [...accumulators.values()].map(toLossRow).sort((one, other) => one.from - other.from);
 }
 
-/** The switches of engines, in the order of time. */
+/** Lists the outages of engines during version switches, in the order of `lines`. */
 export function switchOutages(lines: readonly LogLine[]): SwitchOutage[] {
-  const start = firstTime(lines);
+  const start = startTime(lines);
   const outages: SwitchOutage[] = [];
   const open = new Map<string, SwitchOutage>();
   for (const { message, process, time, fields } of lines) {
     if (message === 'engine ordered') {
       const outage: SwitchOutage = {
         process,
-        from: (time - start) / MILLISECONDS,
+        from: (time - start) / MILLISECONDS_PER_SECOND,
         fromVersion: Number(fields.from) || 0,
         toVersion: Number(fields.version) || 0,
         running: String(fields.running),
@@ -100,14 +100,14 @@
   return outages;
 }
 
-/** The table for a reader. */
+/** Formats the table as lines of text. */
 export function formatLosses(rows: readonly LossRow[], outages: readonly SwitchOutage[]): string[] {
   const losses = rows.map((row) =>
     [
       row.from.toFixed(1).padStart(7),
       row.service,
-      `sent=${row.sent} again=${row.sentAgain} served=${row.served} held=${row.held} cut=${row.cut} left=${row.left}`,
-      `first=${row.firstMedian ?? '-'}ms choices=${row.choicesMedian ?? '-'} load=${row.loadMedian ?? '-'}`,
+      `sent=${row.sent} again=${row.sentRetries} served=${row.served} held=${row.held} cut=${row.cut} left=${row.left}`,
+      `first=${row.firstPartMedian ?? '-'}ms choices=${row.choicesMedian ?? '-'} load=${row.loadMedian ?? '-'}`,
       ...['refused', 'failures', 'excluded', 'versions'].map(
         (name) => `${name}=${JSON.stringify(row[name as keyof LossRow])}`,
       ),
@@ -120,19 +120,19 @@
   return ['requests:', ...losses, 'engines away:', ...switches];
 }
 
-/** Time of the first line, from which spans are counted. */
-export function firstTime(lines: readonly LogLine[]): number {
+/** Time of the earliest line, which is the origin of all intervals. */
+export function startTime(lines: readonly LogLine[]): number {
   return lines.reduce((first, { time }) => Math.min(first, time), Number.POSITIVE_INFINITY);
 }
 
-function createTally(from: number, service: string): Tally {
+function createAccumulator(from: number, service: string): RowAccumulator {
   const row: LossRow = {
     from,
     service,
     sent: 0,
-    sentAgain: 0,
+    sentRetries: 0,
     served: 0,
-    firstMedian: undefined,
+    firstPartMedian: undefined,
     choicesMedian: undefined,
     loadMedian: undefined,
     held: 0,
@@ -143,21 +143,21 @@
     excluded: {},
     versions: {},
   };
-  return { row, firsts: [], choices: [], loads: [], exclusions: 0 };
+  return { row, firstPartTimes: [], choices: [], loads: [], exclusions: 0 };
 }
 
-function count(tally: Tally, { message, fields }: LogLine): void {
-  const { row } = tally;
+function count(accumulator: RowAccumulator, { message, fields }: LogLine): void {
+  const { row } = accumulator;
   switch (message) {
     case 'sent':
       row.sent++;
-      if (Number(fields.send) > 1) row.sentAgain++;
-      tally.choices.push(Number(fields.choices));
-      tally.loads.push(Number(fields.load));
+      if (Number(fields.send) > 1) row.sentRetries++;
+      accumulator.choices.push(Number(fields.choices));
+      accumulator.loads.push(Number(fields.load));
       return;
     case 'served':
       row.served++;
-      if (typeof fields.firstMs === 'number') tally.firsts.push(fields.firstMs);
+      if (typeof fields.firstMs === 'number') accumulator.firstPartTimes.push(fields.firstMs);
       return increase(row.versions, String(fields.version ?? 0));
     case 'held':
       row.held++;
@@ -173,19 +173,19 @@
     case 'ended':
       return increase(row.refused, `${fields.status} ${fields.reason ?? fields.type}`);
     case 'no back end':
-      tally.exclusions++;
+      accumulator.exclusions++;
       for (const [reason, number] of Object.entries(fields.excluded ?? {}))
         increase(row.excluded, reason, Number(number));
   }
 }
 
-function finished({ row, firsts, choices, loads, exclusions }: Tally): LossRow {
+function toLossRow({ row, firstPartTimes, choices, loads, exclusions }: RowAccumulator): LossRow {
   const excluded = Object.fromEntries(
     Object.entries(row.excluded).map(([reason, sum]) => [reason, Math.round((10 * sum) / exclusions) / 10]),
   );
   return {
     ...row,
-    firstMedian: median(firsts),
+    firstPartMedian: median(firstPartTimes),
     choicesMedian: median(choices),
     loadMedian: median(loads),
     excluded,
--- a/src/peers/entry-peers.ts
+++ b/src/peers/entry-peers.ts
@@ -20,7 +20,7 @@
 } from '../protocol/connection.js';
 import type { Message } from '../protocol/messages.js';
 import type { EntryReport } from '../protocol/reports.js';
-import type { StoreNews } from '../protocol/store-news.js';
+import type { StoreUpdate } from '../protocol/store-update.js';
 import {
   lacksAddresses,
   recipientsOfAllAddresses,
@@ -104,7 +104,7 @@
   onReport: (report: EntryReport) => void;
   news: PeerNews;
   /** Called with what the entry `id` has read from the store. */
-  onStoreNews: (news: StoreNews, id: string) => void;
+  onStoreNews: (news: StoreUpdate, id: string) => void;
   /**
    * Called when the process that sent this latest report is no longer heard, or another has started at its
    * address.
@@ -204,7 +204,7 @@
   }
 
   /** Forwards what was read from the store to the entries of the own zone. */
-  forwardStoreNews(news: StoreNews): void {
+  forwardStoreNews(news: StoreUpdate): void {
     const near = [...this.#rows.values()].filter((row) => this.#isNear(row));
     if (near.length === 0) return;
     const message = encodeForMany({ type: 'storeNews', news }, this.#options.context);
@@ -244,12 +244,12 @@
     const { connection, address } = row;
     if (connection === undefined) return;
     const isNear = this.#isNear(row);
-    connection.quietTime = pingDelay(isNear, this.#rows.size);
-    connection.silenceLimit = silenceLimit(isNear, this.#rows.size);
-    if (connection.quietFor <= connection.silenceLimit) return;
+    connection.pingAfterIdle = pingDelay(isNear, this.#rows.size);
+    connection.receiveTimeout = silenceLimit(isNear, this.#rows.size);
+    if (connection.receiveIdleTime <= connection.receiveTimeout) return;
     this.#options.log.info('entry connection silent, closing it', {
       address,
-      silentMs: Math.round(connection.quietFor),
+      silentMs: Math.round(connection.receiveIdleTime),
     });
     connection.close();
   }
@@ -471,7 +471,7 @@
 }
 
 /** The codec turns undefined in lists into null: a deleted row has no value. */
-function withoutNulls(news: StoreNews): StoreNews {
+function withoutNulls(news: StoreUpdate): StoreUpdate {
   const rows = news.rows.map((row) => ({
     ...row,
     value: row.value == null ? undefined : Buffer.from(row.value),
--- /dev/null
+++ b/src/protocol/store-update.ts
@@ -0,0 +1,23 @@
+/** Store changes that the one entry of a zone that reads the store forwards to the others. */
+import type { StoredRow } from '../clients/watched-tables.js';
+
+/** The tables that are followed. */
+export type FollowedTable = 'operator' | 'backEnds';
+
+/** Changes of a table, as forwarded by the process that reads it. */
+export interface TableUpdate {
+  /** The changes follow on the state as of this revision. */
+  after: number;
+  revision: number;
+  storeTime: number;
+  /** The changes were written after this time, in milliseconds of the store's clock. */
+  since: number;
+  rows: StoredRow[];
+}
+
+/** Changes of one store table, as sent to other processes. */
+export interface StoreUpdate extends TableUpdate {
+  table: FollowedTable;
+  /** Back ends that seem to be gone are kept for this long yet, in milliseconds. */
+  holdsRemovalsFor: number;
+}
--- a/test/fleet/store-sync.test.ts
+++ b/test/fleet/store-sync.test.ts
@@ -1,7 +1,7 @@
 /** StoreSync through outages of the store, lost history, restored copies, and reading by another process. */
 import { afterEach, beforeEach, describe, expect, it } from 'vitest';
 import { MemoryStore } from '../../emulator/store/memory-store.js';
-import type { RowsAt, WatchedTables } from '../../src/clients/watched-tables.js';
+import type { RowsSnapshot, WatchedTables } from '../../src/clients/watched-tables.js';
 import { FleetView } from '../../src/fleet/fleet-view.js';
 import { CLOCK_TOLERANCE } from '../../src/fleet/store-clock.js';
 import { StoreSync } from '../../src/fleet/store-sync.js';
@@ -45,7 +45,7 @@
     /** Produces the response at once but delivers it much later. */
     const late = async <T extends { ok: boolean; value?: unknown }>(answer: Promise<T>): Promise<T> => {
       const response = await answer;
-      if (response.ok) stamps.push({ stamp: (response.value as RowsAt).storeTime, at: performance.now() });
+      if (response.ok) stamps.push({ stamp: (response.value as RowsSnapshot).storeTime, at: performance.now() });
       await new Promise((resolve) => setTimeout(resolve, 4 * CLOCK_TOLERANCE));
       return response;
     };
--- a/test/observability/bounded-output.test.ts
+++ b/test/observability/bounded-output.test.ts
@@ -2,8 +2,8 @@
 import { BoundedOutput } from '../../src/observability/bounded-output.js';
 import { createLog } from '../../src/observability/log.js';
 
-/** A reader that may have stopped. */
-class Reader {
+/** A stream whose reader may have stopped. */
+class StubStream {
   readonly lines: string[] = [];
   stopped = false;
   writableLength = 0;
@@ -15,8 +15,8 @@
 }
 
 describe('bounded output', () => {
-  it('writes so many lines of a kind a second, and tells how many it left out', () => {
-    const reader = new Reader();
+  it('limits the lines of a kind per second and reports how many it omitted', () => {
+    const reader = new StubStream();
     let now = 0;
     const output = new BoundedOutput(reader, () => now);
     for (let count = 0; count < 100; count++) output.write('often', `line ${count}`);
@@ -28,8 +28,8 @@
     expect(JSON.parse(reader.lines[written])).toEqual({ message: 'lines left out', often: 101 - written });
   });
 
-  it('holds a bounded amount for a reader that has stopped', () => {
-    const reader = new Reader();
+  it('buffers a bounded amount for a reader that has stopped', () => {
+    const reader = new StubStream();
     reader.stopped = true;
     let now = 0;
     const output = new BoundedOutput(reader, () => now);
@@ -43,7 +43,7 @@
 
 describe('a log', () => {
   it('writes one JSON line with level, process, message and fields', () => {
-    const reader = new Reader();
+    const reader = new StubStream();
     createLog('entry-1', 'info', reader).info('sent', { request: 'r1', load: 3 });
     const line = JSON.parse(reader.lines[0]);
     expect(line).toMatchObject({
