--- a/test/fleet/store-sync.test.ts
+++ b/test/fleet/store-sync.test.ts
@@ -45,7 +45,8 @@
     /** Produces the response at once but delivers it much later. */
     const late = async <T extends { ok: boolean; value?: unknown }>(answer: Promise<T>): Promise<T> => {
       const response = await answer;
-      if (response.ok) stamps.push({ stamp: (response.value as RowsSnapshot).storeTime, at: performance.now() });
+      if (response.ok)
+        stamps.push({ stamp: (response.value as RowsSnapshot).storeTime, at: performance.now() });
       await new Promise((resolve) => setTimeout(resolve, 4 * CLOCK_TOLERANCE));
       return response;
     };
