--- a/src/cli/bench.ts
+++ b/src/cli/bench.ts
@@ -282,7 +282,6 @@
   if (wanted === 'table') return [...cases];
   const found = cases.find((fault) => fault.name === wanted);
   const names = cases.map((fault) => fault.name).join(', ');
-  if (found === undefined)
-    throw new CommandFailure(`unknown fault "${wanted}"; available: ${names}`, EXIT_USAGE);
+  if (found === undefined) throw new CommandFailure(`no fault "${wanted}"; available: ${names}`, EXIT_USAGE);
   return [found];
 }
