--- a/src/cli/process.ts
+++ b/src/cli/process.ts
@@ -3,7 +3,7 @@
 import { setFlagsFromString } from 'node:v8';
 import type { ZodType } from 'zod';
 import type { Startable } from '../model/startable.js';
-import { StopOrder, startUntilOrdered } from '../model/stop-order.js';
+import { StopSignal, startUntilStopSignal } from '../model/stop-order.js';
 import { endsWithin } from '../model/time-limit.js';
 import { formatProblem, readDocument } from '../settings/document.js';
 import { CommandFailure, EXIT_USAGE } from './errors.js';
@@ -39,7 +39,7 @@
 
 /** Runs a part until the first signal; a role that can be drained ends its requests first, whatever signals follow. */
 export async function runUntilSignal(part: Startable | Drainable, minDrainMilliseconds = 0): Promise<void> {
-  await startUntilOrdered(part, new StopOrder(['SIGTERM', 'SIGINT']));
+  await startUntilStopSignal(part, new StopSignal(['SIGTERM', 'SIGINT']));
   if ('drain' in part) await drainFully(part, minDrainMilliseconds);
   await endsWithin(part.stop(), STOP_LIMIT);
 }
--- a/src/fleet/table-follower.ts
+++ b/src/fleet/table-follower.ts
@@ -6,7 +6,7 @@
 import type { Random } from '../model/random.js';
 import type { Result } from '../model/result.js';
 import type { Startable } from '../model/startable.js';
-import { AnswerLimit } from '../model/time-limit.js';
+import { ResponseLimit } from '../model/time-limit.js';
 import type { TableNews } from '../protocol/store-news.js';
 import type { StoreClock } from './store-clock.js';
 
@@ -149,7 +149,7 @@
     const gap = clock.isKnown ? clock.storeTimeAt(requestedAt) - this.#storeTime : Number.POSITIVE_INFINITY;
     const call = { requestedAt, gap, signal };
     if (this.#revision === undefined) {
-      const limit = new AnswerLimit(signal, { first: RESPONSE_TIMEOUT, next: RESPONSE_TIMEOUT });
+      const limit = new ResponseLimit(signal, { first: RESPONSE_TIMEOUT, next: RESPONSE_TIMEOUT });
       const read = await this.#measureResponse(0, () =>
         tables.read(table, '', limit.signal, () => this.#onPart(limit)),
       );
@@ -160,7 +160,7 @@
     // After a failure the call does not wait for a change, so that the store's return is noticed at once.
     const patience = this.#failures > 0 ? 0 : wait;
     const first = patience === 0 ? RESPONSE_TIMEOUT : patience + this.#responseTimeout;
-    const limit = new AnswerLimit(signal, { first, next: RESPONSE_TIMEOUT });
+    const limit = new ResponseLimit(signal, { first, next: RESPONSE_TIMEOUT });
     const query = { table, after: this.#revision, wait: patience };
     const changes = await this.#measureResponse(patience, () =>
       tables.changes(query, limit.signal, () => this.#onPart(limit)),
@@ -171,7 +171,7 @@
   }
 
   /** Handles a part of a response. Notifies the processes for which this one reads, so that they do not read themselves. */
-  #onPart(limit: AnswerLimit): void {
+  #onPart(limit: ResponseLimit): void {
     limit.notePart();
     const now = performance.now();
     if (this.#revision === undefined || now - this.#notifiedAt < PROGRESS_INTERVAL) return;
--- a/src/forwarding/attempt-watch.ts
+++ b/src/forwarding/attempt-watch.ts
@@ -1,5 +1,5 @@
 /** Periodic checks of the attempts of one request: withdraws or fails those that must end, and detects silent back ends. */
-import type { Standstills } from '../model/standstills.js';
+import type { StallDetector } from '../model/standstills.js';
 import type { AdmittedRequest } from './admitted-request.js';
 import type { BackEndOutcome } from './back-end-health.js';
 import type { BackEndSelector } from './back-end-selector.js';
@@ -44,7 +44,7 @@
   }
 
   /** Checks one attempt: ends it if it must not continue, and records it if it is silent. */
-  check(use: BackEndUse, now: number, standstills: Standstills): void {
+  check(use: BackEndUse, now: number, standstills: StallDetector): void {
     // Checked first: otherwise an attempt that cannot be sent again could begin on an expired version.
     if (this.#mustNotBegin(use, now)) return use.attempt.withdraw('version expires');
     const { attempt } = use;
@@ -75,7 +75,7 @@
   }
 
   /** Classifies the silence of an attempt, not counting time in which this process was not running. */
-  #silence(use: BackEndUse, now: number, standstills: Standstills): Silence {
+  #silence(use: BackEndUse, now: number, standstills: StallDetector): Silence {
     const { row, attempt, progressAt, isOvertaken } = use;
     const awaited = {
       route: this.#request.admitted.route,
@@ -95,7 +95,7 @@
     use: BackEndUse,
     silence: Exclude<Silence, 'none'>,
     now: number,
-    standstills: Standstills,
+    standstills: StallDetector,
   ): void {
     const { row, progressAt } = use;
     const { backEnds } = this.#components;
--- a/src/forwarding/forwarded-request.ts
+++ b/src/forwarding/forwarded-request.ts
@@ -11,7 +11,7 @@
  */
 import type { IncomingMessage, ServerResponse } from 'node:http';
 import type { Readable } from 'node:stream';
-import type { Standstills } from '../model/standstills.js';
+import type { StallDetector } from '../model/standstills.js';
 import { latestBegin } from '../systems/capacity-wait.js';
 import type { Fingerprint } from '../systems/poison-requests.js';
 import { type AdmittedRequest, admit, headersToSend, type RejectedRequest } from './admitted-request.js';
@@ -145,7 +145,7 @@
   }
 
   /** Checks the open attempts, and looks for a replacement if all are silent; called by the shared tick. */
-  check(now: number, standstills: Standstills): void {
+  check(now: number, standstills: StallDetector): void {
     if (this.#settled) return;
     if (this.#wait?.isUnderWay) this.#wait.check(now, standstills);
     for (const use of this.#openAttempts.all()) this.#watch.check(use, now, standstills);
--- a/src/forwarding/forwarding-server.ts
+++ b/src/forwarding/forwarding-server.ts
@@ -5,7 +5,7 @@
 import { Histogram } from 'prom-client';
 import type { FleetView } from '../fleet/fleet-view.js';
 import type { Random } from '../model/random.js';
-import { Standstills } from '../model/standstills.js';
+import { StallDetector } from '../model/standstills.js';
 import type { Startable } from '../model/startable.js';
 import { endsWithin } from '../model/time-limit.js';
 import type { Log } from '../observability/log.js';
@@ -81,7 +81,7 @@
   readonly #drainFigures: DrainFigures;
   #server: Server | undefined;
   #timer: NodeJS.Timeout | undefined;
-  readonly #standstills = new Standstills(CHECK_INTERVAL, performance.now());
+  readonly #standstills = new StallDetector(CHECK_INTERVAL, performance.now());
   /** Time in which this process got no processor while requests were in progress, in milliseconds. */
   #stoodStill = 0;
   #acceptedAt = 0;
@@ -252,7 +252,7 @@
   }
 
   #beginChecks(): void {
-    this.#standstills.begin(performance.now());
+    this.#standstills.reset(performance.now());
     this.#timer = setInterval(() => this.#check(), CHECK_INTERVAL);
   }
 
--- a/src/forwarding/request-wait.ts
+++ b/src/forwarding/request-wait.ts
@@ -3,7 +3,7 @@
  * capacity that is in sight. What cannot be served in its time is given up at once.
  */
 import type { Random } from '../model/random.js';
-import type { Standstills } from '../model/standstills.js';
+import type { StallDetector } from '../model/standstills.js';
 import type { BackEndLimits } from './back-end-limits.js';
 import type { BackEndSelector, Requirements, Selection } from './back-end-selector.js';
 import type { BackEndRow, BackEndTable } from './back-end-table.js';
@@ -93,7 +93,7 @@
   }
 
   /** Looks again; called by the shared tick while it is under way. */
-  check(now: number, standstills: Standstills): void {
+  check(now: number, standstills: StallDetector): void {
     if (this.#claiming !== undefined) return;
     if (this.#seeker === undefined) return this.begin();
     if (!this.#request.canEnd()) return this.#events.onNoTime();
--- a/src/forwarding/slot-seeker.ts
+++ b/src/forwarding/slot-seeker.ts
@@ -1,6 +1,6 @@
 /** Looks for a slot at an engine on behalf of one request: asks agents as its search says, and takes the first grant. */
 import type { Random } from '../model/random.js';
-import type { Standstills } from '../model/standstills.js';
+import type { StallDetector } from '../model/standstills.js';
 import type { SlotCandidate } from '../systems/slot-search.js';
 import { SlotSearch } from '../systems/slot-search.js';
 import type { BackEndRow, BackEndTable } from './back-end-table.js';
@@ -58,7 +58,7 @@
   }
 
   /** Asks others in place of agents that are silent or have refused; called by the shared tick. */
-  check(now: number, standstills: Standstills): void {
+  check(now: number, standstills: StallDetector): void {
     for (const id of this.#search.silent((since) => standstills.runningTime(since, now))) {
       this.#options.table.rows.get(id)?.agent?.noteSilence(now);
       this.#giveBack(id);
--- a/src/model/pacer.ts
+++ b/src/model/pacer.ts
@@ -4,7 +4,7 @@
  */
 
 /** Unused link time that may be made up for after a late timer, in milliseconds. */
-const CATCH_UP = 50;
+const MAX_CATCH_UP = 50;
 
 /** A link with a fixed rate. */
 export class Pacer {
@@ -35,7 +35,7 @@
   /** Reserves transfer time for `bytes`; returns the milliseconds until they have been transferred. */
   reserve(bytes: number): number {
     const now = this.#clock();
-    this.#freeAt = Math.max(this.#freeAt, now - CATCH_UP) + bytes / this.#bytesPerMillisecond;
+    this.#freeAt = Math.max(this.#freeAt, now - MAX_CATCH_UP) + bytes / this.#bytesPerMillisecond;
     return this.#freeAt - now;
   }
 }
--- a/src/model/standstills.ts
+++ b/src/model/standstills.ts
@@ -16,20 +16,20 @@
  * A tick later than this indicates a stall, in milliseconds. Timers of a busy event loop are late by the length of one turn,
  * some tens of milliseconds.
  */
-const USUAL_LATENESS = 100;
+const MAX_TIMER_LATENESS = 100;
 /** Retention time of detected stalls, in milliseconds; longer than any silence that is evaluated. */
-const KEPT_TIME = 60_000;
+const RETENTION_TIME = 60_000;
 
-interface Standstill {
+interface Stall {
   from: number;
   to: number;
 }
 
 /** The stalls of this process, detected by ticks at a regular interval. Times are in milliseconds. */
-export class Standstills {
+export class StallDetector {
   readonly #interval: number;
   #tickedAt: number;
-  #known: Standstill[] = [];
+  #stalls: Stall[] = [];
 
   /** @param interval - interval of the ticks, in milliseconds */
   constructor(interval: number, now: number) {
@@ -38,30 +38,30 @@
   }
 
   /** Restarts the ticks after a time without them, which does not count as a stall. */
-  begin(now: number): void {
+  reset(now: number): void {
     this.#tickedAt = now;
   }
 
   /** Handles a tick; returns the length of the stall that preceded it, in milliseconds. */
   tick(now: number): number {
-    const current = this.#current(now);
-    if (current !== undefined) this.#known.push(current);
+    const current = this.#currentStall(now);
+    if (current !== undefined) this.#stalls.push(current);
     this.#tickedAt = now;
-    if (this.#known.length > 0) this.#known = this.#known.filter(({ to }) => now - to < KEPT_TIME);
+    if (this.#stalls.length > 0) this.#stalls = this.#stalls.filter(({ to }) => now - to < RETENTION_TIME);
     return current === undefined ? 0 : current.to - current.from;
   }
 
   /** Time since `since` in which this process was running. */
   runningTime(since: number, now: number): number {
-    const current = this.#current(now);
-    const all = current === undefined ? this.#known : [...this.#known, current];
-    const stoodStill = all.reduce((sum, { from, to }) => sum + Math.max(0, to - Math.max(from, since)), 0);
-    return now - since - stoodStill;
+    const current = this.#currentStall(now);
+    const all = current === undefined ? this.#stalls : [...this.#stalls, current];
+    const stalledTime = all.reduce((sum, { from, to }) => sum + Math.max(0, to - Math.max(from, since)), 0);
+    return now - since - stalledTime;
   }
 
   /** A stall that is in progress: the next tick is overdue. */
-  #current(now: number): Standstill | undefined {
+  #currentStall(now: number): Stall | undefined {
     const dueAt = this.#tickedAt + this.#interval;
-    return now - dueAt > USUAL_LATENESS ? { from: dueAt, to: now } : undefined;
+    return now - dueAt > MAX_TIMER_LATENESS ? { from: dueAt, to: now } : undefined;
   }
 }
--- a/src/model/stop-order.ts
+++ b/src/model/stop-order.ts
@@ -6,7 +6,7 @@
 import { endsWithin } from './time-limit.js';
 
 /** Time that a start in progress is given to finish after the stop signal, in milliseconds; its parts are then stopped as usual. */
-const START_LIMIT = 1_000;
+const START_TIMEOUT = 1_000;
 
 /** Source of signals: the process, or an emitter in tests. */
 export interface SignalSource {
@@ -14,22 +14,25 @@
 }
 
 /** Waits for the first of several signals; later ones have no effect. */
-export class StopOrder {
+export class StopSignal {
   /** Resolves with the time of the first signal, in milliseconds of the monotonic clock. */
-  readonly given: Promise<number>;
+  readonly received: Promise<number>;
 
   /** @param signals - signals that stop the process; create the object before anything is started */
   constructor(signals: readonly NodeJS.Signals[], source: SignalSource = process) {
-    this.given = new Promise((resolve) => {
+    this.received = new Promise((resolve) => {
       for (const signal of signals) source.on(signal, () => resolve(performance.now()));
     });
   }
 }
 
 /** Starts `part`; resolves with the time of the stop signal, which may arrive during the start. */
-export async function startUntilOrdered(part: Pick<Startable, 'start'>, order: StopOrder): Promise<number> {
+export async function startUntilStopSignal(
+  part: Pick<Startable, 'start'>,
+  order: StopSignal,
+): Promise<number> {
   const started = part.start();
-  const orderedAt = await Promise.race([started.then(() => order.given), order.given]);
-  await endsWithin(started, START_LIMIT);
-  return orderedAt;
+  const signalledAt = await Promise.race([started.then(() => order.received), order.received]);
+  await endsWithin(started, START_TIMEOUT);
+  return signalledAt;
 }
--- a/src/model/ticker.ts
+++ b/src/model/ticker.ts
@@ -9,19 +9,19 @@
  *
  * Late ticks reveal that this process was stalled.
  */
-import { Standstills } from './standstills.js';
+import { StallDetector } from './standstills.js';
 
 /** The shared timer. */
 export class Ticker {
   readonly #interval: number;
   readonly #callbacks = new Set<() => void>();
-  readonly #standstills: Standstills;
+  readonly #stallDetector: StallDetector;
   #timer: NodeJS.Timeout | undefined;
 
   /** Calls all callbacks every `interval` milliseconds; the timer runs only while there are any. */
   constructor(interval: number) {
     this.#interval = interval;
-    this.#standstills = new Standstills(interval, performance.now());
+    this.#stallDetector = new StallDetector(interval, performance.now());
   }
 
   /** Adds a callback; returns a function that removes it. The first call may come before a full interval. */
@@ -33,16 +33,16 @@
 
   /** Time since `since` in which this process was running, in milliseconds; known only while there are callbacks. */
   runningTime(since: number, now: number): number {
-    return this.#standstills.runningTime(since, now);
+    return this.#stallDetector.runningTime(since, now);
   }
 
   #begin(): void {
-    this.#standstills.begin(performance.now());
+    this.#stallDetector.reset(performance.now());
     this.#timer = setInterval(() => this.#tick(), this.#interval);
   }
 
   #tick(): void {
-    this.#standstills.tick(performance.now());
+    this.#stallDetector.tick(performance.now());
     for (const callback of [...this.#callbacks]) callback();
   }
 
--- a/src/model/time-limit.ts
+++ b/src/model/time-limit.ts
@@ -5,13 +5,13 @@
  * A timer later than this means that the process was stalled, in milliseconds; one turn of a busy event loop takes some tens of
  * milliseconds.
  */
-const USUAL_LATENESS = 100;
+const MAX_TIMER_LATENESS = 100;
 /**
  * Extension of a limit that expired while this process was stalled, in milliseconds; no longer than the limit itself. Data that
  * arrived during the stall is in the socket buffers and is read in the next turn of the event loop. The peer may have been
  * stalled too and answer only then.
  */
-const TIME_AFTER_STANDSTILL = 500;
+const STALL_EXTENSION = 500;
 
 /** A running time limit. */
 export interface RunningLimit {
@@ -26,9 +26,9 @@
 export function startLimit(milliseconds: number, onPassed: () => void): RunningLimit {
   const dueAt = performance.now() + milliseconds;
   const onTimer = () => {
-    const stoodStill = performance.now() - dueAt > USUAL_LATENESS;
-    if (!stoodStill) return onPassed();
-    timer = setTimeout(onPassed, Math.min(milliseconds, TIME_AFTER_STANDSTILL));
+    const wasStalled = performance.now() - dueAt > MAX_TIMER_LATENESS;
+    if (!wasStalled) return onPassed();
+    timer = setTimeout(onPassed, Math.min(milliseconds, STALL_EXTENSION));
     timer.unref();
   };
   let timer = setTimeout(onTimer, milliseconds);
@@ -47,23 +47,23 @@
     limited.abort(signal.reason);
     return limited.signal;
   }
-  const endWithSignal = () => {
+  const abortWithSignal = () => {
     limit.cancel();
     limited.abort(signal.reason);
   };
-  const endAtLimit = () => {
-    signal.removeEventListener('abort', endWithSignal);
+  const abortAtLimit = () => {
+    signal.removeEventListener('abort', abortWithSignal);
     limited.abort(new DOMException('the limit of the call has passed', 'TimeoutError'));
   };
-  const limit = startLimit(milliseconds, endAtLimit);
+  const limit = startLimit(milliseconds, abortAtLimit);
   // One listener per pending call, removed when the call ends.
   setMaxListeners(0, signal);
-  signal.addEventListener('abort', endWithSignal, { once: true });
+  signal.addEventListener('abort', abortWithSignal, { once: true });
   return limited.signal;
 }
 
 /** Time limits of a response, in milliseconds. */
-export interface AnswerTimes {
+export interface ResponseTimes {
   /** Until the first part. */
   first: number;
   /** Between two parts. */
@@ -71,7 +71,7 @@
 }
 
 /** Limits the time of a call whose response arrives in parts. It restarts with each part, so that slow responses are read to the end. */
-export class AnswerLimit {
+export class ResponseLimit {
   readonly #next: number;
   readonly #limited = new AbortController();
   readonly #onPassed = () =>
@@ -80,7 +80,7 @@
   readonly #onAborted: () => void;
   #limit: RunningLimit;
 
-  constructor(signal: AbortSignal, { first, next }: AnswerTimes) {
+  constructor(signal: AbortSignal, { first, next }: ResponseTimes) {
     this.#next = next;
     this.#signal = signal;
     this.#limit = startLimit(first, this.#onPassed);
--- a/src/peers/entry-link.ts
+++ b/src/peers/entry-link.ts
@@ -2,7 +2,7 @@
 
 import { sleep } from '../fleet/table-follower.js';
 import type { Random } from '../model/random.js';
-import { Standstills } from '../model/standstills.js';
+import { StallDetector } from '../model/standstills.js';
 import type { Startable } from '../model/startable.js';
 import { withLimit } from '../model/time-limit.js';
 import { type Connection, type ConnectionContext, connect } from '../protocol/connection.js';
@@ -110,7 +110,7 @@
       this.#options.onPlan(message.plan);
     });
     this.#options.onConnected();
-    const standstills = new Standstills(CHECK_INTERVAL, performance.now());
+    const standstills = new StallDetector(CHECK_INTERVAL, performance.now());
     const silence = () => standstills.runningTime(this.#heardAt, performance.now());
     while (!signal.aborted && connection.open && silence() < PLAN_LIMIT) {
       await sleep(CHECK_INTERVAL, signal);
--- a/src/peers/entry-peers.ts
+++ b/src/peers/entry-peers.ts
@@ -6,7 +6,7 @@
 import type { FleetView } from '../fleet/fleet-view.js';
 import type { RecordDecoder } from '../fleet/record-decoder.js';
 import { type Random, rendezvousOrder } from '../model/random.js';
-import { Standstills } from '../model/standstills.js';
+import { StallDetector } from '../model/standstills.js';
 import type { Startable } from '../model/startable.js';
 import { withLimit } from '../model/time-limit.js';
 import type { Log } from '../observability/log.js';
@@ -100,7 +100,7 @@
 export class EntryPeers implements Startable {
   readonly #options: EntryPeersOptions;
   readonly #rows = new Map<string, PeerRow>();
-  readonly #standstills = new Standstills(REPORT_TICK, performance.now());
+  readonly #standstills = new StallDetector(REPORT_TICK, performance.now());
   readonly #wishes: Record<'configuration' | 'backEnds', FleetWish>;
   #timer: NodeJS.Timeout | undefined;
   #stopped = new AbortController();
@@ -118,7 +118,7 @@
 
   async start(): Promise<void> {
     this.#stopped = new AbortController();
-    this.#standstills.begin(performance.now());
+    this.#standstills.reset(performance.now());
     this.#timer = setInterval(() => this.#tick(), REPORT_TICK);
     this.#tick();
   }
--- a/src/peers/slot-server.ts
+++ b/src/peers/slot-server.ts
@@ -1,5 +1,5 @@
 /** The agent's side of slots: answers entries by datagram, from the slot table of the engine beside it. */
-import { Standstills } from '../model/standstills.js';
+import { StallDetector } from '../model/standstills.js';
 import type { Startable } from '../model/startable.js';
 import type { Log } from '../observability/log.js';
 import type { ConnectionContext } from '../protocol/connection.js';
@@ -27,7 +27,7 @@
 export class SlotServer implements Startable {
   readonly #table = new SlotTable();
   readonly #holders = new SlotHolders(this.#table);
-  readonly #standstills = new Standstills(CHECK_INTERVAL, performance.now());
+  readonly #standstills = new StallDetector(CHECK_INTERVAL, performance.now());
   #timer: NodeJS.Timeout | undefined;
   /** Fires when the rate limit allows the next grant. */
   #grantTimer: NodeJS.Timeout | undefined;
@@ -60,7 +60,7 @@
 
   async start(): Promise<void> {
     await this.#endpoint.start();
-    this.#standstills.begin(performance.now());
+    this.#standstills.reset(performance.now());
     this.#timer = setInterval(() => this.#check(), CHECK_INTERVAL);
   }
 
--- a/test/model/stop-order.test.ts
+++ b/test/model/stop-signal.test.ts
@@ -1,25 +1,25 @@
 import { EventEmitter } from 'node:events';
 import { expect, it, vi } from 'vitest';
-import { StopOrder, startUntilOrdered } from '../../src/model/stop-order.js';
+import { StopSignal, startUntilStopSignal } from '../../src/model/stop-order.js';
 
 it('resolves with the first signal; later ones are caught without effect', async () => {
   const signals = new EventEmitter();
-  const order = new StopOrder(['SIGTERM', 'SIGINT'], signals);
+  const order = new StopSignal(['SIGTERM', 'SIGINT'], signals);
   expect(signals.emit('SIGTERM')).toBe(true);
-  const orderedAt = await order.given;
+  const orderedAt = await order.received;
   // `emit` returns whether there is a listener: a signal without one terminates a process.
   expect(signals.emit('SIGTERM')).toBe(true);
   expect(signals.emit('SIGINT')).toBe(true);
-  expect(await order.given).toBe(orderedAt);
+  expect(await order.received).toBe(orderedAt);
 });
 
 it('lets a start in progress finish', async () => {
   const signals = new EventEmitter();
-  const order = new StopOrder(['SIGTERM'], signals);
+  const order = new StopSignal(['SIGTERM'], signals);
   let endStart: () => void = () => {};
   const part = { start: () => new Promise<void>((resolve) => (endStart = resolve)) };
   let isOrdered = false;
-  const ordered = startUntilOrdered(part, order).then(() => {
+  const ordered = startUntilStopSignal(part, order).then(() => {
     isOrdered = true;
   });
   signals.emit('SIGTERM');
@@ -33,9 +33,9 @@
   vi.useFakeTimers();
   try {
     const signals = new EventEmitter();
-    const ordered = startUntilOrdered(
+    const ordered = startUntilStopSignal(
       { start: () => new Promise<void>(() => {}) },
-      new StopOrder(['SIGTERM'], signals),
+      new StopSignal(['SIGTERM'], signals),
     );
     signals.emit('SIGTERM');
     await vi.advanceTimersByTimeAsync(5_000);
@@ -46,7 +46,7 @@
 });
 
 it('does not hide a failed start', async () => {
-  const order = new StopOrder(['SIGTERM'], new EventEmitter());
+  const order = new StopSignal(['SIGTERM'], new EventEmitter());
   const part = { start: () => Promise.reject(new Error('address in use')) };
-  await expect(startUntilOrdered(part, order)).rejects.toThrow('address in use');
+  await expect(startUntilStopSignal(part, order)).rejects.toThrow('address in use');
 });
--- a/tools/guard-table.mjs
+++ b/tools/guard-table.mjs
@@ -718,9 +718,9 @@
   {
     fault: 'a process that stood still takes the others for dead',
     file: 'src/model/standstills.ts',
-    find: 'return now - since - stoodStill;',
+    find: 'return now - since - stalledTime;',
     replace: 'return now - since;',
-    test: 'test/model/standstills.test.ts test/peers/standstill.test.ts test/forwarding/standstill.test.ts',
+    test: 'test/model/stall-detector.test.ts test/peers/standstill.test.ts test/forwarding/standstill.test.ts',
   },
   {
     fault: 'an answer without a length that is reset passes for whole',
@@ -958,7 +958,7 @@
     file: 'src/model/stop-order.ts',
     find: 'source.on(',
     replace: '(source as NodeJS.Process).once(',
-    test: 'test/model/stop-order.test.ts',
+    test: 'test/model/stop-signal.test.ts',
   },
   {
     fault: 'an engine gets more requests than it has slots',
@@ -1068,7 +1068,7 @@
   {
     fault: 'a limit that passed in a standstill ends its call before what came is read',
     file: 'src/model/time-limit.ts',
-    find: 'if (!stoodStill) return onPassed();',
+    find: 'if (!wasStalled) return onPassed();',
     replace: 'return onPassed();',
     test: 'test/model/time-limit.test.ts',
   },
