--- a/tools/guard-table.mjs
+++ b/tools/guard-table.mjs
@@ -183,7 +183,7 @@
   {
     fault: 'a late answer of a former era of the store is believed',
     file: 'platform/store.ts',
-    find: "if (told < this.latest) return failure(unavailable('an answer of a former era'));",
+    find: "if (told < this.latest) return failure(unavailable('answer from an earlier era of the store'));",
     replace: '',
     test: 'test/platform/store-drill.test.ts',
   },
