--- a/test/platform/engine-start.test.ts
+++ b/test/platform/engine-start.test.ts
@@ -1,4 +1,4 @@
-/** The start that a worker tells in its report. */
+/** The start time in a worker's report. */
 import { createServer, type Server } from 'node:http';
 import type { AddressInfo } from 'node:net';
 import { afterEach, expect, it } from 'vitest';
@@ -17,19 +17,19 @@
   return engine.state(AbortSignal.timeout(5_000));
 }
 
-it('is its state’s', async () => {
+it('is part of the state', async () => {
   const report = { born: 1_796_266_800_123, seq: 2, models: [{ name: 'm', version: 1 }] };
   expect(await stateOf(report)).toMatchObject({ ok: true, value: { start: 1_796_266_800_123, sequence: 2 } });
 });
 
-it('is not known where it tells none', async () => {
+it('is unknown if the report has none', async () => {
   expect(await stateOf({ seq: 2 })).toMatchObject({ ok: true, value: { start: undefined, sequence: 2 } });
 });
 
-it.each([['1796266800123'], [0.5], [null], [{}]])('makes a report of no use as %j', async (born) => {
+it.each([['1796266800123'], [0.5], [null], [{}]])('invalidates the report if it is %j', async (born) => {
   expect(await stateOf({ seq: 2, born })).toMatchObject({
     ok: false,
-    // The schema of reports says what is wrong with which field.
+    // The schema names the field and its fault.
     error: { reason: expect.stringMatching(/^born: ./) },
   });
 });
--- a/test/platform/foreign-answers.test.ts
+++ b/test/platform/foreign-answers.test.ts
@@ -1,4 +1,4 @@
-/** Answers of the store, of workers and of the origin that are none: they are errors, and nothing is thrown. */
+/** Invalid answers of the store, workers and the origin are returned as errors; nothing is thrown. */
 import { createServer, type Server } from 'node:http';
 import type { AddressInfo } from 'node:net';
 import { afterEach, beforeEach, describe, expect, it } from 'vitest';
@@ -25,7 +25,7 @@
 
 const NO_OBJECTS = ['', 'null', '4', '[]', '"text"', '{"rows":'];
 
-describe('an answer of the store that is none', () => {
+describe('an invalid answer of the store', () => {
   const row = { table: 't', part: '', private_key: 'k', value: 'YQ==', ver: 3 };
   const answers = [
     ...NO_OBJECTS,
@@ -64,7 +64,7 @@
   }
 });
 
-describe('a report of a worker that is none', () => {
+describe('an invalid report of a worker', () => {
   const answers = [
     ...NO_OBJECTS,
     '{"models":"m"}',
@@ -79,14 +79,14 @@
     '{"born":"1764730000000"}',
   ];
   for (const answer of answers) {
-    it(`is no state: ${answer}`, async () => {
+    it(`is an error: ${answer}`, async () => {
       body = answer;
       const state = await platformEngine(address).state(signal());
       expect(state).toMatchObject({ ok: false, error: { type: 'engineUnreachable' } });
     });
   }
 
-  it('holds with fields that are new, and with layers that are null', async () => {
+  it('may have unknown fields, and null for layers', async () => {
     body =
       '{"models":[],"layers":null,"busy":true,"seq":1,"queued":0,"active":2,"pace":1,"stalled":[],"new":{}}';
     expect(await platformEngine(address).state(signal())).toMatchObject({
@@ -96,7 +96,7 @@
   });
 });
 
-describe('a manifest of the origin that is none', () => {
+describe('an invalid manifest of the origin', () => {
   const answers = [
     ...NO_OBJECTS,
     '{}',
--- a/test/platform/foreign-rows.test.ts
+++ b/test/platform/foreign-rows.test.ts
@@ -1,4 +1,4 @@
-/** Rows of the store that another writer has put there, or that turn bad: what they say is not believed. */
+/** Invalid rows in the store, written by another writer or by a faulty one: they are rejected and reported. */
 import { afterEach, beforeEach, describe, expect, it } from 'vitest';
 import { MemoryStore } from '../../emulator/store/memory-store.js';
 import { platformRecords } from '../../platform/records.js';
@@ -9,7 +9,7 @@
 import { until } from '../support.js';
 import { configurationDocument, workerRow } from './wire-rows.js';
 
-/** One line of the log. */
+/** One log line. */
 interface Line {
   message: string;
   fields: Record<string, unknown>;
@@ -49,7 +49,7 @@
 
 afterEach(() => sync.stop());
 
-describe('a row of a back end that says what none can say', () => {
+describe('an invalid row of a back end', () => {
   const faults: Record<string, object> = {
     'no service': { service: undefined },
     'a service that is a number': { service: 7 },
@@ -85,7 +85,7 @@
 
   const unreadable = ['', '{', 'null', '4', '[]', '"ready"', '{"service":'];
 
-  it('names none, is told of once, and harms no other', async () => {
+  it('is rejected and reported once, without effect on other rows', async () => {
     for (const [name, change] of Object.entries(faults)) writeWorker(name, change);
     for (const text of unreadable) store.write('servers', `as ${text}`, text);
     await settled();
@@ -101,8 +101,8 @@
   });
 });
 
-describe('bytes that are no text', () => {
-  it('name no back end', async () => {
+describe('bytes that are not UTF-8', () => {
+  it('are rejected as a back end', async () => {
     const bytes = Buffer.from(JSON.stringify(workerRow({ service: 'engines-x' })), 'latin1');
     bytes[bytes.indexOf('engines-x') + 8] = 0xff;
     const row = { table: 'servers', partition: '', key: 'bad', value: bytes, revision: 1 };
@@ -113,7 +113,7 @@
   });
 });
 
-describe('a row of a back end that the pages allow', () => {
+describe('a row of a back end that the platform allows', () => {
   const sound: Record<string, object> = {
     'fields that are new': { colour: 'green', deep: { er: [null] } },
     'no layers': { layers: undefined },
@@ -124,7 +124,7 @@
     'a start': { born: 1_764_730_000_000 },
   };
 
-  it('names one, and is not told of', async () => {
+  it('is accepted and not reported', async () => {
     for (const [name, change] of Object.entries(sound)) writeWorker(name, change);
     await settled();
     expect(ids()).toEqual(['good', ...Object.keys(sound)].sort());
@@ -132,8 +132,8 @@
   });
 });
 
-describe('a back end whose row turns bad', () => {
-  it('is left out until the row is good again, told of once', async () => {
+describe('a back end whose row becomes invalid', () => {
+  it('is removed until the row is valid again, and reported once per fault', async () => {
     for (const seq of [2, 3, 4]) {
       writeWorker('good', { slots: 'many', seq });
       await settled();
@@ -151,7 +151,7 @@
     expect(linesAbout('good')).toHaveLength(2);
   });
 
-  it('is left out at once also after the store was away', async () => {
+  it('is removed at once even after an outage of the store', async () => {
     store.faults.down = true;
     await new Promise((resolve) => setTimeout(resolve, 1_200));
     writeWorker('good', { address: 4 });
@@ -162,7 +162,7 @@
   });
 });
 
-describe('a bad row of the operator', () => {
+describe('an invalid row of the operator', () => {
   const configurations: Record<string, string> = {
     'cut off': JSON.stringify(configurationDocument({ version: 9 })).slice(0, 100),
     null: 'null',
@@ -176,7 +176,7 @@
   };
 
   for (const [name, text] of Object.entries(configurations)) {
-    it(`replaces no configuration: ${name}`, async () => {
+    it(`does not replace the configuration: ${name}`, async () => {
       const { document } = fleet;
       store.write('op', 'config', text);
       await until(() => linesAbout('config').length > 0, 'the line about it');
@@ -207,8 +207,8 @@
   });
 });
 
-describe('a good configuration with entries that cannot be used', () => {
-  it('holds but for these', async () => {
+describe('a valid configuration with invalid entries', () => {
+  it('is applied without these entries', async () => {
     const whole = configurationDocument();
     const [route] = whole.routes;
     const [engines] = whole.services;
@@ -257,7 +257,7 @@
     expect(linesAbout('config')).toHaveLength(badRoutes.length + 6 + 1 + 2 + 2);
   });
 
-  it('bounds times that no timer can wait for', async () => {
+  it('limits times that are too long for a timer', async () => {
     const whole = configurationDocument({ version: 8 });
     const routes = [{ ...whole.routes[0], timeout_ms: 1e12, slo_ms: 1e12, gap_target_ms: 1e12 }];
     const limits = { header_timeout_ms: 1e12, idle_timeout_ms: 1e12 };
@@ -265,7 +265,7 @@
     await until(() => fleet.configurationRevision === 8, 'the configuration');
     const { configuration } = fleet.routes!;
     const [{ timeout, patience }] = configuration.routes;
-    // A longer wait would end at once.
+    // A longer timer would fire at once.
     const longest = 2_147_483_647;
     expect(timeout).toBeLessThanOrEqual(longest);
     expect(patience).toBeLessThanOrEqual(longest);
--- a/test/platform/launcher.test.ts
+++ b/test/platform/launcher.test.ts
@@ -1,4 +1,4 @@
-/** The launcher of the bundle: with compiled code, without, and with code that does not fit. */
+/** The launcher of the bundle, without compiled code, with it, and with compiled code that is invalid. */
 import { execFileSync } from 'node:child_process';
 import { copyFileSync, existsSync, mkdtempSync, rmSync, writeFileSync } from 'node:fs';
 import { tmpdir } from 'node:os';
@@ -23,13 +23,13 @@
   expect(launch('entry')).toBe('entry');
 });
 
-it('loads a role, lays its compiled code down and starts with it', () => {
+it('loads a role, stores its compiled code and starts with it', () => {
   expect(launch('load', 'entry')).toBe('load entry');
   expect(existsSync(join(folder, 'entry.compiled'))).toBe(true);
   expect(launch('entry')).toBe('entry');
 });
 
-it('passes compiled code over that does not fit', () => {
+it('ignores invalid compiled code', () => {
   writeFileSync(join(folder, 'entry.compiled'), 'not compiled code');
   expect(launch('entry')).toBe('entry');
 });
--- a/test/platform/origin.test.ts
+++ b/test/platform/origin.test.ts
@@ -1,4 +1,4 @@
-/** The platform's origin of weights accepts few connections of all processes together. */
+/** The platform's origin of weights accepts few connections from all processes together. */
 import { createServer, type Server } from 'node:http';
 import type { AddressInfo } from 'node:net';
 import { afterEach, expect, it } from 'vitest';
@@ -14,7 +14,7 @@
   server?.close();
 });
 
-it('a client of the origin keeps no connection there', async () => {
+it('a client of the origin keeps no connection open', async () => {
   const told: Array<string | undefined> = [];
   server = createServer((request, response) => {
     told.push(request.headers.connection);
--- a/test/platform/records-generated.test.ts
+++ b/test/platform/records-generated.test.ts
@@ -1,4 +1,4 @@
-/** Records that chance makes: no exception, no number that is none, and good rows are never harmed by bad ones. */
+/** Generated records: decoding never throws, decoded values are within bounds, and invalid rows do not affect valid ones. */
 import fc from 'fast-check';
 import { describe, expect, it } from 'vitest';
 import { platformRecords } from '../../platform/records.js';
@@ -20,20 +20,20 @@
 });
 const bytesOf = (value: unknown) => Buffer.from(JSON.stringify(value) ?? '');
 
-/** Values that a field may have by mistake. */
+/** Values that a field may contain by mistake. */
 const oddValue = fc.oneof(
   fc.jsonValue(),
   fc.constantFrom(null, -1, 0, 0.5, 1e15, 1e300, '', '16', 'NaN', [], {}, [null], true),
   fc.string({ maxLength: 40 }),
 );
 
-/** Paths to all that lies in a document. */
+/** Paths to all values in a document. */
 function pathsOf(value: unknown, path: string[] = []): string[][] {
   if (value === null || typeof value !== 'object') return [path];
   return [path, ...Object.entries(value).flatMap(([key, inner]) => pathsOf(inner, [...path, key]))];
 }
 
-/** A copy of `value` with another value at `path`, or without it where `odd` is undefined. */
+/** A copy of `value` with `odd` at `path`, or without that field if `odd` is undefined. */
 function changedAt(value: unknown, path: readonly string[], odd: unknown): unknown {
   const [key, ...rest] = path;
   if (key === undefined) return odd;
@@ -43,7 +43,7 @@
   return copy;
 }
 
-/** A document in which some of its parts are replaced or left out. */
+/** A document of which some values are replaced or removed. */
 function mutated(document: object): fc.Arbitrary<unknown> {
   const change = fc.tuple(fc.constantFrom(...pathsOf(document)), fc.option(oddValue, { nil: undefined }));
   return fc
@@ -51,7 +51,7 @@
     .map((changes) => changes.reduce<unknown>((whole, [path, odd]) => changedAt(whole, path, odd), document));
 }
 
-/** Bytes: any, those of a document in which some were changed, or its beginning. */
+/** Random bytes, a document with some bytes changed, or a truncated document. */
 function mutatedBytes(document: object): fc.Arbitrary<Buffer> {
   const whole = bytesOf(document);
   const change = fc.tuple(fc.nat(whole.length - 1), fc.nat(255));
@@ -81,7 +81,7 @@
   expect(value).toBeLessThanOrEqual(LONGEST_TIMER);
 }
 
-/** Fails where a record holds what no back end can have. */
+/** Fails if a record contains a value that is impossible for a back end. */
 function expectSound(record: BackEndRecord): void {
   for (const text of [record.service, record.zone]) expect(text).toMatch(/./s);
   expect(record.address).toMatch(/^[^\s:/]+:[0-9]{1,5}$/);
@@ -94,7 +94,7 @@
   expectWholeNumber(record.layers.version, 0);
 }
 
-/** Fails where a configuration holds what cannot be worked with. */
+/** Fails if a configuration contains an unusable value. */
 function expectUsable(configuration: FleetConfiguration): void {
   const { headerBytes, bodyBytes, headerTimeout, idleTimeout } = configuration.limits;
   for (const bytes of [headerBytes, bodyBytes]) expect(bytes).toBeGreaterThan(0);
@@ -120,14 +120,14 @@
   expect(Number.isNaN(table.rankOf(1))).toBe(false);
 }
 
-/** Fails where a fault tells more than a line. */
+/** Fails if a fault is too long for a log line. */
 function expectTold({ kind, reason }: { kind: string; reason: string }): void {
   expect(['unreadable', 'missing', 'type', 'value']).toContain(kind);
   expect(reason.length).toBeLessThanOrEqual(200);
 }
 
-describe('what chance writes', () => {
-  it('as a row of a back end is sound or names none', () => {
+describe('generated input', () => {
+  it('is decoded to a valid back end or rejected', () => {
     fc.assert(
       fc.property(anyBytesOf(workerRow({ born: 1_764_730_000_000 })), (bytes) => {
         const read = platformRecords.backEnd(row('i', bytes));
@@ -138,7 +138,7 @@
     );
   });
 
-  it('as a configuration is usable or none', () => {
+  it('is decoded to a usable configuration or rejected', () => {
     fc.assert(
       fc.property(anyBytesOf(configurationDocument()), (bytes) => {
         const read = platformRecords.configuration(bytes);
@@ -150,7 +150,7 @@
     );
   });
 
-  it('as a named version is one or none', () => {
+  it('is decoded to a valid named version or rejected', () => {
     fc.assert(
       fc.property(anyBytesOf({ model: 'm', version: 2 }), (bytes) => {
         const read = platformRecords.operatorRecord({ ...row('version/m', bytes), table: 'op' });
@@ -163,7 +163,7 @@
     );
   });
 
-  it('harms no good row beside it', () => {
+  it('does not affect valid rows beside it', () => {
     fc.assert(
       fc.property(fc.array(anyBytesOf(workerRow()), { maxLength: 8 }), (bad) => {
         const rows = bad.flatMap((bytes, index) => [
@@ -184,7 +184,7 @@
     );
   });
 
-  it('in fields that are new changes nothing', () => {
+  it('is ignored in unknown fields', () => {
     const known = new Set(Object.keys(workerRow({ born: 0 })));
     const news = fc.dictionary(
       fc.string({ maxLength: 12 }).filter((name) => !known.has(name) && name !== '__proto__'),
--- a/test/platform/records.test.ts
+++ b/test/platform/records.test.ts
@@ -1,4 +1,4 @@
-/** What the operator and the workers write, as the product reads it. */
+/** Decoding of the records that the operator and the workers write. */
 import { describe, expect, it } from 'vitest';
 import { heldLayers, platformRecords } from '../../platform/records.js';
 import { agentSettings, entrySettings, parseSettings } from '../../platform/settings.js';
@@ -59,8 +59,8 @@
   revision,
 });
 
-describe('records of the users', () => {
-  it('give a configuration', () => {
+describe('documents of the platform', () => {
+  it('are decoded to a configuration', () => {
     const record = platformRecords.operatorRecord(row('config', CONFIGURATION));
     expect(record).toMatchObject({
       ok: true,
@@ -88,7 +88,7 @@
     });
   });
 
-  it('give a named version, nothing for a deleted row and a fault for an unreadable one', () => {
+  it('are decoded to a named version; a deleted row is ignored and an unreadable one is a fault', () => {
     const named = platformRecords.operatorRecord(row('version/m', { model: 'm', version: 2 }));
     expect(named).toEqual({ ok: true, value: { type: 'namedVersion', model: 'm', version: 2 } });
     expect(platformRecords.operatorRecord({ ...row('config', {}), value: undefined })).toBeUndefined();
@@ -98,7 +98,7 @@
     });
   });
 
-  it('give a back end with the layers that it holds', () => {
+  it('are decoded to a back end with the layers that it holds', () => {
     const server = workerRow({ slots: 4, state: 'draining' });
     const layers = { from: 0, target_version: 16, version: 2 };
     expect(platformRecords.backEnd(row('i-1', { ...server, layers }))).toMatchObject({
@@ -108,7 +108,7 @@
     expect(heldLayers({ from: 0, target_version: 0, version: 0 })).toBeUndefined();
   });
 
-  it('give the start of a back end; one that is no whole number makes its entry of no use', () => {
+  it('are decoded to the start of a back end; a record whose start is not an integer is rejected', () => {
     const server = workerRow();
     const entryWith = (born: unknown) => platformRecords.backEnd(row('i-1', { ...server, born }));
     const start = 1_796_266_800_123;
@@ -121,7 +121,7 @@
       expect(entryWith(born)).toMatchObject({ ok: false });
   });
 
-  it('give settings of both roles', () => {
+  it('are converted to settings of both roles', () => {
     const document = {
       node_name: 'n',
       machine_class: 'front',
--- a/test/platform/silent-engine.test.ts
+++ b/test/platform/silent-engine.test.ts
@@ -1,11 +1,11 @@
-/** A connection to the worker of this machine that goes silent for good, without a reset, while new ones work. */
+/** Established connections to the local worker that go silent without a reset, while new ones work. */
 import { createServer } from 'node:http';
 import type { AddressInfo } from 'node:net';
 import { expect, it } from 'vitest';
 import { platformEngine } from '../../platform/engine.js';
 import { SilentProxy } from '../silent-proxy.js';
 
-it('costs one call to the worker', async () => {
+it('cost only one call to the worker', async () => {
   const server = createServer((_request, response) => response.end('{"seq":3}'));
   await new Promise<void>((resolve) => server.listen(0, '127.0.0.1', resolve));
   const proxy = await new SilentProxy(`127.0.0.1:${(server.address() as AddressInfo).port}`).start();
--- a/test/platform/silent-store.test.ts
+++ b/test/platform/silent-store.test.ts
@@ -1,4 +1,4 @@
-/** Connections to the store that go silent for good, without a reset, while new ones work. */
+/** Established connections to the store that go silent without a reset, while new ones work. */
 import { afterEach, beforeEach, describe, expect, it } from 'vitest';
 import { MemoryStore } from '../../emulator/store/memory-store.js';
 import { platformTables } from '../../platform/store.js';
@@ -12,8 +12,8 @@
 import { wireStore } from './wire-store.js';
 
 /**
- * What changes in the store must be known this long after the connections went silent, in milliseconds: processes count as
- * in touch again 3 s after it.
+ * Changes in the store must be known this long after the connections went silent, in milliseconds: processes count as connected
+ * again 3 s after it.
  */
 const KNOWN_WITHIN = 2_800;
 
@@ -36,8 +36,8 @@
   stopStore();
 });
 
-describe('calls to the store', () => {
-  it('go over a new connection once one had no answer in its time', async () => {
+describe('a call to the store', () => {
+  it('uses a new connection after one timed out', async () => {
     const tables = platformTables(proxy.address);
     const read = (limit: number) => tables.read('operator', '', AbortSignal.timeout(limit));
     const first = await Promise.all(Array.from({ length: 5 }, () => read(2_000)));
@@ -49,7 +49,7 @@
   });
 });
 
-describe('a process that follows the store', () => {
+describe('StoreSync', () => {
   let fleet: FleetView;
   let sync: StoreSync;
 
@@ -65,7 +65,7 @@
     });
     await sync.start();
     await until(() => fleet.complete, 'the first reading');
-    // Both tables are waited for.
+    // Wait until calls for changes of both tables are pending.
     await new Promise((resolve) => setTimeout(resolve, 700));
   });
 
@@ -78,13 +78,13 @@
     return performance.now() - since;
   }
 
-  it('learns in time of a configuration', async () => {
+  it('receives a configuration in time', async () => {
     proxy.silence();
     store.write('operator', 'configuration', '2');
     expect(await timeUntil(() => fleet.configurationRevision === 2, 'it')).toBeLessThan(KNOWN_WITHIN);
   });
 
-  it('learns in time of a back end that leaves, and of one that is gone', async () => {
+  it('receives a leaving and a removed back end in time', async () => {
     proxy.silence();
     store.write('backEnds', 'one', 'leaving');
     store.write('backEnds', 'two', undefined);
--- a/test/platform/slow-store.test.ts
+++ b/test/platform/slow-store.test.ts
@@ -1,4 +1,4 @@
-/** Guards against giving a slow answer of the store up in the middle, and against asking for it from several processes. */
+/** A slow answer of the store must not be aborted midway, nor requested by several processes. */
 import { type AddressInfo, connect, createServer, type Server, type Socket } from 'node:net';
 import { afterEach, beforeEach, expect, it } from 'vitest';
 import { MemoryStore } from '../../emulator/store/memory-store.js';
@@ -11,15 +11,15 @@
 import { until } from '../support.js';
 import { wireStore } from './wire-store.js';
 
-/** The link passes on this many bytes each so many milliseconds. */
+/** The link transfers this many bytes per interval in milliseconds. */
 const PART = 5_000;
 const PART_INTERVAL = 50;
-/** A configuration that takes 2.7 s over the link as it is encoded there, longer than a call may go without any part. */
+/** A configuration that takes 2.7 s over the link as encoded there; longer than a call may wait for the next part. */
 const CONFIGURATION_BYTES = 200_000;
-/** Others read themselves after 1.3 s without news, so they must hear this often while the answer comes. */
+/** Others read the store themselves after 1.3 s without an update, so at least this many must be sent during the answer. */
 const LEAST_NEWS = 2;
 
-/** A link of a low rate in front of a server. */
+/** A slow link in front of a server. */
 class SlowLink {
   readonly #open = new Set<Socket>();
   readonly #server: Server;
@@ -66,7 +66,7 @@
 let stopStore: () => void;
 let fleet: FleetView;
 let sync: StoreSync;
-/** How often this process told others of what it reads. */
+/** Number of updates that this process has forwarded to others. */
 let newsCount: number;
 
 beforeEach(async () => {
@@ -97,22 +97,22 @@
 
 const configurationOf = (revision: number) => String(revision).padStart(CONFIGURATION_BYTES, '0');
 
-it('a table that takes long to come is read once, to its end', async () => {
+it('a table that takes long to transfer is read once, to its end', async () => {
   store.write('operator', 'configuration', configurationOf(7));
   await sync.start();
   await until(() => fleet.configurationRevision === 7, 'the configuration');
-  // Both tables are read whole.
+  // One read for each of the two tables.
   expect(store.calls.read).toBe(2);
 });
 
-it('a change that takes long to come is read once, and others hear meanwhile that it is', async () => {
+it('a change that takes long to transfer is read once, and other processes get updates meanwhile', async () => {
   store.write('operator', 'configuration', '1');
   await sync.start();
   await until(() => newsCount > 0, 'the first news');
   store.write('operator', 'configuration', configurationOf(7));
   newsCount = 0;
   await until(() => fleet.configurationRevision === 7, 'the configuration');
-  // The last news tell of the configuration itself.
+  // The last update contains the configuration itself.
   expect(newsCount - 1).toBeGreaterThanOrEqual(LEAST_NEWS);
   expect(store.calls.read).toBe(2);
 });
--- a/test/platform/store-drill.test.ts
+++ b/test/platform/store-drill.test.ts
@@ -1,8 +1,8 @@
 /**
- * A store that comes back from an older copy of itself. Its versions go back and are given out again, and what was read before
- * was kept and compared by versions alone: a back end that joined at version 58 after 100 had been read was not heard of within
- * 15 s, nor was one that said at 62 that it left, for as long as the versions lay below those that were known. Where they had
- * risen past these before the next call, there was no 410 either: the header that counts the eras alone tells.
+ * A store restored from an older copy: its versions go back and are assigned again. Rows used to be compared by version alone, so
+ * a back end that joined at version 58 after version 100 had been read was not seen within 15 s, and one that set itself to leaving
+ * at version 62 was not seen until the versions exceeded the known ones. If they had exceeded these before the next call, there
+ * was no 410 answer either; only the era in the header reveals the restore.
  */
 import { afterEach, beforeEach, describe, expect, it } from 'vitest';
 import { MemoryStore, type StoreCopy } from '../../emulator/store/memory-store.js';
@@ -17,9 +17,9 @@
 import { until } from '../support.js';
 import { type EraTold, wireStore } from './wire-store.js';
 
-/** All that has changed is known this long after the store is back, in milliseconds, with the time for which removals wait. */
+/** All changes must be known this long after the store is back, in milliseconds; includes the hold time of removals. */
 const FOLLOWED_WITHIN = 3_000;
-/** Heartbeats that were written before the drill, so that versions go back by more than is written after it. */
+/** Number of heartbeats before the restore, so that versions go back by more than are written after it. */
 const HEARTBEATS = 60;
 
 let store: MemoryStore;
@@ -27,7 +27,7 @@
 let fleet: FleetView;
 let sync: StoreSync;
 let stopStore: () => void;
-/** What the back end `two` writes at each heartbeat. */
+/** The record that the back end `two` writes at each heartbeat. */
 let two: string;
 
 async function start(eraTold?: EraTold): Promise<void> {
@@ -60,18 +60,18 @@
 const ids = () => [...fleet.backEnds.records.keys()].sort();
 const isKnown = () => fleet.backEnds.revision === store.revision;
 
-/** Back ends write themselves again and again. */
+/** Writes heartbeats of the back end `two`. */
 async function beat(times = HEARTBEATS): Promise<void> {
   for (let beats = 0; beats < times; beats++) store.write('backEnds', 'two', two);
   await until(isKnown, 'the heartbeats');
 }
 
 /**
- * The store is away for a moment and comes back as it was at `copy`; what is written then, and `versions` after it, come before
+ * Makes the store unavailable for a moment and restores it from `copy`; `write` and then `versions` other writes are made before
  * it answers again.
  */
 async function comeBack(copy: StoreCopy, versions = 0, write = () => {}): Promise<number> {
-  // The answer is fresh, so that this is too short for what lapses in an outage.
+  // The latest answer is recent, so that the interruption is too short for records to expire.
   await beat(1);
   store.faults.down = true;
   await until(() => !sync.connected, 'the loss');
@@ -88,10 +88,10 @@
 }
 
 describe.each([
-  { what: 'whose versions lie below those that were read', versions: 0 },
-  { what: 'whose versions have risen past those that were read', versions: 2 * HEARTBEATS },
-])('a store that comes back from an older copy, $what', ({ versions }) => {
-  it('is followed: who joins then is heard of, and who leaves', async () => {
+  { what: 'with versions below those that were read', versions: 0 },
+  { what: 'with versions beyond those that were read', versions: 2 * HEARTBEATS },
+])('a store restored from an older copy, $what', ({ versions }) => {
+  it('is followed: back ends that join or leave afterwards are seen', async () => {
     const copy = store.copy();
     await beat();
     const since = await comeBack(copy, versions, () => {
@@ -102,7 +102,7 @@
     await expectSoon(since, () => fleet.backEnds.records.get('one')?.leaving === true, 'the one that leaves');
   });
 
-  it('does not bring back a back end that had gone, nor make one serve on that was leaving', async () => {
+  it('does not restore a removed back end, nor make a leaving one serve again', async () => {
     const copy = store.copy();
     store.write('backEnds', 'one', undefined);
     two = 'leaving 200';
@@ -122,7 +122,7 @@
     expect(seen).toEqual([]);
   });
 
-  it('keeps one that joined in what was lost, until it has written itself again or has not', async () => {
+  it('keeps back ends that joined after the copy until they write their records again or the hold time ends', async () => {
     const copy = store.copy();
     store.write('backEnds', 'three', 'ready 300');
     store.write('backEnds', 'four', 'ready 400');
@@ -134,7 +134,7 @@
     await until(() => ids().join() === 'one,three,two', 'the end of the one that is still missing');
   });
 
-  it('takes no configuration and no version back, nor dates a version anew that is named again', async () => {
+  it('reverts neither the configuration nor a version, and keeps the date of a version that is named again', async () => {
     const copy = store.copy();
     store.write('operator', 'configuration', '5');
     store.write('operator', 'model', '2');
@@ -151,10 +151,10 @@
   });
 });
 
-describe('a place in the history of such a store', () => {
+describe('a revision from before the restore', () => {
   const never = AbortSignal.timeout(60_000);
 
-  it('is no place of the next era: the changes after it are forgotten', async () => {
+  it('has no history of changes in the next era', async () => {
     const copy = store.copy();
     await beat();
     const before = await tables.read('backEnds', '', never);
@@ -167,7 +167,7 @@
     });
   });
 
-  it('is no condition that can hold, though its version has been given out again', async () => {
+  it('fails as a condition even if its version number was assigned again', async () => {
     const row = { table: 'own', partition: '', key: 'lease' };
     const copy = store.copy();
     const written = await tables.transact([], [{ ...row, value: Buffer.from('mine') }], never);
@@ -186,7 +186,7 @@
 });
 
 describe('an answer', () => {
-  it('of a former era is an error', async () => {
+  it('from an earlier era is an error', async () => {
     let told = 7;
     await sync.stop();
     stopStore();
@@ -197,7 +197,7 @@
     expect((await read()).ok).toBe(false);
   });
 
-  it('of a former era that comes late changes nothing', async () => {
+  it('from an earlier era that arrives late changes nothing', async () => {
     let told: number | undefined = 7;
     await sync.stop();
     stopStore();
@@ -211,14 +211,17 @@
     await until(() => ids().length === 3, 'the answer of the present one');
   });
 
-  it.each([undefined, '', 'second', -1, 1.5])('with the era %j is one of the latest', async (unreadable) => {
-    let told: number | string | undefined = 7;
-    await sync.stop();
-    stopStore();
-    await start(() => told);
-    told = unreadable;
-    store.write('backEnds', 'three', 'ready 300');
-    await until(() => ids().length === 3, 'the news');
-    expect(eraOf(fleet.backEnds.revision)).toBe(7);
-  });
+  it.each([undefined, '', 'second', -1, 1.5])(
+    'with the era %j is attributed to the latest era',
+    async (unreadable) => {
+      let told: number | string | undefined = 7;
+      await sync.stop();
+      stopStore();
+      await start(() => told);
+      told = unreadable;
+      store.write('backEnds', 'three', 'ready 300');
+      await until(() => ids().length === 3, 'the news');
+      expect(eraOf(fleet.backEnds.revision)).toBe(7);
+    },
+  );
 });
--- a/test/platform/wire-rows.ts
+++ b/test/platform/wire-rows.ts
@@ -1,6 +1,6 @@
 /** Rows as the operator and the workers write them, for tests. */
 
-/** What a worker of the service `engines` keeps in the store; `change` goes over it. */
+/** The record of a worker of the service `engines`; fields of `change` replace its own. */
 export function workerRow(change: object = {}): object {
   return {
     service: 'engines',
@@ -18,7 +18,7 @@
   };
 }
 
-/** A configuration of two routes and three services; `change` goes over it. */
+/** A configuration with two routes and three services; fields of `change` replace its own. */
 export function configurationDocument(change: object = {}) {
   return {
     version: 7,
--- a/test/platform/wire-store.ts
+++ b/test/platform/wire-store.ts
@@ -1,14 +1,14 @@
-/** The wire of the users' store before the product's stand-in: a server that speaks as their pages have it. */
+/** A server that exposes an in-memory store through the platform's HTTP interface. */
 import { createServer, type IncomingMessage, type ServerResponse } from 'node:http';
 import type { AddressInfo } from 'node:net';
 import type { MemoryStore } from '../../emulator/store/memory-store.js';
 import { storeRevision, versionOf } from '../../src/clients/store-revision.js';
 import type { StoredRow } from '../../src/clients/watched-tables.js';
 
-/** What the server tells of the store's era; undefined for nothing. */
+/** The value of the era header; undefined to omit it. */
 export type EraTold = (era: number) => number | string | undefined;
 
-/** Starts the server; returns its address and its end. */
+/** Starts the server; returns its address and a function to stop it. */
 export async function wireStore(
   behind: MemoryStore,
   eraTold: EraTold = (era) => era,
