--- a/src/forwarding/back-end-search.ts
+++ b/src/forwarding/back-end-search.ts
@@ -3,7 +3,7 @@
  * request until capacity that is expected soon is there. A request that cannot be served in its time is given up at once.
  */
 import type { Random } from '../model/random.js';
-import type { Standstills } from '../model/standstills.js';
+import type { StallDetector } from '../model/standstills.js';
 import type { BackEndLimits } from './back-end-limits.js';
 import type { BackEndSelector, Requirements, Selection } from './back-end-selector.js';
 import type { BackEndRow, BackEndTable } from './back-end-table.js';
@@ -91,7 +91,7 @@
   }
 
   /** Tries again; called periodically while the search is under way. */
-  check(now: number, standstills: Standstills): void {
+  check(now: number, standstills: StallDetector): void {
     if (this.#claiming !== undefined) return;
     if (this.#seeker === undefined) return this.begin();
     if (!this.#request.canComplete()) return this.#events.onOutOfTime();
--- a/src/forwarding/slot-seeker.ts
+++ b/src/forwarding/slot-seeker.ts
@@ -3,7 +3,7 @@
  * granted.
  */
 import type { Random } from '../model/random.js';
-import type { Standstills } from '../model/standstills.js';
+import type { StallDetector } from '../model/standstills.js';
 import type { SlotCandidate } from '../systems/slot-search.js';
 import { SlotSearch } from '../systems/slot-search.js';
 import type { BackEndRow, BackEndTable } from './back-end-table.js';
@@ -61,7 +61,7 @@
   }
 
   /** Asks other agents in place of those that do not respond or have refused; called by the shared tick. */
-  check(now: number, standstills: Standstills): void {
+  check(now: number, standstills: StallDetector): void {
     for (const id of this.#search.silent((since) => standstills.runningTime(since, now))) {
       this.#options.table.rows.get(id)?.agent?.noteUnanswered(now);
       this.#release(id);
--- a/src/peers/slot-server.ts
+++ b/src/peers/slot-server.ts
@@ -2,7 +2,7 @@
  * The agent's side of the slot protocol: answers entries by datagram, from the slot table of the engine next
  * to it.
  */
-import { Standstills } from '../model/standstills.js';
+import { StallDetector } from '../model/standstills.js';
 import type { Startable } from '../model/startable.js';
 import type { Log } from '../observability/log.js';
 import type { ConnectionContext } from '../protocol/connection.js';
@@ -33,7 +33,7 @@
 export class SlotServer implements Startable {
   readonly #table = new SlotTable();
   readonly #holders = new SlotHolders(this.#table);
-  readonly #standstills = new Standstills(CHECK_INTERVAL, performance.now());
+  readonly #standstills = new StallDetector(CHECK_INTERVAL, performance.now());
   #timer: NodeJS.Timeout | undefined;
   /** Fires when the rate limit allows the next grant. */
   #grantTimer: NodeJS.Timeout | undefined;
@@ -66,7 +66,7 @@
 
   async start(): Promise<void> {
     await this.#endpoint.start();
-    this.#standstills.begin(performance.now());
+    this.#standstills.reset(performance.now());
     this.#timer = setInterval(() => this.#checkHolders(), CHECK_INTERVAL);
   }
 
