--- a/src/systems/distribution/coordinator-tables.ts
+++ b/src/systems/distribution/coordinator-tables.ts
@@ -1,4 +1,4 @@
-/** The tables of a burst's coordinator. */
+/** State of a burst's coordinator. */
 import type { ChunkSet } from '../../model/chunk-set.js';
 import type { ChunkSource, PeerId, PeerInfo } from './transfer.js';
 
--- a/src/systems/distribution/node.ts
+++ b/src/systems/distribution/node.ts
@@ -4,10 +4,10 @@
  *
  * @example
  * ```ts
- * const node = new DistributionNode({ place, limits, random });
+ * const node = new DistributionNode({ limits, random });
  * node.startTransfer({ version, chunkCount: 256, priority: 0, allowedPlaces }, now);
  * node.addNeighbour(version, peerInfo);
- * for (const command of node.tick(now)) carryOut(command);
+ * for (const command of node.tick(now)) execute(command);
  * ```
  */
 import { ChunkSet } from '../../model/chunk-set.js';
--- a/src/systems/origin-draw.ts
+++ b/src/systems/origin-draw.ts
@@ -4,13 +4,13 @@
  *
  * It handles an origin that becomes unavailable before the first copy is complete. The origin's link carries one copy in
  * about three seconds. All entries that take over would fetch then, and again when the origin returns: in a run with 12
- * entries, 101 pieces were fetched after the return although 23 were missing, and 11 more were cancelled in transit (trace
+ * entries, 101 pieces were fetched after the return although 23 were missing, and 11 more were abandoned in transit (trace
  * of all pieces, one run), 2.9 copies in all. Therefore a piece in transit to any entry is left to that entry, and only the
  * first entry in the order fetches several pieces at a time. Pure; times are in milliseconds.
  */
 import { rendezvousOrder } from '../model/random.js';
 
-/** The next entry in the order takes over when no piece has arrived for this long; this applies to the first three. */
+/** The next entry in the order takes over when no piece has arrived for this long; applies to the first three takeovers. */
 const TAKEOVER_DELAY = 300;
 export const QUICK_TAKEOVERS = 3;
 /** Each further entry waits this much longer. */
@@ -43,8 +43,8 @@
 
 /**
  * The order in which entries fetch the version `key`: by bandwidth, in classes of a factor of two, and by rendezvous hash
- * within a class. The first entry of a zone forwards pieces to the others there, and with a random order it could have 28
- * Mbit/s while another has 140. On three small sites, the first engine had the version 0.05 to 0.5 s sooner (one run
+ * within a class. The first entry of a zone forwards pieces to the others there; in a random order it had 28 Mbit/s while
+ * another had 140. On three small sites, the first engine had the version 0.05 to 0.5 s sooner (one run
  * each, within the variation between runs).
  */
 export function drawOrder(key: string, entries: readonly Drawer[]): string[] {
