--- a/src/agent/back-ends.ts
+++ b/src/agent/back-ends.ts
@@ -10,7 +10,7 @@
 /** A model engine: a request runs only with the exact version that it names. */
 export function engineBackEnd(engine: EngineClient, loader: VersionLoader): BackEnd {
   return {
-    admits: (version) => (loader.ready.has(version) ? undefined : 'wrongVersion'),
+    refusalFor: (version) => (loader.ready.has(version) ? undefined : 'wrongVersion'),
     run(call, signal) {
       const body = JSON.parse(Buffer.from(call.body).toString('utf8')) as object;
       return engine.complete({ ...body, request_id: requestIdOf(call), version: call.version }, signal);
@@ -22,7 +22,7 @@
 /** A plain service at `url`: requests are passed through. */
 export function serviceBackEnd(url: string): BackEnd {
   return {
-    admits: () => undefined,
+    refusalFor: () => undefined,
     run(call, signal) {
       const method = call.method as 'GET' | 'PUT' | 'POST' | 'DELETE';
       const bytes = call.body.byteLength === 0 ? undefined : call.body;
--- a/src/agent/calls.ts
+++ b/src/agent/calls.ts
@@ -10,7 +10,7 @@
 import { SendWindow } from './send-window.js';
 
 /** Requests beyond the back end's capacity that may wait in it, as a share of the capacity. */
-const QUEUE_SHARE = 1;
+const QUEUE_RATIO = 1;
 /** Time for which a leaving owner of keys still takes calls with them, in milliseconds. */
 const OWNER_LEAVING_GRACE = 1_500;
 /** Time after which a refused caller may come back, in milliseconds. */
@@ -26,7 +26,7 @@
 const MAX_TIME_LEFT = 3_600_000;
 /** Why a request is ended before its answer; one object each, since making an error takes long. */
 const DEADLINE_PASSED = new Error('the deadline has passed');
-const NOBODY_WAITS = new Error('nobody waits for the answer');
+const CALLER_GONE = new Error('nobody waits for the answer');
 /** Last event of a whole streamed answer. */
 const STREAM_END = 'data: [DONE]';
 
@@ -36,7 +36,7 @@
 /** The back end behind this agent. */
 export interface BackEnd {
   /** Whether a request for this version may run now; undefined when it may. */
-  admits(version: string): CallRefusal | undefined;
+  refusalFor(version: string): CallRefusal | undefined;
   /** Begins to run a request; the answer is streamed. Throws what the client library throws. */
   run(call: CallRequest, signal: AbortSignal): Promise<HttpStream>;
   /** Ends a request that nobody waits for any more. */
@@ -113,19 +113,19 @@
 
   /** Serves the calls that come over a connection from an entry. */
   serve(connection: Connection): void {
-    const own = new Set<string>();
+    const connectionCalls = new Set<string>();
     connection.handleMessages((message) => {
       if (message.type === 'call') {
-        own.add(keyOf(message));
+        connectionCalls.add(callKeyOf(message));
         void this.#run(connection, message)
           .catch(() => connection.close())
-          .finally(() => own.delete(keyOf(message)));
+          .finally(() => connectionCalls.delete(callKeyOf(message)));
       }
-      if (message.type === 'callCancel') this.#cancel(keyOf(message));
-      if (message.type === 'callTaken') this.#active.get(keyOf(message))?.window.taken(message.bytes);
+      if (message.type === 'callCancel') this.#cancel(callKeyOf(message));
+      if (message.type === 'callTaken') this.#active.get(callKeyOf(message))?.window.taken(message.bytes);
     });
     connection.onClose = () => {
-      for (const key of own) this.#cancel(key);
+      for (const key of connectionCalls) this.#cancel(key);
     };
   }
 
@@ -138,23 +138,23 @@
     }
     const abort = new AbortController();
     const window = new SendWindow();
-    this.#active.set(keyOf(call), { call, abort, window });
+    this.#active.set(callKeyOf(call), { call, abort, window });
     this.counters.started++;
     this.onChange();
-    const timer = setTimeout(() => abort.abort(DEADLINE_PASSED), timeLeftOf(call));
+    const timer = setTimeout(() => abort.abort(DEADLINE_PASSED), clampedTimeLeft(call));
     try {
       await this.#relay(connection, call, window, abort.signal);
     } finally {
       clearTimeout(timer);
-      this.#active.delete(keyOf(call));
+      this.#active.delete(callKeyOf(call));
       this.onChange();
     }
   }
 
   #refusal(call: CallRequest): CallRefusal | undefined {
     if (this.#refusesNewWork(call)) return 'leaving';
-    if (this.active >= this.#capacity * (1 + QUEUE_SHARE)) return 'overloaded';
-    return this.#backEnd.admits(call.version);
+    if (this.active >= this.#capacity * (1 + QUEUE_RATIO)) return 'overloaded';
+    return this.#backEnd.refusalFor(call.version);
   }
 
   /** A leaving owner of keys takes calls for a moment longer: only it may run them until its keys have moved. */
@@ -174,7 +174,7 @@
     try {
       stream = await this.#backEnd.run(call, signal);
     } catch (cause) {
-      return this.#failToStart(connection, call, cause);
+      return this.#reportStartFailure(connection, call, cause);
     }
     if (stream.statusCode === 409 && call.version !== '') {
       await stream.body.dump();
@@ -198,7 +198,7 @@
     }
   }
 
-  #failToStart(connection: Connection, call: CallRequest, cause: unknown): void {
+  #reportStartFailure(connection: Connection, call: CallRequest, cause: unknown): void {
     const { callId, attempt } = call;
     if (neverConnected(cause)) {
       this.counters.refused++;
@@ -222,7 +222,7 @@
     for await (const part of stream.body) {
       const data = part as Buffer;
       tail = (tail + data.toString('latin1')).slice(-STREAM_END.length * 2);
-      await window.room(signal);
+      await window.waitForRoom(signal);
       connection.send({ type: 'callData', callId, attempt, sequence: sequence++, data });
       window.sent(data.byteLength);
     }
@@ -234,13 +234,13 @@
     const active = this.#active.get(key);
     if (active === undefined) return;
     this.counters.cancelled++;
-    active.abort.abort(NOBODY_WAITS);
+    active.abort.abort(CALLER_GONE);
     this.#backEnd.cancel(active.call);
   }
 }
 
 /** The time left as the timers take it; a sender may say anything. */
-export function timeLeftOf(call: CallRequest): number {
+export function clampedTimeLeft(call: CallRequest): number {
   const milliseconds = Math.ceil(Number(call.timeLeft));
   return Number.isFinite(milliseconds) ? Math.min(Math.max(milliseconds, 1), MAX_TIME_LEFT) : 1;
 }
@@ -257,6 +257,6 @@
   connection.send({ type: 'callRefused', callId, attempt, reason, notRun, retryAfter });
 }
 
-function keyOf(call: { callId: string; attempt: number }): string {
+function callKeyOf(call: { callId: string; attempt: number }): string {
   return `${call.callId}/${call.attempt}`;
 }
--- a/src/agent/once-calls.ts
+++ b/src/agent/once-calls.ts
@@ -6,13 +6,13 @@
 import type { Connection } from '../protocol/connection.js';
 import type { CallRefusal, OnceCall } from '../protocol/messages.js';
 import { type KeptOutcome, OnceLedger } from '../systems/once-ledger.js';
-import { type BackEnd, type CallRequest, refuseCall, timeLeftOf } from './calls.js';
+import { type BackEnd, type CallRequest, clampedTimeLeft, refuseCall } from './calls.js';
 import type { KeyOwnership } from './key-ownership.js';
 
 /** Longest time that a run may take, in milliseconds; it does not end with its caller. */
-const RUN_LIMIT = 60_000;
+const RUN_TIMEOUT = 60_000;
 /** Largest answer that is kept for repetition, in bytes. */
-const KEPT_ANSWER_LIMIT = 64 * 1_024;
+const MAX_KEPT_ANSWER_BYTES = 64 * 1_024;
 
 /** What has become of calls with keys, for metrics. */
 export interface OnceCounters {
@@ -62,11 +62,11 @@
     const verdict = this.#ledger.admit(once, performance.now());
     switch (verdict.type) {
       case 'run':
-        return this.#begin(connection, call, once);
+        return this.#startRun(connection, call, once);
       case 'ran':
-        return this.#repeat(connection, call, verdict.outcome);
+        return this.#replay(connection, call, verdict.outcome);
       case 'running':
-        return this.#await(connection, call, once, verdict.wait);
+        return this.#awaitRunning(connection, call, once, verdict.wait);
       case 'unknown':
         return this.#answerUnknown(
           connection,
@@ -80,7 +80,7 @@
     }
   }
 
-  async #begin(connection: Connection, call: CallRequest, once: OnceCall): Promise<void> {
+  async #startRun(connection: Connection, call: CallRequest, once: OnceCall): Promise<void> {
     this.#active++;
     this.#components.onChange();
     this.counters.run++;
@@ -90,7 +90,7 @@
         this.#ledger.withdraw(once, performance.now());
         return this.#refuse(connection, call, 'backEndUnreachable', true);
       }
-      this.#ledger.finish(once.key, keptForm(outcome), performance.now());
+      this.#ledger.finish(once.key, outcomeToKeep(outcome), performance.now());
       this.#answer(connection, call, outcome);
     } finally {
       this.#active--;
@@ -102,7 +102,7 @@
   async #runAtBackEnd(call: CallRequest): Promise<KeptOutcome | undefined> {
     let stream: HttpStream;
     try {
-      stream = await this.#components.backEnd.run(call, AbortSignal.timeout(RUN_LIMIT));
+      stream = await this.#components.backEnd.run(call, AbortSignal.timeout(RUN_TIMEOUT));
     } catch (cause) {
       return neverConnected(cause)
         ? undefined
@@ -117,21 +117,21 @@
     }
   }
 
-  async #await(
+  async #awaitRunning(
     connection: Connection,
     call: CallRequest,
     once: OnceCall,
     wait: Promise<KeptOutcome | undefined>,
   ): Promise<void> {
-    const outcome = await Promise.race([wait, timeout(timeLeftOf(call))]);
+    const outcome = await Promise.race([wait, timeoutAfter(clampedTimeLeft(call))]);
     if (outcome === 'timeout')
       return this.#answerUnknown(connection, call, 'an earlier attempt is still running');
-    if (outcome !== undefined) return this.#repeat(connection, call, outcome);
+    if (outcome !== undefined) return this.#replay(connection, call, outcome);
     const notRun = this.#ledger.refuse(once, performance.now());
     this.#refuse(connection, call, 'backEndUnreachable', notRun);
   }
 
-  #repeat(connection: Connection, call: CallRequest, outcome: KeptOutcome): void {
+  #replay(connection: Connection, call: CallRequest, outcome: KeptOutcome): void {
     this.counters.repeatedAnswers++;
     this.#answer(connection, call, outcome);
   }
@@ -163,12 +163,12 @@
 }
 
 /** What is kept of an outcome: not an answer that is too large. */
-function keptForm(outcome: KeptOutcome): KeptOutcome {
-  if (outcome.type === 'unanswered' || outcome.body.byteLength <= KEPT_ANSWER_LIMIT) return outcome;
+function outcomeToKeep(outcome: KeptOutcome): KeptOutcome {
+  if (outcome.type === 'unanswered' || outcome.body.byteLength <= MAX_KEPT_ANSWER_BYTES) return outcome;
   return { type: 'unanswered', ran: 'yes', reason: 'the answer was too large to be kept' };
 }
 
-function timeout(milliseconds: number): Promise<'timeout'> {
+function timeoutAfter(milliseconds: number): Promise<'timeout'> {
   return new Promise((resolve) => {
     setTimeout(() => resolve('timeout'), milliseconds).unref();
   });
--- a/src/agent/send-window.ts
+++ b/src/agent/send-window.ts
@@ -6,7 +6,7 @@
 /** The window of one answer. */
 export class SendWindow {
   #outstanding = 0;
-  #wake: (() => void) | undefined;
+  #resume: (() => void) | undefined;
 
   /** Notes bytes that were sent. */
   sent(bytes: number): void {
@@ -16,15 +16,15 @@
   /** The receiver has taken bytes. */
   taken(bytes: number): void {
     this.#outstanding -= bytes;
-    if (this.#outstanding < WINDOW_BYTES) this.#wake?.();
+    if (this.#outstanding < WINDOW_BYTES) this.#resume?.();
   }
 
   /** Returns once there is room; rejects when `signal` aborts. */
-  async room(signal: AbortSignal): Promise<void> {
+  async waitForRoom(signal: AbortSignal): Promise<void> {
     while (this.#outstanding >= WINDOW_BYTES) {
       signal.throwIfAborted();
       await new Promise<void>((resolve) => {
-        this.#wake = resolve;
+        this.#resume = resolve;
         signal.addEventListener('abort', () => resolve(), { once: true });
       });
     }
--- a/test/agent/calls.test.ts
+++ b/test/agent/calls.test.ts
@@ -42,7 +42,7 @@
 function backEnd(parts: string[], overrides: Partial<BackEnd> = {}): BackEnd & { runs: number } {
   const made = {
     runs: 0,
-    admits: () => undefined,
+    refusalFor: () => undefined,
     async run() {
       made.runs++;
       const body = Readable.from(parts.map((part) => Buffer.from(part)));
@@ -84,7 +84,7 @@
 
   it.each([
     ['it is leaving', { leaving: true }, {}, 'leaving'],
-    ['the version is not loaded', {}, { admits: () => 'wrongVersion' as const }, 'wrongVersion'],
+    ['the version is not loaded', {}, { refusalFor: () => 'wrongVersion' as const }, 'wrongVersion'],
     [
       'the back end takes no connection',
       {},
