--- a/src/agent/agent.ts
+++ b/src/agent/agent.ts
@@ -36,7 +36,7 @@
 import { KeyOwnership } from './key-ownership.js';
 import { operatorApi } from './operator-api.js';
 import { VersionLoader } from './version-loader.js';
-import { Versions } from './versions.js';
+import { VersionReconciler } from './version-reconciler.js';
 
 /** Shortest time between two statuses to the home entry, in milliseconds. */
 const STATUS_MIN_INTERVAL = 200;
@@ -89,10 +89,10 @@
   readonly #calls: Calls;
   /** Of a service's agent: which keys it owns. */
   readonly #ownership: KeyOwnership | undefined;
-  readonly #home: EntryLink;
+  readonly #homeLink: EntryLink;
   readonly #bursts: BurstLinks;
-  readonly #versions: Versions;
-  readonly #parts: StartableGroup;
+  readonly #versions: VersionReconciler;
+  readonly #startables: StartableGroup;
   #entries: EntryInfo[] = [];
   #sequence = 0;
   #statusTimer: NodeJS.Timeout | undefined;
@@ -125,7 +125,7 @@
     );
     const coordinators = () => this.#coordinators();
     this.#bursts = new BurstLinks({ context, random, timeline, exchange: this.#exchange, coordinators });
-    this.#home = new EntryLink({
+    this.#homeLink = new EntryLink({
       context,
       random,
       candidates: () => homeCandidates(this.#info, settings.entries, this.#entries),
@@ -135,16 +135,16 @@
       },
       onMessage: (message) => this.#onHomeMessage(message),
       onConfirmed: (sentAt) => {
-        if (this.#ownership?.confirm(sentAt) === false) this.#home.reconnect();
+        if (this.#ownership?.confirm(sentAt) === false) this.#homeLink.reconnect();
       },
     });
-    this.#versions = new Versions({
+    this.#versions = new VersionReconciler({
       exchange: this.#exchange,
       bursts: this.#bursts,
       loader: this.#loader,
       timeline,
       log,
-      requestManifest: (version) => this.#home.send({ type: 'fetchManifest', version }),
+      requestManifest: (version) => this.#homeLink.send({ type: 'fetchManifest', version }),
       requestsInProgress: (version) => this.#calls.activeFor(version),
     });
     this.#loader.onChange = () => this.#onVersionsChanged();
@@ -153,14 +153,20 @@
       this.#accept(connection),
     );
     const server = httpServer(settings.listen.operators, this.#operatorApi().callback());
-    const engineParts = settings.backEnd.kind === 'engine' ? [this.#loader] : [];
-    this.#parts = new StartableGroup([...engineParts, this.#exchange, listener, server, this.#home]);
+    const engineStartables = settings.backEnd.kind === 'engine' ? [this.#loader] : [];
+    this.#startables = new StartableGroup([
+      ...engineStartables,
+      this.#exchange,
+      listener,
+      server,
+      this.#homeLink,
+    ]);
     this.#addMetrics();
   }
 
   async start(): Promise<void> {
     this.#components.timeline.record({ type: 'processStarted', role: 'agent' });
-    await this.#parts.start();
+    await this.#startables.start();
     this.#idleTimer = setInterval(() => this.#onIdle(), STATUS_IDLE_INTERVAL);
     this.#components.log.info('agent serves', { place: this.#info.place, zone: this.#info.zone });
   }
@@ -169,7 +175,7 @@
     clearInterval(this.#idleTimer);
     clearTimeout(this.#statusTimer);
     await this.#bursts.stop();
-    await this.#parts.stop();
+    await this.#startables.stop();
   }
 
   /** Takes no new work from now on; what is in progress goes on. */
@@ -199,8 +205,10 @@
 
   /** The entries that may coordinate a burst: the same for all agents, the lowest of each zone. */
   #coordinators(): string[] {
-    const lowest = lowestOfEachZone(this.#entries).map((entry) => entry.address);
-    return lowest.length > 0 ? lowest : liveEntries(this.#components.settings.entries, this.#entries);
+    const coordinators = lowestOfEachZone(this.#entries).map((entry) => entry.address);
+    return coordinators.length > 0
+      ? coordinators
+      : liveEntries(this.#components.settings.entries, this.#entries);
   }
 
   #onHomeMessage(message: Message): void {
@@ -210,22 +218,22 @@
     }
     if (message.type !== 'assignments') return;
     this.#entries = message.entries;
-    this.#followOwners(message.owners);
+    this.#updateOwners(message.owners);
     this.#versions.assign(message.assignments, message.revision);
   }
 
-  #followOwners(owners: OwnersRow | undefined): void {
+  #updateOwners(owners: OwnersRow | undefined): void {
     if (owners === undefined || this.#ownership === undefined) return;
-    if (this.#ownership.follow(owners)) this.#sendStatus();
+    if (this.#ownership.update(owners)) this.#sendStatus();
   }
 
   #onVersionsChanged(): void {
-    this.#versions.review();
+    this.#versions.reconcile();
     this.#scheduleStatus();
   }
 
   #onIdle(): void {
-    this.#versions.review();
+    this.#versions.reconcile();
     this.#sendStatus();
   }
 
@@ -236,7 +244,7 @@
   #sendStatus(): void {
     clearTimeout(this.#statusTimer);
     this.#statusTimer = undefined;
-    this.#home.send({ type: 'status', status: this.#status() });
+    this.#homeLink.send({ type: 'status', status: this.#status() });
   }
 
   #status(): AgentStatus {
@@ -261,7 +269,7 @@
       metrics: () => metrics.text(),
       status: () => ({
         ...this.#status(),
-        home: this.#home.address,
+        home: this.#homeLink.address,
         exchange: this.#exchange.counters,
         traffic: this.#counters,
       }),
--- a/src/agent/entry-link.ts
+++ b/src/agent/entry-link.ts
@@ -8,8 +8,8 @@
 import type { Message } from '../protocol/messages.js';
 
 /** Shortest and longest wait before the next try, in milliseconds. */
-const RETRY_MIN = 100;
-const RETRY_SPREAD = 400;
+const MIN_RETRY_DELAY = 100;
+const RETRY_JITTER = 400;
 
 /** What a link is created from. */
 export interface EntryLinkInit {
@@ -64,35 +64,35 @@
 
   async #connect(): Promise<void> {
     const candidates = this.#init.candidates();
-    if (candidates.length === 0) return this.#retry();
+    if (candidates.length === 0) return this.#scheduleRetry();
     const address = candidates[this.#attempt % candidates.length];
     const dialledAt = performance.now();
     const outcome = await connect(address, this.#init.context, this.#stopping.signal);
     if (this.#stopping.signal.aborted) return outcome.ok ? outcome.value.close() : undefined;
     if (!outcome.ok) {
       this.#attempt++;
-      return this.#retry();
+      return this.#scheduleRetry();
     }
     const connection = outcome.value;
     this.#connection = connection;
     this.#address = address;
     this.#attempt = 0;
-    connection.onClose = () => this.#lost(connection);
+    connection.onClose = () => this.#onClosed(connection);
     connection.onConfirmed = this.#init.onConfirmed ?? (() => {});
     this.#init.onOpen(address, dialledAt);
     connection.handleMessages(this.#init.onMessage);
   }
 
-  #lost(connection: Connection): void {
+  #onClosed(connection: Connection): void {
     if (this.#connection !== connection) return;
     this.#connection = undefined;
     if (this.#stopping.signal.aborted) return;
     this.#attempt++;
-    this.#retry();
+    this.#scheduleRetry();
   }
 
-  #retry(): void {
-    const wait = RETRY_MIN + this.#init.random.fraction() * RETRY_SPREAD;
+  #scheduleRetry(): void {
+    const wait = MIN_RETRY_DELAY + this.#init.random.fraction() * RETRY_JITTER;
     this.#timer = setTimeout(() => void this.#connect(), wait);
   }
 }
--- a/src/agent/exchange.ts
+++ b/src/agent/exchange.ts
@@ -23,9 +23,9 @@
 /** Time between two ticks while a transfer runs and nothing else causes one, in milliseconds. */
 const TICK_INTERVAL = 50;
 /** Time for one draw from the origin, in milliseconds. */
-const DRAW_TIMEOUT = 30_000;
+const ORIGIN_TIMEOUT = 30_000;
 /** Chunks in a row that a peer may send unasked (late answers to cancelled requests) before they are dropped. */
-const MAX_UNASKED_CHUNKS = 16;
+const MAX_UNREQUESTED_CHUNKS = 16;
 
 /** A transfer of this agent. */
 interface ActiveTransfer {
@@ -88,7 +88,7 @@
   readonly #outgoing: Pacer;
   readonly #incoming: Pacer;
   readonly #stopping = new AbortController();
-  readonly #unaskedChunks = new Map<string, number>();
+  readonly #unrequestedChunks = new Map<string, number>();
   #timer: NodeJS.Timeout | undefined;
   #tickQueued = false;
 
@@ -106,7 +106,7 @@
     this.#incoming = init.linkDuplex === 'shared' ? this.#outgoing : new Pacer(init.linkBytesPerSecond);
     this.#links = new PeerLinks(components.context, {
       onMessage: (peer, message) => this.#onPeerMessage(peer, message),
-      onLost: (peer) => this.#act(() => this.node.onPeerLost(peer, performance.now())),
+      onLost: (peer) => this.#updateNode(() => this.node.onPeerLost(peer, performance.now())),
     });
   }
 
@@ -130,10 +130,10 @@
     const allowedPlaces = new Set(assignment.places);
     const running = this.#transfers.has(transferKeyOf(version));
     if (!running && !this.#components.store.pin(manifest)) return false;
-    const have = this.#chunksHeld(manifest);
+    const have = this.#chunksInStore(manifest);
     const chunkCount = manifest.chunks.length;
     this.#transfers.set(transferKeyOf(version), { version, manifest });
-    this.#act(() =>
+    this.#updateNode(() =>
       this.node.startTransfer({ version, chunkCount, priority, allowedPlaces, have }, performance.now()),
     );
     if (running) return true;
@@ -154,7 +154,7 @@
     this.#transfers.delete(transferKeyOf(version));
     this.#components.store.unpin(transfer.manifest);
     this.#components.timeline.record({ type: 'transferStopped', version });
-    this.#act(() => this.node.stopTransfer(version));
+    this.#updateNode(() => this.node.stopTransfer(version));
   }
 
   /** The chunks of a running transfer that are here, or undefined. */
@@ -171,7 +171,7 @@
   onNeighbours(key: TransferKey, peers: readonly PeerInfo[]): void {
     const transfer = this.#transfers.get(key);
     if (transfer === undefined) return;
-    this.#act(() => {
+    this.#updateNode(() => {
       for (const peer of peers) this.node.addNeighbour(transfer.version, peer);
     });
   }
@@ -179,10 +179,10 @@
   /** The coordinator grants a draw from the origin or from outside the region. */
   onGrant(key: TransferKey, grant: Grant): void {
     const transfer = this.#transfers.get(key);
-    if (transfer !== undefined) this.#act(() => this.node.onGrant(transfer.version, grant));
+    if (transfer !== undefined) this.#updateNode(() => this.node.onGrant(transfer.version, grant));
   }
 
-  #chunksHeld(manifest: Manifest): ChunkSet {
+  #chunksInStore(manifest: Manifest): ChunkSet {
     const have = new ChunkSet(manifest.chunks.length);
     for (const [index, chunk] of manifest.chunks.entries()) {
       if (this.#components.store.get(chunk.digest) !== undefined) have.add(index);
@@ -191,7 +191,7 @@
   }
 
   /** Runs a handler that writes the tables, and a tick soon after. */
-  #act(handle: () => void): void {
+  #updateNode(handle: () => void): void {
     handle();
     if (this.#tickQueued) return;
     this.#tickQueued = true;
@@ -204,13 +204,15 @@
   /** Once all transfers are complete and nothing is queued, only messages cause ticks. */
   get #isBusy(): boolean {
     const { transfers, uploads } = this.node;
-    const isMoving = [...transfers.values()].some((row) => !row.have.complete || row.unannounced.length > 0);
-    return isMoving || uploads.queued.length > 0;
+    const isTransferring = [...transfers.values()].some(
+      (row) => !row.have.complete || row.unannounced.length > 0,
+    );
+    return isTransferring || uploads.queued.length > 0;
   }
 
   #tick(): void {
     if (this.#stopping.signal.aborted) return;
-    for (const command of this.node.tick(performance.now())) this.#carryOut(command);
+    for (const command of this.node.tick(performance.now())) this.#execute(command);
     if (this.#timer !== undefined || !this.#isBusy) return;
     this.#timer = setTimeout(() => {
       this.#timer = undefined;
@@ -218,7 +220,7 @@
     }, TICK_INTERVAL);
   }
 
-  #carryOut(command: DistributionCommand): void {
+  #execute(command: DistributionCommand): void {
     const transfer = transferKeyOf(command.version);
     switch (command.type) {
       case 'greet':
@@ -235,7 +237,7 @@
         });
       case 'refuse': {
         const { chunk, reason, queueLength } = command;
-        if (reason === 'place') this.#noteRefusal(command);
+        if (reason === 'place') this.#recordPlaceRefusal(command);
         return void this.#links.sendIfConnected(command.peer, {
           type: 'refuse',
           transfer,
@@ -254,7 +256,7 @@
       case 'send':
         return void this.#sendChunk(command.version, command.chunk, command.peer, command.queueLength);
       case 'draw':
-        return void this.#draw(command.version, command.chunk);
+        return void this.#fetchFromOrigin(command.version, command.chunk);
       case 'report': {
         const { version, have, starving } = command;
         return this.#events.onCoordinatorMessage(version, { type: 'report', transfer, have, starving });
@@ -267,7 +269,7 @@
     }
   }
 
-  #noteRefusal({ version, chunk, peer, reason }: DistributionCommand & { type: 'refuse' }): void {
+  #recordPlaceRefusal({ version, chunk, peer, reason }: DistributionCommand & { type: 'refuse' }): void {
     this.counters.placeRefusals++;
     this.#components.timeline.record({ type: 'chunkRefused', version, chunk, peer, reason });
   }
@@ -284,7 +286,7 @@
         data,
       });
     }
-    this.#act(() => this.node.onUploadEnded());
+    this.#updateNode(() => this.node.onUploadEnded());
   }
 
   #chunkData(version: Digest, chunk: number): Buffer | undefined {
@@ -293,34 +295,36 @@
     return entry === undefined ? undefined : this.#components.store.get(entry.digest);
   }
 
-  async #draw(version: Digest, chunk: number): Promise<void> {
+  async #fetchFromOrigin(version: Digest, chunk: number): Promise<void> {
     const entry = this.manifest(version)?.chunks[chunk];
     if (entry === undefined) return;
-    const drawn = await this.#components.origin.chunk(entry.digest, AbortSignal.timeout(DRAW_TIMEOUT));
-    if (!drawn.ok) return this.#act(() => this.node.onOriginFetchFailed(version, chunk));
+    const fetched = await this.#components.origin.chunk(entry.digest, AbortSignal.timeout(ORIGIN_TIMEOUT));
+    if (!fetched.ok) return this.#updateNode(() => this.node.onOriginFetchFailed(version, chunk));
     this.counters.chunksFromOrigin++;
-    await this.#incoming.take(drawn.value.byteLength, this.#stopping.signal);
-    this.#receive(version, chunk, undefined, drawn.value, 0);
+    await this.#incoming.take(fetched.value.byteLength, this.#stopping.signal);
+    this.#verifyChunk(version, chunk, undefined, fetched.value, 0);
   }
 
   #onPeerMessage(peer: PeerInfo, message: Message): void {
     if (!('transfer' in message)) return;
     const transfer = this.#transfers.get(message.transfer);
-    if (transfer === undefined) return this.#refuseUnknown(peer, message);
+    if (transfer === undefined) return this.#refuseUnknownTransfer(peer, message);
     const { version } = transfer;
     const now = performance.now();
     switch (message.type) {
       case 'greet':
-        return this.#act(() => this.node.onGreeting(peer, version, message.have));
+        return this.#updateNode(() => this.node.onGreeting(peer, version, message.have));
       case 'announce':
-        return this.#act(() => this.node.onAnnounce(version, peer.id, message.chunks, message.queueLength));
+        return this.#updateNode(() =>
+          this.node.onAnnounce(version, peer.id, message.chunks, message.queueLength),
+        );
       case 'request':
-        return this.#act(() => this.node.onRequest(peer, { ...message, version }, now));
+        return this.#updateNode(() => this.node.onRequest(peer, { ...message, version }, now));
       case 'cancel':
-        return this.#act(() => this.node.onCancel(peer.id, version, message.chunk));
+        return this.#updateNode(() => this.node.onCancel(peer.id, version, message.chunk));
       case 'refuse': {
         const { chunk, reason, queueLength } = message;
-        return this.#act(() => this.node.onRefused(peer.id, version, chunk, reason, queueLength, now));
+        return this.#updateNode(() => this.node.onRefused(peer.id, version, chunk, reason, queueLength, now));
       }
       case 'chunk':
         return void this.#onChunkMessage(peer, version, message);
@@ -328,7 +332,7 @@
     }
   }
 
-  #refuseUnknown(peer: PeerInfo, message: Message): void {
+  #refuseUnknownTransfer(peer: PeerInfo, message: Message): void {
     if (message.type !== 'request') return;
     const { transfer, chunk } = message;
     const refusal: Message = { type: 'refuse', transfer, chunk, reason: 'absent', queueLength: 0 };
@@ -341,23 +345,23 @@
     message: Message & { type: 'chunk' },
   ): Promise<void> {
     const expected = this.node.transfers.get(version)?.requests.get(message.chunk);
-    if (expected?.peer === peer.id) this.#unaskedChunks.delete(peer.id);
-    else if (!this.#toleratesUnasked(peer)) return;
+    if (expected?.peer === peer.id) this.#unrequestedChunks.delete(peer.id);
+    else if (!this.#acceptsUnrequested(peer)) return;
     // A copy: the frame's own buffer may be a slice of a larger one.
     const data = Buffer.from(message.data);
     this.counters.chunksFromPeers++;
     if (peer.region !== this.#region) this.counters.crossRegionBytes += data.byteLength;
     await this.#incoming.take(data.byteLength, this.#stopping.signal);
-    this.#receive(version, message.chunk, peer.id, data, message.queueLength);
+    this.#verifyChunk(version, message.chunk, peer.id, data, message.queueLength);
   }
 
-  #toleratesUnasked(peer: PeerInfo): boolean {
-    const count = (this.#unaskedChunks.get(peer.id) ?? 0) + 1;
-    this.#unaskedChunks.set(peer.id, count);
-    return count <= MAX_UNASKED_CHUNKS;
+  #acceptsUnrequested(peer: PeerInfo): boolean {
+    const count = (this.#unrequestedChunks.get(peer.id) ?? 0) + 1;
+    this.#unrequestedChunks.set(peer.id, count);
+    return count <= MAX_UNREQUESTED_CHUNKS;
   }
 
-  #receive(
+  #verifyChunk(
     version: Digest,
     chunk: number,
     from: string | undefined,
@@ -370,11 +374,11 @@
       this.counters.corruptChunks++;
       this.#components.timeline.record({ type: 'corruptChunk', version, chunk, from: from ?? 'origin' });
       this.#components.log.warn('corrupt chunk dropped', { version, chunk, from: from ?? 'origin' });
-      return this.#act(() => this.node.onCorruptChunk(version, chunk, from, performance.now()));
+      return this.#updateNode(() => this.node.onCorruptChunk(version, chunk, from, performance.now()));
     }
     this.#components.store.put(entry.digest, data);
     let isNew = false;
-    this.#act(() => {
+    this.#updateNode(() => {
       isNew = this.node.onChunk(version, chunk, from, queueLength, performance.now());
     });
     if (!isNew) return;
--- a/src/agent/key-ownership.ts
+++ b/src/agent/key-ownership.ts
@@ -7,14 +7,14 @@
  * process may have been taken for dead, and must be told anew what it owns. The entries wait longer than this
  * before they take a machine for dead (`DEAD_AFTER` in `src/entry/machine-watch.ts`).
  */
-export const WORD_LIMIT = 6_000;
+export const MAX_CONFIRMATION_GAP = 6_000;
 
 /** The ownership of one agent. */
 export class KeyOwnership {
   readonly #address: string;
   readonly #clock: () => number;
   #row: OwnersRow | undefined;
-  #followedSince = 0;
+  #epochSince = 0;
   #confirmedAt = Number.NEGATIVE_INFINITY;
 
   constructor(address: string, clock: () => number) {
@@ -28,18 +28,18 @@
    * is owned must be told anew.
    */
   confirm(at: number): boolean {
-    const isGap = at - this.#confirmedAt > WORD_LIMIT;
+    const isGap = at - this.#confirmedAt > MAX_CONFIRMATION_GAP;
     if (isGap) this.#row = undefined;
     this.#confirmedAt = Math.max(this.#confirmedAt, at);
     return !isGap;
   }
 
   /** Follows a list, unless a later one is followed; returns true when that changed something. */
-  follow(row: OwnersRow): boolean {
-    const known = this.#row;
-    if (known !== undefined && row.epoch < known.epoch) return false;
-    if (known !== undefined && row.epoch === known.epoch && known.next !== undefined) return false;
-    if (known?.epoch !== row.epoch) this.#followedSince = this.#clock();
+  update(row: OwnersRow): boolean {
+    const current = this.#row;
+    if (current !== undefined && row.epoch < current.epoch) return false;
+    if (current !== undefined && row.epoch === current.epoch && current.next !== undefined) return false;
+    if (current?.epoch !== row.epoch) this.#epochSince = this.#clock();
     this.#row = row;
     return true;
   }
@@ -48,14 +48,14 @@
   claim(): OwnershipClaim | undefined {
     if (this.#row === undefined) return undefined;
     const { epoch, next } = this.#row;
-    return { epoch, heldFor: this.#clock() - this.#followedSince, movesAcknowledged: next !== undefined };
+    return { epoch, heldFor: this.#clock() - this.#epochSince, movesAcknowledged: next !== undefined };
   }
 
   /** Whether a key that was routed under `epoch` may be taken now. */
   owns(key: string, epoch: number): boolean {
     const row = this.#row;
     if (row === undefined || row.epoch !== epoch) return false;
-    if (this.#clock() - this.#confirmedAt > WORD_LIMIT) return false;
+    if (this.#clock() - this.#confirmedAt > MAX_CONFIRMATION_GAP) return false;
     return ownerOf(key, row.owners) === this.#address && keepsOwner(key, row);
   }
 }
--- a/src/agent/peer-links.ts
+++ b/src/agent/peer-links.ts
@@ -5,7 +5,7 @@
 import type { PeerId, PeerInfo } from '../systems/distribution/transfer.js';
 
 /** Messages kept for a peer that is being dialled. */
-const MAX_WAITING = 256;
+const MAX_QUEUED_MESSAGES = 256;
 
 /** A link that is open, or being opened. */
 interface PeerLink {
@@ -33,14 +33,14 @@
 
   /** Takes over a connection that a peer opened. */
   accept(connection: Connection): void {
-    this.#adopt(connection);
+    this.#register(connection);
   }
 
   /** Sends to a peer, dialling it first if need be. */
   send(peer: PeerInfo, message: Message): void {
     const link = this.#links.get(peer.id) ?? this.#dial(peer);
     if (link.connection !== undefined) link.connection.send(message);
-    else if (link.waiting.length < MAX_WAITING) link.waiting.push(message);
+    else if (link.waiting.length < MAX_QUEUED_MESSAGES) link.waiting.push(message);
   }
 
   /** Sends to a peer that is connected; returns false when it is not. */
@@ -58,7 +58,7 @@
     this.#links.set(peer.id, link);
     void connect(peer.address, this.#context, this.#closing.signal).then((outcome) => {
       // A process replaced under the same address is another peer.
-      if (outcome.ok && outcome.value.remote.peer.id === peer.id) return this.#adopt(outcome.value);
+      if (outcome.ok && outcome.value.remote.peer.id === peer.id) return this.#register(outcome.value);
       if (outcome.ok) outcome.value.close();
       if (this.#links.get(peer.id) !== link) return;
       this.#links.delete(peer.id);
@@ -67,20 +67,20 @@
     return link;
   }
 
-  #adopt(connection: Connection): void {
+  #register(connection: Connection): void {
     const { peer } = connection.remote;
     const earlier = this.#links.get(peer.id);
     const waiting = earlier?.connection === undefined ? (earlier?.waiting ?? []) : [];
     const replaced = earlier?.connection;
     this.#links.set(peer.id, { connection, waiting: [] });
     connection.handleMessages((message) => this.#events.onMessage(peer, message));
-    connection.onClose = () => this.#lost(peer.id, connection);
+    connection.onClose = () => this.#onClosed(peer.id, connection);
     for (const message of waiting) connection.send(message);
     // Both sides may have dialled: the earlier connection stays open for what is under way on it.
     if (replaced?.open) replaced.onClose = () => {};
   }
 
-  #lost(peer: PeerId, connection: Connection): void {
+  #onClosed(peer: PeerId, connection: Connection): void {
     if (this.#links.get(peer)?.connection !== connection) return;
     this.#links.delete(peer);
     this.#events.onLost(peer);
--- a/src/agent/version-loader.ts
+++ b/src/agent/version-loader.ts
@@ -34,7 +34,7 @@
   readonly #loading = new Set<Digest>();
   readonly #ready = new Set<Digest>();
   /** Versions that an order to unload is out for. */
-  readonly #retiring = new Set<Digest>();
+  readonly #unloading = new Set<Digest>();
   /** Chunks handed to the engine, or on the way to it, by version and index. */
   readonly #staging = new Map<string, Promise<boolean>>();
   #wanted = new Set<Digest>();
@@ -90,12 +90,12 @@
   /** Takes a version out of the engine. It counts as not ready from the first moment on. */
   async unload(version: Digest, revision: number): Promise<void> {
     this.#wanted.delete(version);
-    this.#retiring.add(version);
+    this.#unloading.add(version);
     if (this.#ready.delete(version)) this.onChange();
     this.#forgetStaged(version);
     const unloaded = await this.#order('unload', version, revision);
     if (unloaded) this.#components.timeline.record({ type: 'versionUnloaded', version });
-    else this.#retiring.delete(version);
+    else this.#unloading.delete(version);
   }
 
   async #tryLoad(version: Digest, manifest: Manifest, revision: number): Promise<void> {
@@ -154,14 +154,16 @@
   async #refresh(): Promise<void> {
     const state = await this.#components.engine.state(this.#callSignal());
     if (this.#stopping.signal.aborted) return;
-    this.#takeState(state.ok ? state.value : { versions: [], fence: { epoch: 0, revision: 0 }, active: 0 });
+    this.#applyState(state.ok ? state.value : { versions: [], fence: { epoch: 0, revision: 0 }, active: 0 });
   }
 
-  #takeState(state: EngineState): void {
-    const exact = state.versions.filter((row) => row.state === 'loaded' && row.loadedDigest === row.version);
-    const reported = new Set(exact.map((row) => row.version));
-    for (const version of this.#retiring) {
-      if (!reported.delete(version)) this.#retiring.delete(version);
+  #applyState(state: EngineState): void {
+    const verified = state.versions.filter(
+      (row) => row.state === 'loaded' && row.loadedDigest === row.version,
+    );
+    const reported = new Set(verified.map((row) => row.version));
+    for (const version of this.#unloading) {
+      if (!reported.delete(version)) this.#unloading.delete(version);
     }
     const loaded: ReadonlySet<Digest> = reported;
     const gone = [...this.#ready].filter((version) => !loaded.has(version));
--- a/src/agent/versions.ts
+++ b/src/agent/version-reconciler.ts
@@ -12,27 +12,27 @@
 import type { VersionLoader } from './version-loader.js';
 
 /** What the versions work with. */
-export interface VersionsComponents {
+export interface VersionReconcilerComponents {
   exchange: Exchange;
   bursts: BurstLinks;
   loader: VersionLoader;
   timeline: Timeline;
   log: Log;
-  /** Asks the home entry for a manifest; it comes through {@link Versions.onManifest}. */
+  /** Asks the home entry for a manifest; it comes through {@link VersionReconciler.onManifest}. */
   requestManifest: (version: Digest) => void;
   /** Requests that run here with a version. */
   requestsInProgress: (version: Digest) => number;
 }
 
 /** The versions of one agent. */
-export class Versions {
-  readonly #components: VersionsComponents;
+export class VersionReconciler {
+  readonly #components: VersionReconcilerComponents;
   readonly #manifests = new Map<Digest, Manifest>();
   #assignments: Assignment[] = [];
   #revision = 0;
   readonly #problems = new Map<Digest, VersionError>();
 
-  constructor(components: VersionsComponents) {
+  constructor(components: VersionReconcilerComponents) {
     this.#components = components;
   }
 
@@ -45,7 +45,7 @@
     for (const { deployment, version } of assignments) {
       if (!known.has(version)) this.#components.timeline.record({ type: 'assigned', deployment, version });
     }
-    this.review();
+    this.reconcile();
   }
 
   /** A manifest came; it is used only if it is the one that the version names. */
@@ -56,7 +56,7 @@
     }
     this.#manifests.set(version, manifest);
     this.#problems.delete(version);
-    this.review();
+    this.reconcile();
   }
 
   /** There is no manifest to be had; it is asked for again at the next review. */
@@ -73,11 +73,11 @@
   }
 
   /** Brings transfers and engine in line with the assignments; called again until nothing is left to do. */
-  review(): void {
+  reconcile(): void {
     const wanted = new Set(this.#assignments.map((row) => row.version));
-    this.#endUnwantedTransfers(wanted);
-    this.#forgetUnwanted(wanted);
-    for (const assignment of this.#assignments) this.#pursue(assignment);
+    this.#stopUnwantedTransfers(wanted);
+    this.#dropUnwantedManifests(wanted);
+    for (const assignment of this.#assignments) this.#ensureTransfer(assignment);
     this.#unloadSuperseded(wanted);
   }
 
@@ -97,7 +97,7 @@
     });
   }
 
-  #pursue(assignment: Assignment): void {
+  #ensureTransfer(assignment: Assignment): void {
     const { version } = assignment;
     const { loader, exchange, bursts, requestManifest } = this.#components;
     if (loader.ready.has(version) && exchange.held(version) === undefined) return;
@@ -112,7 +112,7 @@
     bursts.join(assignment);
   }
 
-  #endUnwantedTransfers(wanted: ReadonlySet<Digest>): void {
+  #stopUnwantedTransfers(wanted: ReadonlySet<Digest>): void {
     const { exchange, bursts } = this.#components;
     for (const version of [...exchange.node.transfers.keys()]) {
       if (wanted.has(version)) continue;
@@ -122,7 +122,7 @@
   }
 
   /** A manifest of a large model takes about a megabyte: it is kept only while its version is wanted or served. */
-  #forgetUnwanted(wanted: ReadonlySet<Digest>): void {
+  #dropUnwantedManifests(wanted: ReadonlySet<Digest>): void {
     const { loader } = this.#components;
     for (const version of [...this.#manifests.keys(), ...this.#problems.keys()]) {
       if (wanted.has(version) || loader.ready.has(version)) continue;
@@ -133,8 +133,8 @@
 
   #unloadSuperseded(wanted: ReadonlySet<Digest>): void {
     const { loader, requestsInProgress } = this.#components;
-    const successorReady = [...wanted].every((version) => loader.ready.has(version));
-    if (!successorReady || this.#revision === 0) return;
+    const allWantedReady = [...wanted].every((version) => loader.ready.has(version));
+    if (!allWantedReady || this.#revision === 0) return;
     for (const version of loader.ready) {
       if (wanted.has(version) || requestsInProgress(version) > 0) continue;
       void loader.unload(version, this.#revision);
--- a/src/entry/machine-watch.ts
+++ b/src/entry/machine-watch.ts
@@ -4,7 +4,7 @@
 /** Time between two readings of the list, in milliseconds. */
 const READ_INTERVAL = 2_000;
 const READ_TIMEOUT = 2_000;
-/** Absence after which a machine that was listed counts as dead; must exceed `WORD_LIMIT` of the agents. */
+/** Absence after which a machine that was listed counts as dead; must exceed `MAX_CONFIRMATION_GAP` of the agents. */
 const DEAD_AFTER = 10_000;
 /** The same for a machine that this process has never seen listed: it may be too new for the lagging list. */
 const DEAD_AFTER_UNSEEN = 60_000;
--- a/test/agent/versions.test.ts
+++ b/test/agent/version-reconciler.test.ts
@@ -1,6 +1,6 @@
 import { describe, expect, it } from 'vitest';
 import { OriginWeights } from '../../emulator/platform/weights.js';
-import { Versions, type VersionsComponents } from '../../src/agent/versions.js';
+import { VersionReconciler, type VersionReconcilerComponents } from '../../src/agent/version-reconciler.js';
 import { HybridClock } from '../../src/model/hybrid-clock.js';
 import { Timeline } from '../../src/observability/timeline.js';
 import type { Assignment } from '../../src/protocol/messages.js';
@@ -30,7 +30,7 @@
 }
 
 /** Versions over an exchange and an engine that never get anywhere; manifests asked for are noted. */
-function versionsNoting(asked: string[], ready: Set<string>): Versions {
+function versionsNoting(asked: string[], ready: Set<string>): VersionReconciler {
   const nothing = () => undefined;
   const parts = {
     exchange: { node: { transfers: new Map() }, begin: () => true, held: nothing, end: nothing },
@@ -41,7 +41,7 @@
     requestManifest: (version: string) => asked.push(version),
     requestsInProgress: () => 0,
   };
-  return new Versions(parts as unknown as VersionsComponents);
+  return new VersionReconciler(parts as unknown as VersionReconcilerComponents);
 }
 
 describe('the versions of an agent', () => {
--- a/test/systems/once.test.ts
+++ b/test/systems/once.test.ts
@@ -1,6 +1,6 @@
 import fc from 'fast-check';
 import { describe, expect, it } from 'vitest';
-import { KeyOwnership, WORD_LIMIT } from '../../src/agent/key-ownership.js';
+import { KeyOwnership, MAX_CONFIRMATION_GAP } from '../../src/agent/key-ownership.js';
 import { type KeptOutcome, OnceLedger } from '../../src/systems/once-ledger.js';
 import { decideOwners, keepsOwner, type OwnerCandidate, ownerOf } from '../../src/systems/ownership.js';
 
@@ -132,7 +132,7 @@
     let now = 0;
     const owned = new KeyOwnership('self', () => now);
     owned.confirm(0);
-    owned.follow(row);
+    owned.update(row);
     return {
       owned,
       at(time) {
@@ -149,27 +149,27 @@
 
   it('ends for keys that move as soon as the next list is known, and cannot be restored', () => {
     const { owned } = ownership();
-    owned.follow({ ...row, next: ['other'] });
-    owned.follow(row);
+    owned.update({ ...row, next: ['other'] });
+    owned.update(row);
     expect(owned.owns('k', 1)).toBe(false);
     expect(owned.claim()).toMatchObject({ movesAcknowledged: true });
   });
 
   it('ends after a long silence of the entries, until it is confirmed again', () => {
     const { at } = ownership();
-    expect(at(WORD_LIMIT).owns('k', 1)).toBe(true);
-    const late = at(WORD_LIMIT + 1);
+    expect(at(MAX_CONFIRMATION_GAP).owns('k', 1)).toBe(true);
+    const late = at(MAX_CONFIRMATION_GAP + 1);
     expect(late.owns('k', 1)).toBe(false);
-    expect(late.confirm(WORD_LIMIT + 1)).toBe(false);
+    expect(late.confirm(MAX_CONFIRMATION_GAP + 1)).toBe(false);
     expect(late.owns('k', 1)).toBe(false);
-    late.follow({ ...row, epoch: 2 });
+    late.update({ ...row, epoch: 2 });
     expect(late.owns('k', 2)).toBe(true);
   });
 
   it('is not restored by a message that was delayed while the process was frozen', () => {
     const { at } = ownership();
-    const thawed = at(WORD_LIMIT + 1);
-    thawed.follow(row);
+    const thawed = at(MAX_CONFIRMATION_GAP + 1);
+    thawed.update(row);
     expect(thawed.owns('k', 1)).toBe(false);
   });
 });
