--- a/src/agent/agent.ts
+++ b/src/agent/agent.ts
@@ -1,6 +1,6 @@
 /**
- * The role of a back-end machine: the only way to the local engine or plain service. Composition of chunk
- * exchange, version loading, admission, and the link to the home entry.
+ * The agent: the process on a back-end machine through which all requests to the local engine or plain service go.
+ * It composes the chunk exchange, version loading, request admission and the link to the home entry.
  */
 
 import { randomBytes } from 'node:crypto';
@@ -38,9 +38,9 @@
 import { VersionLoader } from './version-loader.js';
 import { VersionReconciler } from './version-reconciler.js';
 
-/** Shortest time between two statuses to the home entry, in milliseconds. */
+/** Minimum time between two status messages to the home entry after changes, in milliseconds. */
 const STATUS_MIN_INTERVAL = 200;
-/** Time between two statuses when nothing changed, and between two reviews of the assignments. */
+/** Time between two status messages if nothing changes, and between two reconciliations, in milliseconds. */
 const STATUS_IDLE_INTERVAL = 2_000;
 
 /** Creates an agent from its settings. */
@@ -63,10 +63,10 @@
   return container.resolve('agent');
 }
 
-/** What an agent is composed of. */
+/** Components of an agent. */
 export interface AgentComponents {
   settings: AgentSettings;
-  /** Identity of this process; another process at the same address has another one. */
+  /** Identity of this process. A new process at the same address has a new identity. */
   identity: string;
   random: Random;
   clock: HybridClock;
@@ -87,7 +87,7 @@
   readonly #exchange: Exchange;
   readonly #loader: VersionLoader;
   readonly #calls: Calls;
-  /** Of a service's agent: which keys it owns. */
+  /** The idempotency keys that this agent owns; undefined for the agent of an engine. */
   readonly #ownership: KeyOwnership | undefined;
   readonly #homeLink: EntryLink;
   readonly #bursts: BurstLinks;
@@ -168,7 +168,7 @@
     this.#components.timeline.record({ type: 'processStarted', role: 'agent' });
     await this.#startables.start();
     this.#idleTimer = setInterval(() => this.#onIdle(), STATUS_IDLE_INTERVAL);
-    this.#components.log.info('agent serves', { place: this.#info.place, zone: this.#info.zone });
+    this.#components.log.info('agent started', { place: this.#info.place, zone: this.#info.zone });
   }
 
   async stop(): Promise<void> {
@@ -178,16 +178,16 @@
     await this.#startables.stop();
   }
 
-  /** Takes no new work from now on; what is in progress goes on. */
+  /** Stops accepting new requests; requests in progress continue. */
   drain(): void {
     if (this.#calls.leaving) return;
     this.#calls.leave();
     this.#components.timeline.record({ type: 'processLeaving' });
-    this.#components.log.info('agent leaves');
+    this.#components.log.info('agent draining');
     this.#sendStatus();
   }
 
-  /** Requests in progress. */
+  /** Number of requests in progress. */
   get active(): number {
     return this.#calls.active;
   }
@@ -203,7 +203,7 @@
     else this.#calls.serve(connection);
   }
 
-  /** The entries that may coordinate a burst: the same for all agents, the lowest of each zone. */
+  /** Addresses of the entries that may coordinate a burst: the lowest of each zone, so that all agents agree on them. */
   #coordinators(): string[] {
     const coordinators = lowestOfEachZone(this.#entries).map((entry) => entry.address);
     return coordinators.length > 0
--- a/src/agent/errors.ts
+++ b/src/agent/errors.ts
@@ -1,7 +1,7 @@
-/** Errors of the agent's own layer. */
+/** Errors of the agent. */
 import type { Digest } from '../model/manifest.js';
 
-/** Why an assigned version is not being served yet. */
+/** Why an assigned version is not ready. */
 export type VersionError =
   | { type: 'manifestUnavailable'; version: Digest; reason: string }
   | { type: 'manifestMismatch'; version: Digest }
