--- a/src/agent/back-ends.ts
+++ b/src/agent/back-ends.ts
@@ -1,13 +1,14 @@
-/** The two kinds of back end that an agent can stand before: a model engine and a plain service. */
+/** The two kinds of back end that an agent can serve: a model engine and a plain service. */
 
 import { openHttp } from '../clients/http.js';
 import type { EngineClient } from '../engine/engine-client.js';
 import type { BackEnd, CallRequest } from './calls.js';
 import type { VersionLoader } from './version-loader.js';
 
+/** Time limit for cancelling a request at the engine, in milliseconds. */
 const CANCEL_TIMEOUT = 2_000;
 
-/** A model engine: a request runs only with the exact version that it names. */
+/** A model engine. A request runs only with the exact version that it states. */
 export function engineBackEnd(engine: EngineClient, loader: VersionLoader): BackEnd {
   return {
     refusalFor: (version) => (loader.ready.has(version) ? undefined : 'wrongVersion'),
@@ -19,7 +20,7 @@
   };
 }
 
-/** A plain service at `url`: requests are passed through. */
+/** A plain service at `url`. Method, path and body are forwarded, and the call's idempotency key as a header. */
 export function serviceBackEnd(url: string): BackEnd {
   return {
     refusalFor: () => undefined,
--- a/src/agent/calls.ts
+++ b/src/agent/calls.ts
@@ -1,6 +1,6 @@
 /**
- * Admission and running of requests at the back end. A refusal says at once that the request did not run;
- * an answer ends with an explicit end that names the number of its frames.
+ * Admits requests and runs them at the back end. A refused request is answered at once with the statement that it did
+ * not run. A complete answer ends with a `callEnd` message that states its number of frames.
  */
 import { type HttpStream, neverConnected } from '../clients/http.js';
 import type { Connection } from '../protocol/connection.js';
@@ -9,11 +9,11 @@
 import { OnceCalls, type OnceCounters } from './once-calls.js';
 import { SendWindow } from './send-window.js';
 
-/** Requests beyond the back end's capacity that may wait in it, as a share of the capacity. */
+/** Number of requests beyond the back end's capacity that may queue there, as a fraction of the capacity. */
 const QUEUE_RATIO = 1;
-/** Time for which a leaving owner of keys still takes calls with them, in milliseconds. */
+/** Time for which a leaving agent still accepts calls with idempotency keys that it owns, in milliseconds. */
 const OWNER_LEAVING_GRACE = 1_500;
-/** Time after which a refused caller may come back, in milliseconds. */
+/** Time after which a refused caller may retry, by reason of the refusal, in milliseconds. */
 const RETRY_AFTER: Record<CallRefusal, number> = {
   leaving: 0,
   overloaded: 500,
@@ -22,28 +22,28 @@
   backEndUnreachable: 1_000,
   notOwner: 100,
 };
-/** Longest time that a request may take, in milliseconds. */
+/** Upper bound of a request's remaining time, in milliseconds. */
 const MAX_TIME_LEFT = 3_600_000;
-/** Why a request is ended before its answer; one object each, since making an error takes long. */
+/** Reasons for aborting a request. They are shared objects because creating an error is slow. */
 const DEADLINE_PASSED = new Error('the deadline has passed');
 const CALLER_GONE = new Error('nobody waits for the answer');
-/** Last event of a whole streamed answer. */
+/** Last event of a complete event stream. */
 const STREAM_END = 'data: [DONE]';
 
-/** A request as it comes from an entry. */
+/** A request received from an entry. */
 export type CallRequest = CallMessage & { type: 'call' };
 
-/** The back end behind this agent. */
+/** The back end that this agent serves. */
 export interface BackEnd {
-  /** Whether a request for this version may run now; undefined when it may. */
+  /** Why a request for this version may not run now; undefined if it may. */
   refusalFor(version: string): CallRefusal | undefined;
-  /** Begins to run a request; the answer is streamed. Throws what the client library throws. */
+  /** Starts a request; the answer is streamed. Errors of the HTTP client are passed through. */
   run(call: CallRequest, signal: AbortSignal): Promise<HttpStream>;
-  /** Ends a request that nobody waits for any more. */
+  /** Cancels a request that is no longer needed. */
   cancel(call: CallRequest): void;
 }
 
-/** What has become of calls, for metrics. */
+/** Calls by outcome, for metrics. */
 export interface CallCounters {
   started: number;
   answered: number;
@@ -58,7 +58,7 @@
   window: SendWindow;
 }
 
-/** How a body is passed on. */
+/** Options for relaying a body. */
 interface RelayOptions {
   window: SendWindow;
   signal: AbortSignal;
@@ -68,7 +68,7 @@
 /** The calls of one agent. */
 export class Calls {
   readonly counters: CallCounters = { started: 0, answered: 0, refused: 0, failed: 0, cancelled: 0 };
-  /** Called when the number of requests in progress changed. */
+  /** Called when the number of requests in progress changes. */
   onChange: () => void = () => {};
   #leavingSince: number | undefined;
   readonly #onceCalls: OnceCalls;
@@ -82,27 +82,27 @@
     this.#onceCalls = new OnceCalls({ backEnd, ownership, onChange: () => this.onChange() });
   }
 
-  /** Requests in progress. */
+  /** Number of requests in progress. */
   get active(): number {
     return this.#active.size + this.#onceCalls.active;
   }
 
-  /** True once no new work is taken, or is about to be. */
+  /** True once `leave` has been called: new requests are refused, at the latest after `OWNER_LEAVING_GRACE`. */
   get leaving(): boolean {
     return this.#leavingSince !== undefined;
   }
 
-  /** What has become of calls that may not be repeated. */
+  /** Calls with an idempotency key, by outcome. */
   get onceCounters(): OnceCounters {
     return this.#onceCalls.counters;
   }
 
-  /** Takes no new work from now on. */
+  /** Stops accepting new requests. */
   leave(): void {
     this.#leavingSince ??= performance.now();
   }
 
-  /** Requests in progress for a version. */
+  /** Number of requests in progress for a version. */
   activeFor(version: string): number {
     let count = 0;
     for (const { call } of this.#active.values()) {
@@ -111,7 +111,7 @@
     return count;
   }
 
-  /** Serves the calls that come over a connection from an entry. */
+  /** Serves the calls that arrive on a connection from an entry. Calls in progress are cancelled when it closes. */
   serve(connection: Connection): void {
     const connectionCalls = new Set<string>();
     connection.handleMessages((message) => {
@@ -157,7 +157,7 @@
     return this.#backEnd.refusalFor(call.version);
   }
 
-  /** A leaving owner of keys takes calls for a moment longer: only it may run them until its keys have moved. */
+  /** A leaving owner still accepts calls with keys for a short time: no other agent may run them until the keys have moved. */
   #refusesNewWork(call: CallRequest): boolean {
     if (this.#leavingSince === undefined) return false;
     return call.once === undefined || performance.now() - this.#leavingSince > OWNER_LEAVING_GRACE;
@@ -209,7 +209,7 @@
     connection.send({ type: 'callFailed', callId, attempt, reason: String(cause), ran: 'unknown' });
   }
 
-  /** Passes the body on frame by frame; throws when it ends before it is whole. */
+  /** Relays the body frame by frame and returns the number of frames. Throws if the body is incomplete. */
   async #relayBody(
     connection: Connection,
     call: CallRequest,
@@ -239,13 +239,13 @@
   }
 }
 
-/** The time left as the timers take it; a sender may say anything. */
+/** The remaining time of a call in a range that timers accept, as the sender's value is not validated. */
 export function clampedTimeLeft(call: CallRequest): number {
   const milliseconds = Math.ceil(Number(call.timeLeft));
   return Number.isFinite(milliseconds) ? Math.min(Math.max(milliseconds, 1), MAX_TIME_LEFT) : 1;
 }
 
-/** Tells the entry that a call was not taken, and whether it provably did not run. */
+/** Refuses a call. `notRun` states whether it provably did not run. */
 export function refuseCall(
   connection: Connection,
   call: CallRequest,
