--- a/src/agent/once-calls.ts
+++ b/src/agent/once-calls.ts
@@ -1,6 +1,7 @@
 /**
- * Calls that may not be repeated: a key runs at most once in this process, and only while this process owns it.
- * A run goes on when its caller has gone, and its outcome is kept for whoever asks with the same key.
+ * Calls with an idempotency key, which must not be repeated. A key runs at most once in this process, and only while
+ * this process owns it. A run continues after its caller has disconnected, and its outcome is kept for later calls with
+ * the same key.
  */
 import { type HttpStream, neverConnected } from '../clients/http.js';
 import type { Connection } from '../protocol/connection.js';
@@ -9,12 +10,12 @@
 import { type BackEnd, type CallRequest, clampedTimeLeft, refuseCall } from './calls.js';
 import type { KeyOwnership } from './key-ownership.js';
 
-/** Longest time that a run may take, in milliseconds; it does not end with its caller. */
+/** Time limit of a run, in milliseconds; needed because a run does not end when its caller disconnects. */
 const RUN_TIMEOUT = 60_000;
-/** Largest answer that is kept for repetition, in bytes. */
+/** Size of the largest answer that is kept for later calls with the same key, in bytes. */
 const MAX_KEPT_ANSWER_BYTES = 64 * 1_024;
 
-/** What has become of calls with keys, for metrics. */
+/** Calls with idempotency keys by outcome, for metrics. */
 export interface OnceCounters {
   run: number;
   repeatedAnswers: number;
@@ -22,15 +23,15 @@
   refusedNotRun: number;
 }
 
-/** What the calls work with. */
+/** Components of {@link OnceCalls}. */
 export interface OnceCallsComponents {
   backEnd: BackEnd;
-  /** Undefined where this agent owns no keys. */
+  /** Undefined if this agent serves an engine, whose agents own no keys. */
   ownership: KeyOwnership | undefined;
   onChange: () => void;
 }
 
-/** The calls with keys of one agent. */
+/** The calls with idempotency keys of one agent. */
 export class OnceCalls {
   readonly counters: OnceCounters = { run: 0, repeatedAnswers: 0, unknown: 0, refusedNotRun: 0 };
   readonly #components: OnceCallsComponents;
@@ -41,12 +42,12 @@
     this.#components = components;
   }
 
-  /** Runs in progress. */
+  /** Number of runs in progress. */
   get active(): number {
     return this.#active;
   }
 
-  /** Answers a call; `refusal` tells why no new run may begin, if none may. */
+  /** Answers a call. `refusal` is the reason why no new run may start; undefined if one may. */
   async run(
     connection: Connection,
     call: CallRequest,
@@ -54,7 +55,7 @@
     refusal: CallRefusal | undefined,
   ): Promise<void> {
     const owns = this.#components.ownership?.owns(once.key, once.epoch) ?? false;
-    // An earlier attempt may have gone to the owner: only a first one provably has not run.
+    // An earlier attempt may have run at the owner, so only a first attempt provably has not run.
     if (!owns) return this.#refuse(connection, call, 'notOwner', once.attempt === 1);
     if (refusal !== undefined && !this.#ledger.knows(once.key)) {
       return this.#refuse(connection, call, refusal, this.#ledger.refuse(once, performance.now()));
@@ -98,7 +99,7 @@
     }
   }
 
-  /** Runs the call to its end; undefined when it provably never reached the back end. */
+  /** Runs the call and returns its outcome; undefined if it provably did not reach the back end. */
   async #runAtBackEnd(call: CallRequest): Promise<KeptOutcome | undefined> {
     let stream: HttpStream;
     try {
@@ -162,7 +163,7 @@
   }
 }
 
-/** What is kept of an outcome: not an answer that is too large. */
+/** The outcome to keep: an answer that is too large is replaced by a statement that the call ran. */
 function outcomeToKeep(outcome: KeptOutcome): KeptOutcome {
   if (outcome.type === 'unanswered' || outcome.body.byteLength <= MAX_KEPT_ANSWER_BYTES) return outcome;
   return { type: 'unanswered', ran: 'yes', reason: 'the answer was too large to be kept' };
--- a/src/agent/send-window.ts
+++ b/src/agent/send-window.ts
@@ -1,25 +1,25 @@
-/** How much of an answer may be on its way: the sender waits while the receiver has not taken what was sent. */
+/** Flow control for answers: the sender waits while too many bytes that it has sent are unacknowledged. */
 
-/** Bytes that may be sent and not yet taken. */
+/** Number of unacknowledged bytes from which the sender waits. */
 export const WINDOW_BYTES = 256 * 1_024;
 
-/** The window of one answer. */
+/** The send window of one answer. */
 export class SendWindow {
   #outstanding = 0;
   #resume: (() => void) | undefined;
 
-  /** Notes bytes that were sent. */
+  /** Records bytes as sent. */
   sent(bytes: number): void {
     this.#outstanding += bytes;
   }
 
-  /** The receiver has taken bytes. */
+  /** Records bytes as acknowledged by the receiver. */
   taken(bytes: number): void {
     this.#outstanding -= bytes;
     if (this.#outstanding < WINDOW_BYTES) this.#resume?.();
   }
 
-  /** Returns once there is room; rejects when `signal` aborts. */
+  /** Resolves once the window has room; rejects if `signal` aborts before. */
   async waitForRoom(signal: AbortSignal): Promise<void> {
     while (this.#outstanding >= WINDOW_BYTES) {
       signal.throwIfAborted();
