--- a/src/agent/chunk-store.ts
+++ b/src/agent/chunk-store.ts
@@ -1,6 +1,6 @@
 /**
- * The chunks in an agent's memory, by digest and within a budget. Chunks of a version that is pinned stay;
- * others go, the longest unpinned first, when room is needed.
+ * The chunks in an agent's memory, by digest and within a budget. Chunks of pinned versions are kept; others are evicted
+ * if their memory is needed, least recently unpinned first.
  */
 import type { Digest, Manifest } from '../model/manifest.js';
 
@@ -24,7 +24,7 @@
     return this.#chunks.get(digest);
   }
 
-  /** Pins all chunks of a version, there or still to come; returns false when they do not fit the budget. */
+  /** Pins all chunks of a version, also those not yet stored. Returns false if they do not fit the budget. */
   pin(manifest: Manifest): boolean {
     const fresh = uniqueChunks(manifest).filter(([digest]) => !this.#pins.has(digest));
     const needed = fresh.reduce((sum, [, bytes]) => sum + bytes, 0);
@@ -35,7 +35,7 @@
     return true;
   }
 
-  /** Ends a pin; the chunks stay until their room is needed. */
+  /** Removes a pin. The chunks are kept until their memory is needed. */
   unpin(manifest: Manifest): void {
     for (const [digest, bytes] of uniqueChunks(manifest)) {
       const pins = (this.#pins.get(digest) ?? 0) - 1;
@@ -49,7 +49,7 @@
     }
   }
 
-  /** Keeps a verified chunk of a pinned version. */
+  /** Stores a verified chunk of a pinned version. */
   put(digest: Digest, data: Buffer): void {
     if (this.#chunks.has(digest)) return;
     this.#chunks.set(digest, data);
@@ -64,7 +64,7 @@
     this.#chunks.set(digest, data);
   }
 
-  /** Frees what is not pinned until the pinned chunks still to come have room. */
+  /** Evicts unpinned chunks until all pinned chunks fit, also those not yet stored. */
   #evict(): void {
     let unpinnedBytes = this.#usedBytes - this.#pinnedBytesHeld();
     const room = this.#budgetBytes - this.#pinnedBytes;
--- a/src/agent/exchange.ts
+++ b/src/agent/exchange.ts
@@ -1,6 +1,6 @@
 /**
- * The chunk exchange of an agent: carries out what the distribution systems decide. It verifies every chunk
- * before the systems hear of it, and keeps chunk traffic within the link's rate.
+ * The chunk exchange of an agent: executes the commands of its {@link DistributionNode}. It verifies every chunk before
+ * it passes it to the node, and limits chunk traffic to the link's rate.
  */
 import { setMaxListeners } from 'node:events';
 import type { Origin } from '../clients/origin.js';
@@ -20,41 +20,44 @@
 import type { ChunkStore } from './chunk-store.js';
 import { PeerLinks } from './peer-links.js';
 
-/** Time between two ticks while a transfer runs and nothing else causes one, in milliseconds. */
+/** Time between two ticks while a transfer runs and no message causes one, in milliseconds. */
 const TICK_INTERVAL = 50;
-/** Time for one draw from the origin, in milliseconds. */
+/** Time limit for fetching a chunk from the origin, in milliseconds. */
 const ORIGIN_TIMEOUT = 30_000;
-/** Chunks in a row that a peer may send unasked (late answers to cancelled requests) before they are dropped. */
+/**
+ * Number of consecutive chunks without an open request that are accepted from a peer, as they may answer requests that
+ * were cancelled too late. Further ones are dropped.
+ */
 const MAX_UNREQUESTED_CHUNKS = 16;
 
-/** A transfer of this agent. */
+/** A running transfer. */
 interface ActiveTransfer {
   version: Digest;
   manifest: Manifest;
 }
 
-/** What the exchange tells the rest of the agent. */
+/** Events of an exchange. */
 export interface ExchangeEvents {
-  /** A chunk came that was not here, and matches its digest. */
+  /** A missing chunk has been received and matches its digest. */
   onVerified(version: Digest, chunk: number, data: Buffer): void;
-  /** A version is whole and verified. */
+  /** All chunks of a version are in memory and verified. */
   onComplete(version: Digest): void;
-  /** For the coordinator of the burst. */
+  /** A message is to be sent to the coordinator of the version's burst. */
   onCoordinatorMessage(version: Digest, message: Message): void;
 }
 
-/** Counts of one exchange, for metrics and benches. */
+/** Counters of one exchange, for metrics and benchmarks. */
 export interface ExchangeCounters {
   chunksFromPeers: number;
   chunksFromOrigin: number;
-  /** Bytes of chunks that came from machines of other regions. */
+  /** Bytes of chunks received from machines in other regions. */
   crossRegionBytes: number;
   corruptChunks: number;
-  /** Requests refused because the asking machine lies in a place that is not allowed. */
+  /** Requests refused because the requesting machine is in a place that is not allowed for the version. */
   placeRefusals: number;
 }
 
-/** What the exchange works with. */
+/** Components of an exchange. */
 export interface ExchangeComponents {
   context: ConnectionContext;
   store: ChunkStore;
@@ -63,7 +66,7 @@
   log: Log;
 }
 
-/** Link and randomness of the exchange. */
+/** Link rate and random seed of an exchange. */
 export interface ExchangeInit {
   linkBytesPerSecond: number;
   linkDuplex: 'shared' | 'full';
@@ -99,7 +102,7 @@
       limits: DEFAULT_DISTRIBUTION_LIMITS,
       random: seededRandom(init.seed),
     });
-    // Every paced chunk listens to it.
+    // Every chunk that waits for the link's rate adds a listener.
     setMaxListeners(0, this.#stopping.signal);
     this.#region = components.context.hello().peer.region;
     this.#outgoing = new Pacer(init.linkBytesPerSecond);
@@ -110,7 +113,7 @@
     });
   }
 
-  /** Nothing ticks until a first transfer begins. */
+  /** Does nothing: ticks start with the first transfer. */
   async start(): Promise<void> {}
 
   async stop(): Promise<void> {
@@ -119,12 +122,12 @@
     this.#links.closeAll();
   }
 
-  /** Takes over a connection that another agent opened. */
+  /** Registers a connection opened by another agent. */
   accept(connection: Connection): void {
     this.#links.accept(connection);
   }
 
-  /** Starts to fetch a version; returns false when the memory budget has no room for it. */
+  /** Starts to fetch a version, or updates its running transfer. Returns false if it does not fit the memory budget. */
   begin(assignment: Assignment, manifest: Manifest): boolean {
     const { version, priority } = assignment;
     const allowedPlaces = new Set(assignment.places);
@@ -147,7 +150,7 @@
     return true;
   }
 
-  /** Stops a version: nothing more is fetched or served of it, and its memory may be reused. */
+  /** Stops the transfer of a version. It is neither fetched nor served any more, and its memory may be reused. */
   end(version: Digest): void {
     const transfer = this.#transfers.get(transferKeyOf(version));
     if (transfer === undefined) return;
@@ -157,17 +160,17 @@
     this.#updateNode(() => this.node.stopTransfer(version));
   }
 
-  /** The chunks of a running transfer that are here, or undefined. */
+  /** The chunks held of a running transfer; undefined if there is no transfer. */
   held(version: Digest): ChunkSet | undefined {
     return this.node.transfers.get(version)?.have;
   }
 
-  /** The manifest of a running transfer, or undefined. */
+  /** The manifest of a running transfer; undefined if there is no transfer. */
   manifest(version: Digest): Manifest | undefined {
     return this.#transfers.get(transferKeyOf(version))?.manifest;
   }
 
-  /** The coordinator names peers to exchange with. */
+  /** Handles the coordinator's list of peers to exchange chunks with. */
   onNeighbours(key: TransferKey, peers: readonly PeerInfo[]): void {
     const transfer = this.#transfers.get(key);
     if (transfer === undefined) return;
@@ -176,7 +179,7 @@
     });
   }
 
-  /** The coordinator grants a draw from the origin or from outside the region. */
+  /** Handles the coordinator's grant to fetch a chunk from the origin or from another region. */
   onGrant(key: TransferKey, grant: Grant): void {
     const transfer = this.#transfers.get(key);
     if (transfer !== undefined) this.#updateNode(() => this.node.onGrant(transfer.version, grant));
@@ -190,7 +193,7 @@
     return have;
   }
 
-  /** Runs a handler that writes the tables, and a tick soon after. */
+  /** Runs a handler that changes the node's state, and schedules a tick unless one is pending. */
   #updateNode(handle: () => void): void {
     handle();
     if (this.#tickQueued) return;
@@ -201,7 +204,7 @@
     });
   }
 
-  /** Once all transfers are complete and nothing is queued, only messages cause ticks. */
+  /** Whether ticks are needed without messages: a transfer or announcement is incomplete, or an upload is queued. */
   get #isBusy(): boolean {
     const { transfers, uploads } = this.node;
     const isTransferring = [...transfers.values()].some(
@@ -347,7 +350,7 @@
     const expected = this.node.transfers.get(version)?.requests.get(message.chunk);
     if (expected?.peer === peer.id) this.#unrequestedChunks.delete(peer.id);
     else if (!this.#acceptsUnrequested(peer)) return;
-    // A copy: the frame's own buffer may be a slice of a larger one.
+    // Copied because the data may be a slice of a larger buffer, which would be kept in memory with it.
     const data = Buffer.from(message.data);
     this.counters.chunksFromPeers++;
     if (peer.region !== this.#region) this.counters.crossRegionBytes += data.byteLength;
