--- a/src/agent/entry-link.ts
+++ b/src/agent/entry-link.ts
@@ -1,30 +1,31 @@
 /**
- * A connection from an agent to an entry that is kept up: when it breaks, the next entry of the agent's order
- * is tried, after a short random wait so that the agents of a lost entry do not all come at once.
+ * A connection from an agent to an entry that is re-established when it is lost. The next entry in the agent's order is
+ * tried after a short random delay, so that the agents of a failed entry do not all reconnect at the same time.
  */
 import type { Random } from '../model/random.js';
 import type { Startable } from '../model/startable.js';
 import { type Connection, type ConnectionContext, connect } from '../protocol/connection.js';
 import type { Message } from '../protocol/messages.js';
 
-/** Shortest and longest wait before the next try, in milliseconds. */
+/** Minimum delay before the next attempt to connect, in milliseconds. */
 const MIN_RETRY_DELAY = 100;
+/** Upper bound of the random time added to it, in milliseconds. */
 const RETRY_JITTER = 400;
 
-/** What a link is created from. */
+/** Parameters of a link. */
 export interface EntryLinkInit {
   context: ConnectionContext;
   random: Random;
-  /** The entries to try, the preferred one first; read anew for each try. */
+  /** Addresses of the entries to try, in order of preference; called for each attempt. */
   candidates: () => string[];
-  /** A connection that began to be made at the given time is open; its messages come after this. */
+  /** Called when a connection is open, before its first message; `dialledAt` is the time at which the attempt began. */
   onOpen: (address: string, dialledAt: number) => void;
   onMessage: (message: Message) => void;
-  /** The entry has answered a sign of life that was sent at the given time. */
+  /** Called when the entry has answered a heartbeat that was sent at the given time. */
   onConfirmed?: (sentAt: number) => void;
 }
 
-/** One kept connection. */
+/** A connection to one of several entries. */
 export class EntryLink implements Startable {
   readonly #init: EntryLinkInit;
   readonly #stopping = new AbortController();
@@ -37,7 +38,7 @@
     this.#init = init;
   }
 
-  /** Address of the entry that is connected, if one is. */
+  /** Address of the connected entry, if any. */
   get address(): string | undefined {
     return this.#connection === undefined ? undefined : this.#address;
   }
@@ -52,12 +53,12 @@
     this.#connection?.close();
   }
 
-  /** Ends the connection, so that another is made. */
+  /** Closes the connection, so that another one is opened. */
   reconnect(): void {
     this.#connection?.close();
   }
 
-  /** Sends a message; it is lost when no entry is connected. */
+  /** Sends a message. Returns false if no entry is connected; the message is then dropped. */
   send(message: Message): boolean {
     return this.#connection?.send(message) ?? false;
   }
--- a/src/agent/peer-links.ts
+++ b/src/agent/peer-links.ts
@@ -1,25 +1,25 @@
-/** The connections of an agent to other agents: dialled when first needed, shared by all transfers. */
+/** The connections of an agent to other agents: opened when first needed and shared by all transfers. */
 
 import { type Connection, type ConnectionContext, connect } from '../protocol/connection.js';
 import type { Message } from '../protocol/messages.js';
 import type { PeerId, PeerInfo } from '../systems/distribution/transfer.js';
 
-/** Messages kept for a peer that is being dialled. */
+/** Maximum number of messages queued for a peer while its connection is being opened; further ones are dropped. */
 const MAX_QUEUED_MESSAGES = 256;
 
-/** A link that is open, or being opened. */
+/** A connection to a peer; `connection` is undefined while it is being opened. */
 interface PeerLink {
   connection: Connection | undefined;
   waiting: Message[];
 }
 
-/** What the links tell. */
+/** Events of the links. */
 export interface PeerLinkEvents {
   onMessage(peer: PeerInfo, message: Message): void;
   onLost(peer: PeerId): void;
 }
 
-/** The links of one agent. */
+/** The peer connections of one agent. */
 export class PeerLinks {
   readonly #links = new Map<PeerId, PeerLink>();
   readonly #context: ConnectionContext;
@@ -31,19 +31,19 @@
     this.#events = events;
   }
 
-  /** Takes over a connection that a peer opened. */
+  /** Registers a connection opened by a peer. */
   accept(connection: Connection): void {
     this.#register(connection);
   }
 
-  /** Sends to a peer, dialling it first if need be. */
+  /** Sends a message to a peer; opens a connection first if there is none. */
   send(peer: PeerInfo, message: Message): void {
     const link = this.#links.get(peer.id) ?? this.#dial(peer);
     if (link.connection !== undefined) link.connection.send(message);
     else if (link.waiting.length < MAX_QUEUED_MESSAGES) link.waiting.push(message);
   }
 
-  /** Sends to a peer that is connected; returns false when it is not. */
+  /** Sends a message to a peer if it is connected; returns false if not. */
   sendIfConnected(peer: PeerId, message: Message): boolean {
     return this.#links.get(peer)?.connection?.send(message) ?? false;
   }
@@ -57,7 +57,7 @@
     const link: PeerLink = { connection: undefined, waiting: [] };
     this.#links.set(peer.id, link);
     void connect(peer.address, this.#context, this.#closing.signal).then((outcome) => {
-      // A process replaced under the same address is another peer.
+      // A new process at the same address is another peer.
       if (outcome.ok && outcome.value.remote.peer.id === peer.id) return this.#register(outcome.value);
       if (outcome.ok) outcome.value.close();
       if (this.#links.get(peer.id) !== link) return;
@@ -76,7 +76,7 @@
     connection.handleMessages((message) => this.#events.onMessage(peer, message));
     connection.onClose = () => this.#onClosed(peer.id, connection);
     for (const message of waiting) connection.send(message);
-    // Both sides may have dialled: the earlier connection stays open for what is under way on it.
+    // Both sides may have opened a connection: the earlier one stays open for messages in transit on it.
     if (replaced?.open) replaced.onClose = () => {};
   }
 
