--- a/src/agent/key-ownership.ts
+++ b/src/agent/key-ownership.ts
@@ -1,15 +1,15 @@
-/** Which keys this agent's process may take, by the owners' list that its home entry last told. */
+/** Which idempotency keys this process owns, according to the latest list of owners from its home entry. */
 import type { OwnershipClaim } from '../protocol/messages.js';
 import { keepsOwner, type OwnersRow, ownerOf } from '../systems/ownership.js';
 
 /**
- * Longest gap between two signs of life exchanged with a home entry, in milliseconds. After a longer one this
- * process may have been taken for dead, and must be told anew what it owns. The entries wait longer than this
- * before they take a machine for dead (`DEAD_AFTER` in `src/entry/machine-watch.ts`).
+ * Longest time between two heartbeats answered by a home entry, in milliseconds. After a longer gap the entries may have
+ * declared this process dead, so it owns nothing until it receives a list again. The entries wait longer than this before
+ * they declare a machine dead (`DEAD_AFTER` in `src/entry/machine-watch.ts`).
  */
 export const MAX_CONFIRMATION_GAP = 6_000;
 
-/** The ownership of one agent. */
+/** The key ownership of one agent. */
 export class KeyOwnership {
   readonly #address: string;
   readonly #clock: () => number;
@@ -23,9 +23,9 @@
   }
 
   /**
-   * A home entry has answered a sign of life that was sent at time `at`. Only such an answer counts: any other
-   * message may have waited since before this process was frozen. Returns false when the gap was so long that what
-   * is owned must be told anew.
+   * Records that a home entry has answered a heartbeat sent at `at`. Other messages do not count, as they may have been
+   * queued since before this process was suspended. Returns false if the gap was so long that the list of owners must be
+   * received again.
    */
   confirm(at: number): boolean {
     const isGap = at - this.#confirmedAt > MAX_CONFIRMATION_GAP;
@@ -34,7 +34,7 @@
     return !isGap;
   }
 
-  /** Follows a list, unless a later one is followed; returns true when that changed something. */
+  /** Applies a list of owners unless a later one is known. Returns true if it was applied. */
   update(row: OwnersRow): boolean {
     const current = this.#row;
     if (current !== undefined && row.epoch < current.epoch) return false;
@@ -44,14 +44,14 @@
     return true;
   }
 
-  /** What this process says of its ownership. */
+  /** The ownership that this process reports to its home entry; undefined if it has no list of owners. */
   claim(): OwnershipClaim | undefined {
     if (this.#row === undefined) return undefined;
     const { epoch, next } = this.#row;
     return { epoch, heldFor: this.#clock() - this.#epochSince, movesAcknowledged: next !== undefined };
   }
 
-  /** Whether a key that was routed under `epoch` may be taken now. */
+  /** Whether this process may run a call with this key that was routed under `epoch`. */
   owns(key: string, epoch: number): boolean {
     const row = this.#row;
     if (row === undefined || row.epoch !== epoch) return false;
