--- a/src/agent/version-loader.ts
+++ b/src/agent/version-loader.ts
@@ -1,6 +1,6 @@
 /**
- * Brings whole, verified versions into the engine by fenced orders, and takes old ones out. A version counts
- * as ready only while the engine itself reports its digest.
+ * Loads complete, verified versions into the engine by fenced orders and unloads old ones. A version counts as ready only
+ * while the engine itself reports its digest.
  */
 import type { EngineClient, EngineState } from '../engine/engine-client.js';
 import type { Digest, Manifest } from '../model/manifest.js';
@@ -9,15 +9,16 @@
 import type { Timeline } from '../observability/timeline.js';
 import type { ChunkStore } from './chunk-store.js';
 
-/** Time between two readings of the engine's state, in milliseconds. */
+/** Time between two polls of the engine's state, in milliseconds. */
 const STATE_INTERVAL = 1_000;
-/** The same while a version is being loaded. */
+/** Time between two polls while a version is being loaded, in milliseconds. */
 const LOADING_STATE_INTERVAL = 50;
+/** Time limit for a call to the engine, and for a load to take effect, in milliseconds. */
 const CALL_TIMEOUT = 5_000;
-/** Time until a failed load is tried again, in milliseconds. */
+/** Delay before a failed load is retried, in milliseconds. */
 const LOAD_RETRY_DELAY = 1_000;
 
-/** What the loader works with. */
+/** Components of a version loader. */
 export interface VersionLoaderComponents {
   engine: EngineClient;
   store: ChunkStore;
@@ -25,17 +26,17 @@
   log: Log;
 }
 
-/** The loader of one agent. */
+/** The version loader of one agent. */
 export class VersionLoader implements Startable {
-  /** Called when the set of ready versions or the reported load changed. */
+  /** Called when the set of ready versions or the reported number of requests changes. */
   onChange: () => void = () => {};
   readonly #components: VersionLoaderComponents;
   readonly #stopping = new AbortController();
   readonly #loading = new Set<Digest>();
   readonly #ready = new Set<Digest>();
-  /** Versions that an order to unload is out for. */
+  /** Versions with an unload order in progress; they do not count as ready. */
   readonly #unloading = new Set<Digest>();
-  /** Chunks handed to the engine, or on the way to it, by version and index. */
+  /** Chunks staged at the engine, or being staged, by version and index. */
   readonly #staging = new Map<string, Promise<boolean>>();
   #wanted = new Set<Digest>();
   #epoch: number | undefined;
@@ -46,12 +47,12 @@
     this.#components = components;
   }
 
-  /** The versions that the engine reports as loaded, by the digest that it computed itself. */
+  /** Versions that the engine reports as loaded with a matching digest, which it computed itself. */
   get ready(): ReadonlySet<Digest> {
     return this.#ready;
   }
 
-  /** Requests in progress as the engine last reported. */
+  /** Number of requests in progress, as last reported by the engine. */
   get active(): number {
     return this.#active;
   }
@@ -66,13 +67,13 @@
     this.#stopping.abort();
   }
 
-  /** Begins to stage a verified chunk while the rest of its version is still on the way. */
+  /** Stages a verified chunk while other chunks of its version are still being fetched. */
   stageEarly(version: Digest, chunk: number, data: Buffer): void {
     this.#wanted.add(version);
     void this.#stage(version, chunk, data);
   }
 
-  /** Stages and loads a version whose chunks are all in the store; tries again until it is ready or unwanted. */
+  /** Stages and loads a version whose chunks are all in the store; retries until it is ready or is to be unloaded. */
   async load(version: Digest, manifest: Manifest, revision: number): Promise<void> {
     if (this.#loading.has(version) || this.#ready.has(version)) return;
     this.#loading.add(version);
@@ -87,7 +88,7 @@
     }
   }
 
-  /** Takes a version out of the engine. It counts as not ready from the first moment on. */
+  /** Unloads a version from the engine. It stops counting as ready at once, before the engine has confirmed. */
   async unload(version: Digest, revision: number): Promise<void> {
     this.#wanted.delete(version);
     this.#unloading.add(version);
@@ -112,7 +113,7 @@
     }
   }
 
-  /** Stages a chunk once; a failed try is forgotten, so that the next one asks the engine again. */
+  /** Stages a chunk once. A failure is not kept, so that the next call stages the chunk again. */
   #stage(version: Digest, chunk: number, data: Buffer): Promise<boolean> {
     const key = `${version}/${chunk}`;
     let staging = this.#staging.get(key);
@@ -140,7 +141,7 @@
     const outcome = await engine.order({ kind, version, fence: { epoch, revision } }, this.#callSignal());
     if (outcome.ok) return true;
     timeline.record({ type: 'orderRefused', order: kind, version, reason: outcome.error.type });
-    log.warn('order refused', { order: kind, version, reason: outcome.error.reason });
+    log.warn('engine refused order', { order: kind, version, reason: outcome.error.reason });
     return false;
   }
 
--- a/src/agent/version-reconciler.ts
+++ b/src/agent/version-reconciler.ts
@@ -1,6 +1,6 @@
 /**
- * What an agent does about its assignments: fetch each version's manifest, join the burst, load what is whole,
- * and take out what is no longer assigned once its successor is ready.
+ * Brings an agent in line with its assignments: requests the manifest of each assigned version, joins its burst, loads it
+ * once it is complete, and unloads versions that are no longer assigned once all assigned ones are ready.
  */
 import { type Digest, isManifestOf, type Manifest, totalBytes } from '../model/manifest.js';
 import type { Log } from '../observability/log.js';
@@ -11,20 +11,20 @@
 import type { Exchange } from './exchange.js';
 import type { VersionLoader } from './version-loader.js';
 
-/** What the versions work with. */
+/** Components of a version reconciler. */
 export interface VersionReconcilerComponents {
   exchange: Exchange;
   bursts: BurstLinks;
   loader: VersionLoader;
   timeline: Timeline;
   log: Log;
-  /** Asks the home entry for a manifest; it comes through {@link VersionReconciler.onManifest}. */
+  /** Requests a manifest from the home entry, which is passed to {@link VersionReconciler.onManifest}. */
   requestManifest: (version: Digest) => void;
-  /** Requests that run here with a version. */
+  /** Number of requests in progress for a version. */
   requestsInProgress: (version: Digest) => number;
 }
 
-/** The versions of one agent. */
+/** Reconciles the versions of one agent. */
 export class VersionReconciler {
   readonly #components: VersionReconcilerComponents;
   readonly #manifests = new Map<Digest, Manifest>();
@@ -36,7 +36,7 @@
     this.#components = components;
   }
 
-  /** Takes new assignments; older ones than those in force are ignored. */
+  /** Applies new assignments. Those of an older revision than the current ones are ignored. */
   assign(assignments: Assignment[], revision: number): void {
     if (revision < this.#revision) return;
     this.#revision = revision;
@@ -48,7 +48,7 @@
     this.reconcile();
   }
 
-  /** A manifest came; it is used only if it is the one that the version names. */
+  /** Handles a received manifest, which is used only if the version is its digest. */
   onManifest(version: Digest, manifest: Manifest): void {
     if (!isManifestOf(manifest, version)) {
       this.#problems.set(version, { type: 'manifestMismatch', version });
@@ -59,12 +59,12 @@
     this.reconcile();
   }
 
-  /** There is no manifest to be had; it is asked for again at the next review. */
+  /** Handles the failure of a manifest request. The manifest is requested again at the next reconciliation. */
   onManifestUnavailable(version: Digest, reason: string): void {
     this.#problems.set(version, { type: 'manifestUnavailable', version, reason });
   }
 
-  /** A version is whole and verified. */
+  /** Handles a complete and verified version: loads it into the engine. */
   onComplete(version: Digest): void {
     const assignment = this.#assignments.find((row) => row.version === version);
     const manifest = this.#manifests.get(version);
@@ -72,7 +72,7 @@
     void this.#components.loader.load(version, manifest, assignment.revision);
   }
 
-  /** Brings transfers and engine in line with the assignments; called again until nothing is left to do. */
+  /** Brings transfers and the engine in line with the assignments; called periodically and after each change. */
   reconcile(): void {
     const wanted = new Set(this.#assignments.map((row) => row.version));
     this.#stopUnwantedTransfers(wanted);
@@ -81,7 +81,7 @@
     this.#unloadSuperseded(wanted);
   }
 
-  /** How far each version is. */
+  /** The progress of each assigned or loaded version. */
   progress(): VersionProgress[] {
     const { loader, exchange } = this.#components;
     const versions = new Set([...this.#assignments.map((row) => row.version), ...loader.ready]);
@@ -121,7 +121,7 @@
     }
   }
 
-  /** A manifest of a large model takes about a megabyte: it is kept only while its version is wanted or served. */
+  /** Drops manifests of versions that are neither assigned nor served, as that of a large model takes about 1 MB. */
   #dropUnwantedManifests(wanted: ReadonlySet<Digest>): void {
     const { loader } = this.#components;
     for (const version of [...this.#manifests.keys(), ...this.#problems.keys()]) {
