--- a/src/agent/burst-links.ts
+++ b/src/agent/burst-links.ts
@@ -1,4 +1,4 @@
-/** The agent's side of burst coordination: for each transfer one link to the entry that coordinates it. */
+/** The links of an agent to burst coordinators: one for each transfer, to the entry that coordinates it. */
 import type { ChunkSet } from '../model/chunk-set.js';
 import type { Digest } from '../model/manifest.js';
 import { type Random, rendezvousOrder } from '../model/random.js';
@@ -8,17 +8,17 @@
 import { EntryLink } from './entry-link.js';
 import type { Exchange } from './exchange.js';
 
-/** What the links work with. */
+/** Components of the links. */
 export interface BurstLinksComponents {
   context: ConnectionContext;
   random: Random;
   timeline: Timeline;
   exchange: Exchange;
-  /** Addresses of the entries that may coordinate a burst. */
+  /** Returns the addresses of the entries that may coordinate a burst. */
   coordinators: () => string[];
 }
 
-/** The links of one agent. */
+/** The burst links of one agent. */
 export class BurstLinks {
   readonly #links = new Map<Digest, EntryLink>();
   readonly #components: BurstLinksComponents;
@@ -27,7 +27,7 @@
     this.#components = components;
   }
 
-  /** Joins the burst of a version; joins again by itself when the coordinator changes. */
+  /** Joins the burst of a version, and joins again whenever the link is re-established, as the coordinator may have changed. */
   join(assignment: Assignment): void {
     const { version, objective } = assignment;
     if (this.#links.has(version)) return;
@@ -57,7 +57,7 @@
     void link.stop();
   }
 
-  /** Sends to the coordinator of a version. */
+  /** Sends a message to the coordinator of a version. */
   send(version: Digest, message: Message): void {
     this.#links.get(version)?.send(message);
   }
--- a/src/agent/home-candidates.ts
+++ b/src/agent/home-candidates.ts
@@ -1,10 +1,10 @@
-/** Which entries an agent tries as its home, and in which order. */
+/** The entries that an agent tries as its home entry, in order of preference. */
 import { rendezvousOrder } from '../model/random.js';
 import type { EntryInfo } from '../protocol/messages.js';
 import type { PeerInfo } from '../systems/distribution/transfer.js';
 import type { ConfiguredEntry } from '../systems/entry-topology.js';
 
-/** Addresses of the entries that are not leaving; the settings' list until the home entry told others. */
+/** Addresses of the reported entries that are not leaving; the configured ones if there are none. */
 export function liveEntries(
   configured: readonly ConfiguredEntry[],
   reported: readonly EntryInfo[],
@@ -13,7 +13,7 @@
   return live.length > 0 ? live : configured.map((entry) => entry.address);
 }
 
-/** The entries of the own zone first, then those of the own place; among equals by rendezvous hash. */
+/** Addresses of the entries in the agent's zone, then of those in its place, then of the others; each group by rendezvous hash. */
 export function homeCandidates(
   self: PeerInfo,
   configured: readonly ConfiguredEntry[],
--- a/src/agent/operator-api.ts
+++ b/src/agent/operator-api.ts
@@ -1,9 +1,9 @@
-/** The agent's HTTP interface for operators: metrics, status, time line, drain. */
+/** The agent's HTTP API for operators: metrics, status, timeline and drain. */
 import Router from '@koa/router';
 import Koa from 'koa';
 import type { TimelineEntry } from '../observability/timeline.js';
 
-/** What the interface shows and does. */
+/** Sources and actions of the API. */
 export interface OperatorApiComponents {
   metrics: () => Promise<string>;
   status: () => object;
@@ -11,7 +11,7 @@
   drain: () => void;
 }
 
-/** Creates the interface. */
+/** Creates the API. */
 export function operatorApi(components: OperatorApiComponents): Koa {
   const router = new Router();
   router.get('/metrics', async (context) => {
