--- a/test/agent/calls.test.ts
+++ b/test/agent/calls.test.ts
@@ -14,8 +14,8 @@
   let handler: (message: Message) => void = () => {};
   const connection = {
     send: (message: Message) => sent.push(message) > 0,
-    handleMessages: (given: (message: Message) => void) => {
-      handler = given;
+    handleMessages: (newHandler: (message: Message) => void) => {
+      handler = newHandler;
     },
     onClose: () => {},
   };
@@ -40,11 +40,11 @@
 
 /** A back end that answers with `parts` as an event stream. */
 function backEnd(parts: string[], overrides: Partial<BackEnd> = {}): BackEnd & { runs: number } {
-  const made = {
+  const instance = {
     runs: 0,
     refusalFor: () => undefined,
     async run() {
-      made.runs++;
+      instance.runs++;
       const body = Readable.from(parts.map((part) => Buffer.from(part)));
       return {
         statusCode: 200,
@@ -55,7 +55,7 @@
     cancel: () => {},
     ...overrides,
   };
-  return made;
+  return instance;
 }
 
 async function outcomeOf(calls: Calls, request: CallRequest): Promise<Message[]> {
@@ -107,8 +107,8 @@
   });
 
   it('refuses what exceeds its bounds', async () => {
-    const never = backEnd([], { run: () => new Promise<HttpStream>(() => {}) });
-    const calls = new Calls(never, 1);
+    const unresponsive = backEnd([], { run: () => new Promise<HttpStream>(() => {}) });
+    const calls = new Calls(unresponsive, 1);
     const sent: Message[] = [];
     const { connection, receive } = connectionTo(sent);
     calls.serve(connection);
@@ -141,12 +141,12 @@
 
   it('cancels at the back end when the entry is gone', async () => {
     const cancelled: string[] = [];
-    const never = backEnd([], {
+    const unresponsive = backEnd([], {
       run: (_, signal) =>
         new Promise((_resolve, reject) => signal.addEventListener('abort', () => reject(new Error()))),
       cancel: (request) => cancelled.push(request.callId),
     });
-    const calls = new Calls(never, 1);
+    const calls = new Calls(unresponsive, 1);
     const { connection, receive } = connectionTo([]);
     calls.serve(connection);
     receive(call());
--- a/test/agent/chunk-store.test.ts
+++ b/test/agent/chunk-store.test.ts
@@ -5,7 +5,7 @@
 
 const CHUNK_BYTES = 10;
 
-function versionOf(...seeds: number[]): { manifest: Manifest; chunks: Buffer[] } {
+function createVersion(...seeds: number[]): { manifest: Manifest; chunks: Buffer[] } {
   const chunks = seeds.map((seed) => Buffer.alloc(CHUNK_BYTES, seed));
   return { manifest: buildManifest(Buffer.concat(chunks), CHUNK_BYTES), chunks };
 }
@@ -17,27 +17,27 @@
 describe('a chunk store', () => {
   it('refuses a version that does not fit its budget, and keeps what it has', () => {
     const store = new ChunkStore(3 * CHUNK_BYTES);
-    const first = versionOf(1, 2);
+    const first = createVersion(1, 2);
     expect(store.pin(first.manifest)).toBe(true);
     fill(store, first.chunks);
-    expect(store.pin(versionOf(3, 4).manifest)).toBe(false);
+    expect(store.pin(createVersion(3, 4).manifest)).toBe(false);
     expect(store.usedBytes).toBe(2 * CHUNK_BYTES);
   });
 
   it('counts chunks that two versions share once', () => {
     const store = new ChunkStore(3 * CHUNK_BYTES);
-    expect(store.pin(versionOf(1, 2).manifest)).toBe(true);
-    expect(store.pin(versionOf(2, 3).manifest)).toBe(true);
+    expect(store.pin(createVersion(1, 2).manifest)).toBe(true);
+    expect(store.pin(createVersion(2, 3).manifest)).toBe(true);
   });
 
   it('keeps chunks of an ended version for the next one, until their room is needed', () => {
     const store = new ChunkStore(3 * CHUNK_BYTES);
-    const old = versionOf(1, 2);
+    const old = createVersion(1, 2);
     store.pin(old.manifest);
     fill(store, old.chunks);
     store.unpin(old.manifest);
     expect(store.get(digestOf(old.chunks[0]))).toBeDefined();
-    store.pin(versionOf(2, 3, 4).manifest);
+    store.pin(createVersion(2, 3, 4).manifest);
     expect(store.get(digestOf(old.chunks[0]))).toBeUndefined();
     expect(store.get(digestOf(old.chunks[1]))).toBeDefined();
   });
@@ -50,9 +50,9 @@
     const property = fc.property(fc.array(step, { maxLength: 30 }), (steps) => {
       const budget = 6 * CHUNK_BYTES;
       const store = new ChunkStore(budget);
-      const pinned: Array<ReturnType<typeof versionOf>> = [];
+      const pinned: Array<ReturnType<typeof createVersion>> = [];
       for (const { pin, seeds } of steps) {
-        const version = versionOf(...seeds);
+        const version = createVersion(...seeds);
         if (pin && store.pin(version.manifest)) {
           pinned.push(version);
           fill(store, version.chunks);
--- a/test/agent/exchange.test.ts
+++ b/test/agent/exchange.test.ts
@@ -52,11 +52,11 @@
   weights: Buffer,
   manifest: Manifest,
   tamper = (data: Buffer) => data,
-): Origin & { draws: number } {
+): Origin & { fetches: number } {
   const origin = {
-    draws: 0,
+    fetches: 0,
     async chunk(digest: string) {
-      origin.draws++;
+      origin.fetches++;
       const index = manifest.chunks.findIndex((chunk) => chunk.digest === digest);
       if (index < 0) return failure({ type: 'notFound' as const, service: 'origin' });
       return success(tamper(Buffer.from(weights.subarray(index * CHUNK_BYTES, (index + 1) * CHUNK_BYTES))));
@@ -97,7 +97,7 @@
   return seeded;
 }
 
-function drawAll(target: TestAgent): void {
+function grantAll(target: TestAgent): void {
   for (const chunk of MANIFEST.chunks.keys()) {
     target.exchange.onGrant(KEY, { grantId: chunk + 1, chunk, source: { type: 'origin' } });
   }
@@ -108,17 +108,17 @@
 }
 
 /** A peer that speaks the protocol by hand. */
-async function impostor(
+async function manualPeer(
   target: TestAgent,
   place = 'place-a',
-): Promise<{ connection: Connection; heard: Message[] }> {
+): Promise<{ connection: Connection; received: Message[] }> {
   const { context } = await contextAt('impostor', place);
   const outcome = await connect(target.info.address, context, AbortSignal.timeout(5_000));
   if (!outcome.ok) throw new Error(outcome.error.reason);
-  const heard: Message[] = [];
-  outcome.value.handleMessages((message) => heard.push(message));
+  const received: Message[] = [];
+  outcome.value.handleMessages((message) => received.push(message));
   running.push({ stop: async () => outcome.value.close() });
-  return { connection: outcome.value, heard };
+  return { connection: outcome.value, received };
 }
 
 describe('the chunk exchange', () => {
@@ -134,11 +134,11 @@
     const origin = originOf(WEIGHTS, MANIFEST);
     const target = await agent('target', origin);
     target.exchange.begin(assignment(), MANIFEST);
-    drawAll(target);
+    grantAll(target);
     await until(() => target.completed.length > 0, 'completion');
     const ended = () => target.toCoordinator.filter((message) => message.type === 'grantEnded');
     await until(() => ended().length === MANIFEST.chunks.length, 'all grants returned');
-    expect(origin.draws).toBe(MANIFEST.chunks.length);
+    expect(origin.fetches).toBe(MANIFEST.chunks.length);
   });
 
   it('keeps no chunk that does not match its digest, whoever sent it', async () => {
@@ -148,12 +148,12 @@
     });
     const target = await agent('target', corrupting);
     target.exchange.begin(assignment(), MANIFEST);
-    drawAll(target);
+    grantAll(target);
     await until(() => target.exchange.counters.corruptChunks === MANIFEST.chunks.length, 'all chunks judged');
-    const { connection, heard } = await impostor(target);
+    const { connection, received } = await manualPeer(target);
     connection.send({ type: 'greet', transfer: KEY, have: new Uint8Array([0xff]) });
-    await until(() => heard.some((message) => message.type === 'request'), 'a request');
-    const request = heard.find((message) => message.type === 'request')!;
+    await until(() => received.some((message) => message.type === 'request'), 'a request');
+    const request = received.find((message) => message.type === 'request')!;
     connection.send({
       type: 'chunk',
       transfer: KEY,
@@ -169,11 +169,11 @@
 
   it('gives nothing to a machine in a place that is not allowed', async () => {
     const source = await seed('seed');
-    const { connection, heard } = await impostor(source, 'forbidden');
+    const { connection, received } = await manualPeer(source, 'forbidden');
     connection.send({ type: 'greet', transfer: KEY, have: new Uint8Array(1) });
     connection.send({ type: 'request', transfer: KEY, chunk: 0, have: 0, urgent: true });
-    await until(() => heard.some((message) => message.type === 'refuse'), 'a refusal');
-    expect(heard.filter((message) => message.type !== 'refuse')).toEqual([]);
+    await until(() => received.some((message) => message.type === 'refuse'), 'a refusal');
+    expect(received.filter((message) => message.type !== 'refuse')).toEqual([]);
     expect(source.exchange.counters.placeRefusals).toBe(1);
   });
 
@@ -206,7 +206,7 @@
 
   it('survives messages that make no sense', async () => {
     const source = await seed('seed');
-    const { connection } = await impostor(source);
+    const { connection } = await manualPeer(source);
     const nonsense = { type: 'request', transfer: KEY, chunk: 'x', have: null, urgent: 3 };
     connection.send(nonsense as unknown as Message);
     connection.send({ type: 'announce', transfer: KEY, chunks: 7, queueLength: 0 } as unknown as Message);
--- a/test/agent/version-loader.test.ts
+++ b/test/agent/version-loader.test.ts
@@ -15,7 +15,7 @@
 const VERSION = versionOf(MANIFEST);
 
 /** A client that drives the stand-in's weights without a network. */
-function clientOf(weights: EngineWeights): EngineClient {
+function createClient(weights: EngineWeights): EngineClient {
   const fenced = { type: 'fenced' as const, reason: 'stale' };
   return {
     state: async () => success({ versions: [...weights.versions.values()], fence: weights.fence, active: 0 }),
@@ -38,12 +38,12 @@
 
 const loaders: VersionLoader[] = [];
 
-async function loaderOf(weights: EngineWeights, held = CHUNKS): Promise<VersionLoader> {
+async function createLoader(weights: EngineWeights, held = CHUNKS): Promise<VersionLoader> {
   const store = new ChunkStore(1_000);
   store.pin(MANIFEST);
   for (const chunk of held) store.put(digestOf(chunk), chunk);
   const timeline = new Timeline('test', new HybridClock());
-  const loader = new VersionLoader({ engine: clientOf(weights), store, timeline, log: silentLog });
+  const loader = new VersionLoader({ engine: createClient(weights), store, timeline, log: silentLog });
   await loader.start();
   loaders.push(loader);
   return loader;
@@ -55,7 +55,7 @@
 
 describe('the version loader', () => {
   it('counts a version as ready once the engine reports its digest', async () => {
-    const loader = await loaderOf(new EngineWeights(true));
+    const loader = await createLoader(new EngineWeights(true));
     expect([...loader.ready]).toEqual([]);
     void loader.load(VERSION, MANIFEST, 1);
     await until(() => loader.ready.has(VERSION), 'readiness');
@@ -63,7 +63,7 @@
 
   it('gives no order to load while a chunk is missing', async () => {
     const weights = new EngineWeights(true);
-    const loader = await loaderOf(weights, CHUNKS.slice(0, 2));
+    const loader = await createLoader(weights, CHUNKS.slice(0, 2));
     for (const [index, chunk] of CHUNKS.slice(0, 2).entries()) loader.stageEarly(VERSION, index, chunk);
     void loader.load(VERSION, MANIFEST, 1);
     await until(() => weights.versions.get(VERSION) !== undefined, 'staging');
@@ -77,14 +77,14 @@
     weights.stage(VERSION, 0, CHUNKS[0]);
     weights.beginLoad(VERSION);
     weights.endLoad(VERSION);
-    const loader = await loaderOf(weights);
+    const loader = await createLoader(weights);
     expect(weights.audit.partialLoads).toBe(1);
     expect(loader.ready.has(VERSION)).toBe(false);
   });
 
   it('cannot move an engine that a newer agent process has claimed', async () => {
     const weights = new EngineWeights(true);
-    const old = await loaderOf(weights);
+    const old = await createLoader(weights);
     void old.load(VERSION, MANIFEST, 1);
     await until(() => old.ready.has(VERSION), 'readiness');
     weights.claim(weights.fence.epoch + 1);
@@ -95,7 +95,7 @@
 
   it('treats a version as gone from the moment on at which it is to be unloaded', async () => {
     const weights = new EngineWeights(true);
-    const loader = await loaderOf(weights);
+    const loader = await createLoader(weights);
     void loader.load(VERSION, MANIFEST, 1);
     await until(() => loader.ready.has(VERSION), 'readiness');
     const unloading = loader.unload(VERSION, 1);
--- a/test/agent/version-reconciler.test.ts
+++ b/test/agent/version-reconciler.test.ts
@@ -30,34 +30,34 @@
 }
 
 /** Versions over an exchange and an engine that never get anywhere; manifests asked for are noted. */
-function versionsNoting(asked: string[], ready: Set<string>): VersionReconciler {
-  const nothing = () => undefined;
-  const parts = {
-    exchange: { node: { transfers: new Map() }, begin: () => true, held: nothing, end: nothing },
-    bursts: { join: nothing, leave: nothing },
-    loader: { ready, load: nothing, unload: nothing },
+function createReconciler(requested: string[], ready: Set<string>): VersionReconciler {
+  const noop = () => undefined;
+  const components = {
+    exchange: { node: { transfers: new Map() }, begin: () => true, held: noop, end: noop },
+    bursts: { join: noop, leave: noop },
+    loader: { ready, load: noop, unload: noop },
     log: {},
     timeline: new Timeline('a', new HybridClock()),
-    requestManifest: (version: string) => asked.push(version),
+    requestManifest: (version: string) => requested.push(version),
     requestsInProgress: () => 0,
   };
-  return new VersionReconciler(parts as unknown as VersionReconcilerComponents);
+  return new VersionReconciler(components as unknown as VersionReconcilerComponents);
 }
 
 describe('the versions of an agent', () => {
   it('forgets the manifest of a version that is not wanted any more', () => {
-    const asked: string[] = [];
-    const versions = versionsNoting(asked, new Set());
+    const requested: string[] = [];
+    const versions = createReconciler(requested, new Set());
     versions.assign([assignment(first.version)], 1);
     versions.onManifest(first.version, first.manifest);
     versions.assign([assignment(second.version)], 2);
     versions.assign([assignment(first.version)], 3);
-    expect(asked).toEqual([first.version, second.version, first.version]);
+    expect(requested).toEqual([first.version, second.version, first.version]);
   });
 
   it('keeps that of a version that is served until another is ready', () => {
-    const asked: string[] = [];
-    const versions = versionsNoting(asked, new Set([first.version]));
+    const requested: string[] = [];
+    const versions = createReconciler(requested, new Set([first.version]));
     versions.assign([assignment(first.version)], 1);
     versions.onManifest(first.version, first.manifest);
     versions.assign([assignment(second.version)], 2);
@@ -65,10 +65,10 @@
   });
 
   it('ignores assignments of an older revision', () => {
-    const asked: string[] = [];
-    const versions = versionsNoting(asked, new Set());
+    const requested: string[] = [];
+    const versions = createReconciler(requested, new Set());
     versions.assign([assignment(second.version)], 2);
     versions.assign([assignment(first.version)], 1);
-    expect(asked).toEqual([second.version]);
+    expect(requested).toEqual([second.version]);
   });
 });
