--- a/test/agent/calls.test.ts
+++ b/test/agent/calls.test.ts
@@ -9,7 +9,7 @@
 
 const VERSION = 'a'.repeat(64);
 
-/** A connection whose other side is the test. */
+/** A fake connection: sent messages are added to `sent`, and `receive` delivers a message to its handler. */
 function connectionTo(sent: Message[]) {
   let handler: (message: Message) => void = () => {};
   const connection = {
@@ -71,13 +71,13 @@
 }
 
 describe('calls at an agent', () => {
-  it('passes a whole answer on and names the number of its frames', async () => {
+  it('relays a complete answer and states its number of frames', async () => {
     const sent = await outcomeOf(new Calls(backEnd(['data: one\n\n', 'data: [DONE]\n\n']), 1), call());
     expect(sent.map(({ type }) => type)).toEqual(['callHead', 'callData', 'callData', 'callEnd']);
     expect(sent.at(-1)).toMatchObject({ frames: 2 });
   });
 
-  it('never passes a cut stream off as a whole one', async () => {
+  it('reports a truncated event stream as failed, not as complete', async () => {
     const sent = await outcomeOf(new Calls(backEnd(['data: one\n\n']), 1), call());
     expect(sent.at(-1)).toMatchObject({ type: 'callFailed', ran: 'yes' });
   });
@@ -86,18 +86,18 @@
     ['it is leaving', { leaving: true }, {}, 'leaving'],
     ['the version is not loaded', {}, { refusalFor: () => 'wrongVersion' as const }, 'wrongVersion'],
     [
-      'the back end takes no connection',
+      'the back end refuses connections',
       {},
       { run: () => Promise.reject(Object.assign(new Error(), { code: 'ECONNREFUSED' })) },
       'backEndUnreachable',
     ],
-  ])('refuses at once, as not run, when %s', async (_, state, overrides, reason) => {
+  ])('refuses a call at once, as not run, when %s', async (_, state, overrides, reason) => {
     const calls = new Calls(backEnd([], overrides), 1);
     if ('leaving' in state) calls.leave();
     expect(await outcomeOf(calls, call())).toMatchObject([{ type: 'callRefused', reason }]);
   });
 
-  it('does not say "not run" when the connection broke after the request had been sent', async () => {
+  it('does not state "not run" if the connection is reset after the request may have been sent', async () => {
     const broken = backEnd([], {
       run: () => Promise.reject(Object.assign(new Error(), { code: 'ECONNRESET' })),
     });
@@ -106,7 +106,7 @@
     ]);
   });
 
-  it('refuses what exceeds its bounds', async () => {
+  it('refuses calls beyond the capacity and the queue of the back end', async () => {
     const unresponsive = backEnd([], { run: () => new Promise<HttpStream>(() => {}) });
     const calls = new Calls(unresponsive, 1);
     const sent: Message[] = [];
@@ -116,7 +116,7 @@
     expect(sent).toMatchObject([{ type: 'callRefused', attempt: 3, reason: 'overloaded' }]);
   });
 
-  it('sends no more than the caller takes', async () => {
+  it('sends no more than the send window until the caller acknowledges bytes', async () => {
     const parts = Array.from({ length: 100 }, () => 'x'.repeat(16 * 1_024));
     const calls = new Calls(backEnd([...parts, 'data: [DONE]\n\n']), 1);
     const sent: Message[] = [];
@@ -134,12 +134,12 @@
     expect(sent.at(-1)).toMatchObject({ type: 'callEnd', frames: 101 });
   });
 
-  it.each([59_975.829, -1, Number.NaN, 1e12])('takes a time left of %d without harm', async (timeLeft) => {
+  it.each([59_975.829, -1, Number.NaN, 1e12])('ends a call with a remaining time of %d', async (timeLeft) => {
     const sent = await outcomeOf(new Calls(backEnd(['data: [DONE]\n\n']), 1), call({ timeLeft }));
     expect(sent.at(-1)?.type).toMatch(/callEnd|callFailed/);
   });
 
-  it('cancels at the back end when the entry is gone', async () => {
+  it('cancels a call at the back end when the entry disconnects', async () => {
     const cancelled: string[] = [];
     const unresponsive = backEnd([], {
       run: (_, signal) =>
@@ -151,7 +151,7 @@
     calls.serve(connection);
     receive(call());
     connection.onClose();
-    await until(() => calls.active === 0, 'the call ended');
+    await until(() => calls.active === 0, 'the end of the call');
     expect(cancelled).toContain('c');
   });
 });
--- a/test/agent/exchange.test.ts
+++ b/test/agent/exchange.test.ts
@@ -47,7 +47,7 @@
   };
 }
 
-/** An origin that has the weights; `tamper` may change what it sends. */
+/** An origin that has the weights; `tamper` may modify the chunks it returns. */
 function originOf(
   weights: Buffer,
   manifest: Manifest,
@@ -87,7 +87,7 @@
   return { exchange, store, info, timeline, completed, toCoordinator };
 }
 
-/** An agent that has the whole version already. */
+/** An agent that has all chunks of the version. */
 async function seed(name: string): Promise<TestAgent> {
   const seeded = await agent(name, originOf(WEIGHTS, MANIFEST));
   for (const [index, { digest }] of MANIFEST.chunks.entries()) {
@@ -107,12 +107,12 @@
   return Buffer.concat(manifest.chunks.map(({ digest }) => target.store.get(digest) ?? Buffer.alloc(0)));
 }
 
-/** A peer that speaks the protocol by hand. */
+/** A peer whose messages are sent by the test. */
 async function manualPeer(
   target: TestAgent,
   place = 'place-a',
 ): Promise<{ connection: Connection; received: Message[] }> {
-  const { context } = await contextAt('impostor', place);
+  const { context } = await contextAt('manual-peer', place);
   const outcome = await connect(target.info.address, context, AbortSignal.timeout(5_000));
   if (!outcome.ok) throw new Error(outcome.error.reason);
   const received: Message[] = [];
@@ -130,7 +130,7 @@
     expect(weightsOf(target).equals(WEIGHTS)).toBe(true);
   });
 
-  it('draws from the origin only under grants, and returns each of them', async () => {
+  it('fetches from the origin only under grants, and reports the end of each grant', async () => {
     const origin = originOf(WEIGHTS, MANIFEST);
     const target = await agent('target', origin);
     target.exchange.begin(assignment(), MANIFEST);
@@ -141,7 +141,7 @@
     expect(origin.fetches).toBe(MANIFEST.chunks.length);
   });
 
-  it('keeps no chunk that does not match its digest, whoever sent it', async () => {
+  it('discards chunks that do not match their digest, from the origin and from peers', async () => {
     const corrupting = originOf(WEIGHTS, MANIFEST, (data) => {
       data[0] ^= 0xff;
       return data;
@@ -149,7 +149,10 @@
     const target = await agent('target', corrupting);
     target.exchange.begin(assignment(), MANIFEST);
     grantAll(target);
-    await until(() => target.exchange.counters.corruptChunks === MANIFEST.chunks.length, 'all chunks judged');
+    await until(
+      () => target.exchange.counters.corruptChunks === MANIFEST.chunks.length,
+      'verification of all chunks',
+    );
     const { connection, received } = await manualPeer(target);
     connection.send({ type: 'greet', transfer: KEY, have: new Uint8Array([0xff]) });
     await until(() => received.some((message) => message.type === 'request'), 'a request');
@@ -161,13 +164,16 @@
       queueLength: 0,
       data: Buffer.alloc(CHUNK_BYTES),
     });
-    await until(() => target.exchange.counters.corruptChunks > MANIFEST.chunks.length, 'the chunk judged');
+    await until(
+      () => target.exchange.counters.corruptChunks > MANIFEST.chunks.length,
+      'verification of the chunk',
+    );
     expect(target.exchange.held(VERSION)!.size).toBe(0);
     expect(target.store.usedBytes).toBe(0);
     expect(target.timeline.entries().some(({ event }) => event.type === 'corruptChunk')).toBe(true);
   });
 
-  it('gives nothing to a machine in a place that is not allowed', async () => {
+  it('serves no chunk to a machine in a place that is not allowed', async () => {
     const source = await seed('seed');
     const { connection, received } = await manualPeer(source, 'forbidden');
     connection.send({ type: 'greet', transfer: KEY, have: new Uint8Array(1) });
@@ -177,7 +183,7 @@
     expect(source.exchange.counters.placeRefusals).toBe(1);
   });
 
-  it('takes over the chunks that a new version shares with the old one', async () => {
+  it('reuses the chunks that a new version shares with the old one', async () => {
     const changed = Buffer.concat([WEIGHTS.subarray(0, 6 * CHUNK_BYTES), Buffer.alloc(2 * CHUNK_BYTES, 9)]);
     const manifest = buildManifest(changed, CHUNK_BYTES);
     const version = versionOf(manifest);
@@ -187,7 +193,7 @@
     expect(target.exchange.held(version)!.size).toBe(6);
   });
 
-  it('drops a version that changed in mid-transfer, and finishes the new one', async () => {
+  it('stops the transfer of a version that is replaced, and completes the new one', async () => {
     const changed = Buffer.concat([WEIGHTS.subarray(0, 4 * CHUNK_BYTES), Buffer.alloc(4 * CHUNK_BYTES, 9)]);
     const manifest = buildManifest(changed, CHUNK_BYTES);
     const version = versionOf(manifest);
@@ -204,11 +210,11 @@
     expect(weightsOf(target, manifest).equals(changed)).toBe(true);
   });
 
-  it('survives messages that make no sense', async () => {
+  it('continues to serve peers after malformed messages', async () => {
     const source = await seed('seed');
     const { connection } = await manualPeer(source);
-    const nonsense = { type: 'request', transfer: KEY, chunk: 'x', have: null, urgent: 3 };
-    connection.send(nonsense as unknown as Message);
+    const malformed = { type: 'request', transfer: KEY, chunk: 'x', have: null, urgent: 3 };
+    connection.send(malformed as unknown as Message);
     connection.send({ type: 'announce', transfer: KEY, chunks: 7, queueLength: 0 } as unknown as Message);
     connection.send({ type: 'greet', transfer: KEY, have: 'x' } as unknown as Message);
     const target = await agent('target', originOf(WEIGHTS, MANIFEST));
