--- a/test/agent/chunk-store.test.ts
+++ b/test/agent/chunk-store.test.ts
@@ -15,7 +15,7 @@
 }
 
 describe('a chunk store', () => {
-  it('refuses a version that does not fit its budget, and keeps what it has', () => {
+  it('refuses to pin a version that does not fit its budget, and keeps the chunks that it has', () => {
     const store = new ChunkStore(3 * CHUNK_BYTES);
     const first = createVersion(1, 2);
     expect(store.pin(first.manifest)).toBe(true);
@@ -30,7 +30,7 @@
     expect(store.pin(createVersion(2, 3).manifest)).toBe(true);
   });
 
-  it('keeps chunks of an ended version for the next one, until their room is needed', () => {
+  it('keeps chunks of an unpinned version until their memory is needed', () => {
     const store = new ChunkStore(3 * CHUNK_BYTES);
     const old = createVersion(1, 2);
     store.pin(old.manifest);
@@ -42,7 +42,7 @@
     expect(store.get(digestOf(old.chunks[1]))).toBeDefined();
   });
 
-  it('never exceeds its budget, and never drops a pinned chunk', () => {
+  it('never exceeds its budget or evicts a pinned chunk', () => {
     const step = fc.record({
       pin: fc.boolean(),
       seeds: fc.uniqueArray(fc.integer({ min: 0, max: 9 }), { maxLength: 5 }),
--- a/test/agent/version-loader.test.ts
+++ b/test/agent/version-loader.test.ts
@@ -14,7 +14,7 @@
 const MANIFEST = buildManifest(Buffer.concat(CHUNKS), 10);
 const VERSION = versionOf(MANIFEST);
 
-/** A client that drives the stand-in's weights without a network. */
+/** A client that calls the emulated engine's weights directly, without a network. */
 function createClient(weights: EngineWeights): EngineClient {
   const fenced = { type: 'fenced' as const, reason: 'stale' };
   return {
@@ -61,7 +61,7 @@
     await until(() => loader.ready.has(VERSION), 'readiness');
   });
 
-  it('gives no order to load while a chunk is missing', async () => {
+  it('sends no load order while a chunk is missing', async () => {
     const weights = new EngineWeights(true);
     const loader = await createLoader(weights, CHUNKS.slice(0, 2));
     for (const [index, chunk] of CHUNKS.slice(0, 2).entries()) loader.stageEarly(VERSION, index, chunk);
@@ -72,7 +72,7 @@
     expect(weights.audit.loads).toBe(0);
   });
 
-  it('does not take an engine at its word when it loaded something else', async () => {
+  it('does not count a version as ready if the engine reports another digest for it', async () => {
     const weights = new EngineWeights(false);
     weights.stage(VERSION, 0, CHUNKS[0]);
     weights.beginLoad(VERSION);
@@ -82,7 +82,7 @@
     expect(loader.ready.has(VERSION)).toBe(false);
   });
 
-  it('cannot move an engine that a newer agent process has claimed', async () => {
+  it('cannot unload a version from an engine that a newer agent process has claimed', async () => {
     const weights = new EngineWeights(true);
     const old = await createLoader(weights);
     void old.load(VERSION, MANIFEST, 1);
@@ -93,7 +93,7 @@
     expect(weights.audit.ordersRefused).toBe(1);
   });
 
-  it('treats a version as gone from the moment on at which it is to be unloaded', async () => {
+  it('stops counting a version as ready as soon as its unloading starts', async () => {
     const weights = new EngineWeights(true);
     const loader = await createLoader(weights);
     void loader.load(VERSION, MANIFEST, 1);
--- a/test/agent/version-reconciler.test.ts
+++ b/test/agent/version-reconciler.test.ts
@@ -29,7 +29,7 @@
   };
 }
 
-/** Versions over an exchange and an engine that never get anywhere; manifests asked for are noted. */
+/** A reconciler whose exchange and engine make no progress; requested manifests are added to `requested`. */
 function createReconciler(requested: string[], ready: Set<string>): VersionReconciler {
   const noop = () => undefined;
   const components = {
@@ -44,8 +44,8 @@
   return new VersionReconciler(components as unknown as VersionReconcilerComponents);
 }
 
-describe('the versions of an agent', () => {
-  it('forgets the manifest of a version that is not wanted any more', () => {
+describe('the version reconciler', () => {
+  it('drops the manifest of a version that is no longer assigned', () => {
     const requested: string[] = [];
     const versions = createReconciler(requested, new Set());
     versions.assign([assignment(first.version)], 1);
@@ -55,7 +55,7 @@
     expect(requested).toEqual([first.version, second.version, first.version]);
   });
 
-  it('keeps that of a version that is served until another is ready', () => {
+  it('keeps the manifest of a version that is served until its successor is ready', () => {
     const requested: string[] = [];
     const versions = createReconciler(requested, new Set([first.version]));
     versions.assign([assignment(first.version)], 1);
