--- a/src/agent/version-reconciler.ts
+++ b/src/agent/version-reconciler.ts
@@ -1,6 +1,7 @@
 /**
- * Brings an agent in line with its assignments: requests the manifest of each assigned version, joins its burst, loads it
- * once it is complete, and unloads versions that are no longer assigned once all assigned ones are ready.
+ * Brings an agent in line with its assignments. It requests the manifest of each assigned version, joins its burst and
+ * loads it once it is complete. A version that is no longer assigned is unloaded once all assigned ones are ready and no
+ * request uses it.
  */
 import { type Digest, isManifestOf, type Manifest, totalBytes } from '../model/manifest.js';
 import type { Log } from '../observability/log.js';
