--- a/src/agent/agent.ts
+++ b/src/agent/agent.ts
@@ -1,6 +1,6 @@
 /**
- * The role of a back-end machine: the only way to the local engine or plain service. Composition of chunk
- * exchange, version loading, admission, and the link to the home entry.
+ * The agent: the process on a back-end machine through which all requests to the local engine or plain service go.
+ * It composes the chunk exchange, version loading, request admission and the link to the home entry.
  */
 
 import { randomBytes } from 'node:crypto';
@@ -36,11 +36,11 @@
 import { KeyOwnership } from './key-ownership.js';
 import { operatorApi } from './operator-api.js';
 import { VersionLoader } from './version-loader.js';
-import { Versions } from './versions.js';
+import { VersionReconciler } from './version-reconciler.js';
 
-/** Shortest time between two statuses to the home entry, in milliseconds. */
+/** Minimum time between two status messages to the home entry after changes, in milliseconds. */
 const STATUS_MIN_INTERVAL = 200;
-/** Time between two statuses when nothing changed, and between two reviews of the assignments. */
+/** Time between two status messages if nothing changes, and between two reconciliations, in milliseconds. */
 const STATUS_IDLE_INTERVAL = 2_000;
 
 /** Creates an agent from its settings. */
@@ -63,10 +63,10 @@
   return container.resolve('agent');
 }
 
-/** What an agent is composed of. */
+/** Components of an agent. */
 export interface AgentComponents {
   settings: AgentSettings;
-  /** Identity of this process; another process at the same address has another one. */
+  /** Identity of this process. A new process at the same address has a new identity. */
   identity: string;
   random: Random;
   clock: HybridClock;
@@ -87,12 +87,12 @@
   readonly #exchange: Exchange;
   readonly #loader: VersionLoader;
   readonly #calls: Calls;
-  /** Of a service's agent: which keys it owns. */
+  /** The idempotency keys that this agent owns; undefined for the agent of an engine. */
   readonly #ownership: KeyOwnership | undefined;
-  readonly #home: EntryLink;
+  readonly #homeLink: EntryLink;
   readonly #bursts: BurstLinks;
-  readonly #versions: Versions;
-  readonly #parts: StartableGroup;
+  readonly #versions: VersionReconciler;
+  readonly #startables: StartableGroup;
   #entries: EntryInfo[] = [];
   #sequence = 0;
   #statusTimer: NodeJS.Timeout | undefined;
@@ -125,7 +125,7 @@
     );
     const coordinators = () => this.#coordinators();
     this.#bursts = new BurstLinks({ context, random, timeline, exchange: this.#exchange, coordinators });
-    this.#home = new EntryLink({
+    this.#homeLink = new EntryLink({
       context,
       random,
       candidates: () => homeCandidates(this.#info, settings.entries, this.#entries),
@@ -135,16 +135,16 @@
       },
       onMessage: (message) => this.#onHomeMessage(message),
       onConfirmed: (sentAt) => {
-        if (this.#ownership?.confirm(sentAt) === false) this.#home.reconnect();
+        if (this.#ownership?.confirm(sentAt) === false) this.#homeLink.reconnect();
       },
     });
-    this.#versions = new Versions({
+    this.#versions = new VersionReconciler({
       exchange: this.#exchange,
       bursts: this.#bursts,
       loader: this.#loader,
       timeline,
       log,
-      requestManifest: (version) => this.#home.send({ type: 'fetchManifest', version }),
+      requestManifest: (version) => this.#homeLink.send({ type: 'fetchManifest', version }),
       requestsInProgress: (version) => this.#calls.activeFor(version),
     });
     this.#loader.onChange = () => this.#onVersionsChanged();
@@ -153,35 +153,41 @@
       this.#accept(connection),
     );
     const server = httpServer(settings.listen.operators, this.#operatorApi().callback());
-    const engineParts = settings.backEnd.kind === 'engine' ? [this.#loader] : [];
-    this.#parts = new StartableGroup([...engineParts, this.#exchange, listener, server, this.#home]);
+    const engineStartables = settings.backEnd.kind === 'engine' ? [this.#loader] : [];
+    this.#startables = new StartableGroup([
+      ...engineStartables,
+      this.#exchange,
+      listener,
+      server,
+      this.#homeLink,
+    ]);
     this.#addMetrics();
   }
 
   async start(): Promise<void> {
     this.#components.timeline.record({ type: 'processStarted', role: 'agent' });
-    await this.#parts.start();
+    await this.#startables.start();
     this.#idleTimer = setInterval(() => this.#onIdle(), STATUS_IDLE_INTERVAL);
-    this.#components.log.info('agent serves', { place: this.#info.place, zone: this.#info.zone });
+    this.#components.log.info('agent started', { place: this.#info.place, zone: this.#info.zone });
   }
 
   async stop(): Promise<void> {
     clearInterval(this.#idleTimer);
     clearTimeout(this.#statusTimer);
     await this.#bursts.stop();
-    await this.#parts.stop();
+    await this.#startables.stop();
   }
 
-  /** Takes no new work from now on; what is in progress goes on. */
+  /** Stops accepting new requests; requests in progress continue. */
   drain(): void {
     if (this.#calls.leaving) return;
     this.#calls.leave();
     this.#components.timeline.record({ type: 'processLeaving' });
-    this.#components.log.info('agent leaves');
+    this.#components.log.info('agent draining');
     this.#sendStatus();
   }
 
-  /** Requests in progress. */
+  /** Number of requests in progress. */
   get active(): number {
     return this.#calls.active;
   }
@@ -197,10 +203,12 @@
     else this.#calls.serve(connection);
   }
 
-  /** The entries that may coordinate a burst: the same for all agents, the lowest of each zone. */
+  /** Addresses of the entries that may coordinate a burst: the lowest of each zone, so that all agents agree on them. */
   #coordinators(): string[] {
-    const lowest = lowestOfEachZone(this.#entries).map((entry) => entry.address);
-    return lowest.length > 0 ? lowest : liveEntries(this.#components.settings.entries, this.#entries);
+    const coordinators = lowestOfEachZone(this.#entries).map((entry) => entry.address);
+    return coordinators.length > 0
+      ? coordinators
+      : liveEntries(this.#components.settings.entries, this.#entries);
   }
 
   #onHomeMessage(message: Message): void {
@@ -210,22 +218,22 @@
     }
     if (message.type !== 'assignments') return;
     this.#entries = message.entries;
-    this.#followOwners(message.owners);
+    this.#updateOwners(message.owners);
     this.#versions.assign(message.assignments, message.revision);
   }
 
-  #followOwners(owners: OwnersRow | undefined): void {
+  #updateOwners(owners: OwnersRow | undefined): void {
     if (owners === undefined || this.#ownership === undefined) return;
-    if (this.#ownership.follow(owners)) this.#sendStatus();
+    if (this.#ownership.update(owners)) this.#sendStatus();
   }
 
   #onVersionsChanged(): void {
-    this.#versions.review();
+    this.#versions.reconcile();
     this.#scheduleStatus();
   }
 
   #onIdle(): void {
-    this.#versions.review();
+    this.#versions.reconcile();
     this.#sendStatus();
   }
 
@@ -236,7 +244,7 @@
   #sendStatus(): void {
     clearTimeout(this.#statusTimer);
     this.#statusTimer = undefined;
-    this.#home.send({ type: 'status', status: this.#status() });
+    this.#homeLink.send({ type: 'status', status: this.#status() });
   }
 
   #status(): AgentStatus {
@@ -261,7 +269,7 @@
       metrics: () => metrics.text(),
       status: () => ({
         ...this.#status(),
-        home: this.#home.address,
+        home: this.#homeLink.address,
         exchange: this.#exchange.counters,
         traffic: this.#counters,
       }),
--- a/src/agent/entry-link.ts
+++ b/src/agent/entry-link.ts
@@ -1,30 +1,31 @@
 /**
- * A connection from an agent to an entry that is kept up: when it breaks, the next entry of the agent's order
- * is tried, after a short random wait so that the agents of a lost entry do not all come at once.
+ * A connection from an agent to an entry that is re-established when it is lost. The next entry in the agent's order is
+ * tried after a short random delay, so that the agents of a failed entry do not all reconnect at the same time.
  */
 import type { Random } from '../model/random.js';
 import type { Startable } from '../model/startable.js';
 import { type Connection, type ConnectionContext, connect } from '../protocol/connection.js';
 import type { Message } from '../protocol/messages.js';
 
-/** Shortest and longest wait before the next try, in milliseconds. */
-const RETRY_MIN = 100;
-const RETRY_SPREAD = 400;
+/** Minimum delay before the next attempt to connect, in milliseconds. */
+const MIN_RETRY_DELAY = 100;
+/** Upper bound of the random time added to it, in milliseconds. */
+const RETRY_JITTER = 400;
 
-/** What a link is created from. */
+/** Parameters of a link. */
 export interface EntryLinkInit {
   context: ConnectionContext;
   random: Random;
-  /** The entries to try, the preferred one first; read anew for each try. */
+  /** Addresses of the entries to try, in order of preference; called for each attempt. */
   candidates: () => string[];
-  /** A connection that began to be made at the given time is open; its messages come after this. */
+  /** Called when a connection is open, before its first message; `dialledAt` is the time at which the attempt began. */
   onOpen: (address: string, dialledAt: number) => void;
   onMessage: (message: Message) => void;
-  /** The entry has answered a sign of life that was sent at the given time. */
+  /** Called when the entry has answered a heartbeat that was sent at the given time. */
   onConfirmed?: (sentAt: number) => void;
 }
 
-/** One kept connection. */
+/** A connection to one of several entries. */
 export class EntryLink implements Startable {
   readonly #init: EntryLinkInit;
   readonly #stopping = new AbortController();
@@ -37,7 +38,7 @@
     this.#init = init;
   }
 
-  /** Address of the entry that is connected, if one is. */
+  /** Address of the connected entry, if any. */
   get address(): string | undefined {
     return this.#connection === undefined ? undefined : this.#address;
   }
@@ -52,47 +53,47 @@
     this.#connection?.close();
   }
 
-  /** Ends the connection, so that another is made. */
+  /** Closes the connection, so that another one is opened. */
   reconnect(): void {
     this.#connection?.close();
   }
 
-  /** Sends a message; it is lost when no entry is connected. */
+  /** Sends a message. Returns false if no entry is connected; the message is then dropped. */
   send(message: Message): boolean {
     return this.#connection?.send(message) ?? false;
   }
 
   async #connect(): Promise<void> {
     const candidates = this.#init.candidates();
-    if (candidates.length === 0) return this.#retry();
+    if (candidates.length === 0) return this.#scheduleRetry();
     const address = candidates[this.#attempt % candidates.length];
     const dialledAt = performance.now();
     const outcome = await connect(address, this.#init.context, this.#stopping.signal);
     if (this.#stopping.signal.aborted) return outcome.ok ? outcome.value.close() : undefined;
     if (!outcome.ok) {
       this.#attempt++;
-      return this.#retry();
+      return this.#scheduleRetry();
     }
     const connection = outcome.value;
     this.#connection = connection;
     this.#address = address;
     this.#attempt = 0;
-    connection.onClose = () => this.#lost(connection);
+    connection.onClose = () => this.#onClosed(connection);
     connection.onPong = this.#init.onConfirmed ?? (() => {});
     this.#init.onOpen(address, dialledAt);
     connection.handleMessages(this.#init.onMessage);
   }
 
-  #lost(connection: Connection): void {
+  #onClosed(connection: Connection): void {
     if (this.#connection !== connection) return;
     this.#connection = undefined;
     if (this.#stopping.signal.aborted) return;
     this.#attempt++;
-    this.#retry();
+    this.#scheduleRetry();
   }
 
-  #retry(): void {
-    const wait = RETRY_MIN + this.#init.random.fraction() * RETRY_SPREAD;
+  #scheduleRetry(): void {
+    const wait = MIN_RETRY_DELAY + this.#init.random.fraction() * RETRY_JITTER;
     this.#timer = setTimeout(() => void this.#connect(), wait);
   }
 }
--- a/src/agent/exchange.ts
+++ b/src/agent/exchange.ts
@@ -1,6 +1,6 @@
 /**
- * The chunk exchange of an agent: carries out what the distribution systems decide. It verifies every chunk
- * before the systems hear of it, and keeps chunk traffic within the link's rate.
+ * The chunk exchange of an agent: executes the commands of its {@link DistributionNode}. It verifies every chunk before
+ * it passes it to the node, and limits chunk traffic to the link's rate.
  */
 import { setMaxListeners } from 'node:events';
 import type { Origin } from '../clients/origin.js';
@@ -20,41 +20,44 @@
 import type { ChunkStore } from './chunk-store.js';
 import { PeerLinks } from './peer-links.js';
 
-/** Time between two ticks while a transfer runs and nothing else causes one, in milliseconds. */
+/** Time between two ticks while a transfer runs and no message causes one, in milliseconds. */
 const TICK_INTERVAL = 50;
-/** Time for one draw from the origin, in milliseconds. */
-const DRAW_TIMEOUT = 30_000;
-/** Chunks in a row that a peer may send unasked (late answers to cancelled requests) before they are dropped. */
-const MAX_UNASKED_CHUNKS = 16;
+/** Time limit for fetching a chunk from the origin, in milliseconds. */
+const ORIGIN_TIMEOUT = 30_000;
+/**
+ * Number of consecutive chunks without an open request that are accepted from a peer, as they may answer requests that
+ * were cancelled too late. Further ones are dropped.
+ */
+const MAX_UNREQUESTED_CHUNKS = 16;
 
-/** A transfer of this agent. */
+/** A running transfer. */
 interface ActiveTransfer {
   version: Digest;
   manifest: Manifest;
 }
 
-/** What the exchange tells the rest of the agent. */
+/** Events of an exchange. */
 export interface ExchangeEvents {
-  /** A chunk came that was not here, and matches its digest. */
+  /** A missing chunk has been received and matches its digest. */
   onVerified(version: Digest, chunk: number, data: Buffer): void;
-  /** A version is whole and verified. */
+  /** All chunks of a version are in memory and verified. */
   onComplete(version: Digest): void;
-  /** For the coordinator of the burst. */
+  /** A message is to be sent to the coordinator of the version's burst. */
   onCoordinatorMessage(version: Digest, message: Message): void;
 }
 
-/** Counts of one exchange, for metrics and benches. */
+/** Counters of one exchange, for metrics and benchmarks. */
 export interface ExchangeCounters {
   chunksFromPeers: number;
   chunksFromOrigin: number;
-  /** Bytes of chunks that came from machines of other regions. */
+  /** Bytes of chunks received from machines in other regions. */
   crossRegionBytes: number;
   corruptChunks: number;
-  /** Requests refused because the asking machine lies in a place that is not allowed. */
+  /** Requests refused because the requesting machine is in a place that is not allowed for the version. */
   placeRefusals: number;
 }
 
-/** What the exchange works with. */
+/** Components of an exchange. */
 export interface ExchangeComponents {
   context: ConnectionContext;
   store: ChunkStore;
@@ -63,7 +66,7 @@
   log: Log;
 }
 
-/** Link and randomness of the exchange. */
+/** Link rate and random seed of an exchange. */
 export interface ExchangeInit {
   linkBytesPerSecond: number;
   linkDuplex: 'shared' | 'full';
@@ -88,7 +91,7 @@
   readonly #outgoing: Pacer;
   readonly #incoming: Pacer;
   readonly #stopping = new AbortController();
-  readonly #unaskedChunks = new Map<string, number>();
+  readonly #unrequestedChunks = new Map<string, number>();
   #timer: NodeJS.Timeout | undefined;
   #tickQueued = false;
 
@@ -99,18 +102,18 @@
       limits: DEFAULT_DISTRIBUTION_LIMITS,
       random: seededRandom(init.seed),
     });
-    // Every paced chunk listens to it.
+    // Every chunk that waits for the link's rate adds a listener.
     setMaxListeners(0, this.#stopping.signal);
     this.#region = components.context.hello().peer.region;
     this.#outgoing = new Pacer(init.linkBytesPerSecond);
     this.#incoming = init.linkDuplex === 'shared' ? this.#outgoing : new Pacer(init.linkBytesPerSecond);
     this.#links = new PeerLinks(components.context, {
       onMessage: (peer, message) => this.#onPeerMessage(peer, message),
-      onLost: (peer) => this.#act(() => this.node.onPeerLost(peer, performance.now())),
+      onLost: (peer) => this.#updateNode(() => this.node.onPeerLost(peer, performance.now())),
     });
   }
 
-  /** Nothing ticks until a first transfer begins. */
+  /** Does nothing: ticks start with the first transfer. */
   async start(): Promise<void> {}
 
   async stop(): Promise<void> {
@@ -119,21 +122,21 @@
     this.#links.closeAll();
   }
 
-  /** Takes over a connection that another agent opened. */
+  /** Registers a connection opened by another agent. */
   accept(connection: Connection): void {
     this.#links.accept(connection);
   }
 
-  /** Starts to fetch a version; returns false when the memory budget has no room for it. */
+  /** Starts to fetch a version, or updates its running transfer. Returns false if it does not fit the memory budget. */
   begin(assignment: Assignment, manifest: Manifest): boolean {
     const { version, priority } = assignment;
     const allowedPlaces = new Set(assignment.places);
     const running = this.#transfers.has(transferKeyOf(version));
     if (!running && !this.#components.store.pin(manifest)) return false;
-    const have = this.#chunksHeld(manifest);
+    const have = this.#chunksInStore(manifest);
     const chunkCount = manifest.chunks.length;
     this.#transfers.set(transferKeyOf(version), { version, manifest });
-    this.#act(() =>
+    this.#updateNode(() =>
       this.node.startTransfer({ version, chunkCount, priority, allowedPlaces, have }, performance.now()),
     );
     if (running) return true;
@@ -147,42 +150,42 @@
     return true;
   }
 
-  /** Stops a version: nothing more is fetched or served of it, and its memory may be reused. */
+  /** Stops the transfer of a version. It is neither fetched nor served any more, and its memory may be reused. */
   end(version: Digest): void {
     const transfer = this.#transfers.get(transferKeyOf(version));
     if (transfer === undefined) return;
     this.#transfers.delete(transferKeyOf(version));
     this.#components.store.unpin(transfer.manifest);
     this.#components.timeline.record({ type: 'transferStopped', version });
-    this.#act(() => this.node.stopTransfer(version));
+    this.#updateNode(() => this.node.stopTransfer(version));
   }
 
-  /** The chunks of a running transfer that are here, or undefined. */
+  /** The chunks held of a running transfer; undefined if there is no transfer. */
   held(version: Digest): ChunkSet | undefined {
     return this.node.transfers.get(version)?.have;
   }
 
-  /** The manifest of a running transfer, or undefined. */
+  /** The manifest of a running transfer; undefined if there is no transfer. */
   manifest(version: Digest): Manifest | undefined {
     return this.#transfers.get(transferKeyOf(version))?.manifest;
   }
 
-  /** The coordinator names peers to exchange with. */
+  /** Handles the coordinator's list of peers to exchange chunks with. */
   onNeighbours(key: TransferKey, peers: readonly PeerInfo[]): void {
     const transfer = this.#transfers.get(key);
     if (transfer === undefined) return;
-    this.#act(() => {
+    this.#updateNode(() => {
       for (const peer of peers) this.node.addNeighbour(transfer.version, peer);
     });
   }
 
-  /** The coordinator grants a draw from the origin or from outside the region. */
+  /** Handles the coordinator's grant to fetch a chunk from the origin or from another region. */
   onGrant(key: TransferKey, grant: Grant): void {
     const transfer = this.#transfers.get(key);
-    if (transfer !== undefined) this.#act(() => this.node.onGrant(transfer.version, grant));
+    if (transfer !== undefined) this.#updateNode(() => this.node.onGrant(transfer.version, grant));
   }
 
-  #chunksHeld(manifest: Manifest): ChunkSet {
+  #chunksInStore(manifest: Manifest): ChunkSet {
     const have = new ChunkSet(manifest.chunks.length);
     for (const [index, chunk] of manifest.chunks.entries()) {
       if (this.#components.store.get(chunk.digest) !== undefined) have.add(index);
@@ -190,8 +193,8 @@
     return have;
   }
 
-  /** Runs a handler that writes the tables, and a tick soon after. */
-  #act(handle: () => void): void {
+  /** Runs a handler that changes the node's state, and schedules a tick unless one is pending. */
+  #updateNode(handle: () => void): void {
     handle();
     if (this.#tickQueued) return;
     this.#tickQueued = true;
@@ -201,16 +204,18 @@
     });
   }
 
-  /** Once all transfers are complete and nothing is queued, only messages cause ticks. */
+  /** Whether ticks are needed without messages: a transfer or announcement is incomplete, or an upload is queued. */
   get #isBusy(): boolean {
     const { transfers, uploads } = this.node;
-    const isMoving = [...transfers.values()].some((row) => !row.have.complete || row.unannounced.length > 0);
-    return isMoving || uploads.queued.length > 0;
+    const isTransferring = [...transfers.values()].some(
+      (row) => !row.have.complete || row.unannounced.length > 0,
+    );
+    return isTransferring || uploads.queued.length > 0;
   }
 
   #tick(): void {
     if (this.#stopping.signal.aborted) return;
-    for (const command of this.node.tick(performance.now())) this.#carryOut(command);
+    for (const command of this.node.tick(performance.now())) this.#execute(command);
     if (this.#timer !== undefined || !this.#isBusy) return;
     this.#timer = setTimeout(() => {
       this.#timer = undefined;
@@ -218,7 +223,7 @@
     }, TICK_INTERVAL);
   }
 
-  #carryOut(command: DistributionCommand): void {
+  #execute(command: DistributionCommand): void {
     const transfer = transferKeyOf(command.version);
     switch (command.type) {
       case 'greet':
@@ -235,7 +240,7 @@
         });
       case 'refuse': {
         const { chunk, reason, queueLength } = command;
-        if (reason === 'place') this.#noteRefusal(command);
+        if (reason === 'place') this.#recordPlaceRefusal(command);
         return void this.#links.sendIfConnected(command.peer, {
           type: 'refuse',
           transfer,
@@ -254,7 +259,7 @@
       case 'send':
         return void this.#sendChunk(command.version, command.chunk, command.peer, command.queueLength);
       case 'draw':
-        return void this.#draw(command.version, command.chunk);
+        return void this.#fetchFromOrigin(command.version, command.chunk);
       case 'report': {
         const { version, have, starving } = command;
         return this.#events.onCoordinatorMessage(version, { type: 'report', transfer, have, starving });
@@ -267,7 +272,7 @@
     }
   }
 
-  #noteRefusal({ version, chunk, peer, reason }: DistributionCommand & { type: 'refuse' }): void {
+  #recordPlaceRefusal({ version, chunk, peer, reason }: DistributionCommand & { type: 'refuse' }): void {
     this.counters.placeRefusals++;
     this.#components.timeline.record({ type: 'chunkRefused', version, chunk, peer, reason });
   }
@@ -284,7 +289,7 @@
         data,
       });
     }
-    this.#act(() => this.node.onUploadEnded());
+    this.#updateNode(() => this.node.onUploadEnded());
   }
 
   #chunkData(version: Digest, chunk: number): Buffer | undefined {
@@ -293,34 +298,36 @@
     return entry === undefined ? undefined : this.#components.store.get(entry.digest);
   }
 
-  async #draw(version: Digest, chunk: number): Promise<void> {
+  async #fetchFromOrigin(version: Digest, chunk: number): Promise<void> {
     const entry = this.manifest(version)?.chunks[chunk];
     if (entry === undefined) return;
-    const drawn = await this.#components.origin.chunk(entry.digest, AbortSignal.timeout(DRAW_TIMEOUT));
-    if (!drawn.ok) return this.#act(() => this.node.onOriginFetchFailed(version, chunk));
+    const fetched = await this.#components.origin.chunk(entry.digest, AbortSignal.timeout(ORIGIN_TIMEOUT));
+    if (!fetched.ok) return this.#updateNode(() => this.node.onOriginFetchFailed(version, chunk));
     this.counters.chunksFromOrigin++;
-    await this.#incoming.take(drawn.value.byteLength, this.#stopping.signal);
-    this.#receive(version, chunk, undefined, drawn.value, 0);
+    await this.#incoming.take(fetched.value.byteLength, this.#stopping.signal);
+    this.#verifyChunk(version, chunk, undefined, fetched.value, 0);
   }
 
   #onPeerMessage(peer: PeerInfo, message: Message): void {
     if (!('transfer' in message)) return;
     const transfer = this.#transfers.get(message.transfer);
-    if (transfer === undefined) return this.#refuseUnknown(peer, message);
+    if (transfer === undefined) return this.#refuseUnknownTransfer(peer, message);
     const { version } = transfer;
     const now = performance.now();
     switch (message.type) {
       case 'greet':
-        return this.#act(() => this.node.onGreeting(peer, version, message.have));
+        return this.#updateNode(() => this.node.onGreeting(peer, version, message.have));
       case 'announce':
-        return this.#act(() => this.node.onAnnounce(version, peer.id, message.chunks, message.queueLength));
+        return this.#updateNode(() =>
+          this.node.onAnnounce(version, peer.id, message.chunks, message.queueLength),
+        );
       case 'request':
-        return this.#act(() => this.node.onRequest(peer, { ...message, version }, now));
+        return this.#updateNode(() => this.node.onRequest(peer, { ...message, version }, now));
       case 'cancel':
-        return this.#act(() => this.node.onCancel(peer.id, version, message.chunk));
+        return this.#updateNode(() => this.node.onCancel(peer.id, version, message.chunk));
       case 'refuse': {
         const { chunk, reason, queueLength } = message;
-        return this.#act(() => this.node.onRefused(peer.id, version, chunk, reason, queueLength, now));
+        return this.#updateNode(() => this.node.onRefused(peer.id, version, chunk, reason, queueLength, now));
       }
       case 'chunk':
         return void this.#onChunkMessage(peer, version, message);
@@ -328,7 +335,7 @@
     }
   }
 
-  #refuseUnknown(peer: PeerInfo, message: Message): void {
+  #refuseUnknownTransfer(peer: PeerInfo, message: Message): void {
     if (message.type !== 'request') return;
     const { transfer, chunk } = message;
     const refusal: Message = { type: 'refuse', transfer, chunk, reason: 'absent', queueLength: 0 };
@@ -341,23 +348,23 @@
     message: Message & { type: 'chunk' },
   ): Promise<void> {
     const expected = this.node.transfers.get(version)?.requests.get(message.chunk);
-    if (expected?.peer === peer.id) this.#unaskedChunks.delete(peer.id);
-    else if (!this.#toleratesUnasked(peer)) return;
-    // A copy: the frame's own buffer may be a slice of a larger one.
+    if (expected?.peer === peer.id) this.#unrequestedChunks.delete(peer.id);
+    else if (!this.#acceptsUnrequested(peer)) return;
+    // Copied because the data may be a slice of a larger buffer, which would be kept in memory with it.
     const data = Buffer.from(message.data);
     this.counters.chunksFromPeers++;
     if (peer.region !== this.#region) this.counters.crossRegionBytes += data.byteLength;
     await this.#incoming.take(data.byteLength, this.#stopping.signal);
-    this.#receive(version, message.chunk, peer.id, data, message.queueLength);
+    this.#verifyChunk(version, message.chunk, peer.id, data, message.queueLength);
   }
 
-  #toleratesUnasked(peer: PeerInfo): boolean {
-    const count = (this.#unaskedChunks.get(peer.id) ?? 0) + 1;
-    this.#unaskedChunks.set(peer.id, count);
-    return count <= MAX_UNASKED_CHUNKS;
+  #acceptsUnrequested(peer: PeerInfo): boolean {
+    const count = (this.#unrequestedChunks.get(peer.id) ?? 0) + 1;
+    this.#unrequestedChunks.set(peer.id, count);
+    return count <= MAX_UNREQUESTED_CHUNKS;
   }
 
-  #receive(
+  #verifyChunk(
     version: Digest,
     chunk: number,
     from: string | undefined,
@@ -370,11 +377,11 @@
       this.counters.corruptChunks++;
       this.#components.timeline.record({ type: 'corruptChunk', version, chunk, from: from ?? 'origin' });
       this.#components.log.warn('corrupt chunk dropped', { version, chunk, from: from ?? 'origin' });
-      return this.#act(() => this.node.onCorruptChunk(version, chunk, from, performance.now()));
+      return this.#updateNode(() => this.node.onCorruptChunk(version, chunk, from, performance.now()));
     }
     this.#components.store.put(entry.digest, data);
     let isNew = false;
-    this.#act(() => {
+    this.#updateNode(() => {
       isNew = this.node.onChunk(version, chunk, from, queueLength, performance.now());
     });
     if (!isNew) return;
--- a/src/agent/key-ownership.ts
+++ b/src/agent/key-ownership.ts
@@ -1,20 +1,20 @@
-/** Which keys this agent's process may take, by the owners' list that its home entry last told. */
+/** Which idempotency keys this process owns, according to the latest list of owners from its home entry. */
 import type { OwnershipClaim } from '../protocol/messages.js';
 import { keepsOwner, type OwnersRow, ownerOf } from '../systems/ownership.js';
 
 /**
- * Longest gap between two signs of life exchanged with a home entry, in milliseconds. After a longer one this
- * process may have been taken for dead, and must be told anew what it owns. The entries wait longer than this
- * before they take a machine for dead (`DEAD_AFTER` in `src/entry/machine-watch.ts`).
+ * Longest time between two heartbeats answered by a home entry, in milliseconds. After a longer gap the entries may have
+ * declared this process dead, so it owns nothing until it receives a list again. The entries wait longer than this before
+ * they declare a machine dead (`DEAD_AFTER` in `src/entry/machine-watch.ts`).
  */
-export const WORD_LIMIT = 6_000;
+export const MAX_CONFIRMATION_GAP = 6_000;
 
-/** The ownership of one agent. */
+/** The key ownership of one agent. */
 export class KeyOwnership {
   readonly #address: string;
   readonly #clock: () => number;
   #row: OwnersRow | undefined;
-  #followedSince = 0;
+  #epochSince = 0;
   #confirmedAt = Number.NEGATIVE_INFINITY;
 
   constructor(address: string, clock: () => number) {
@@ -23,39 +23,39 @@
   }
 
   /**
-   * A home entry has answered a sign of life that was sent at time `at`. Only such an answer counts: any other
-   * message may have waited since before this process was frozen. Returns false when the gap was so long that what
-   * is owned must be told anew.
+   * Records that a home entry has answered a heartbeat sent at `at`. Other messages do not count, as they may have been
+   * queued since before this process was suspended. Returns false if the gap was so long that the list of owners must be
+   * received again.
    */
   confirm(at: number): boolean {
-    const isGap = at - this.#confirmedAt > WORD_LIMIT;
+    const isGap = at - this.#confirmedAt > MAX_CONFIRMATION_GAP;
     if (isGap) this.#row = undefined;
     this.#confirmedAt = Math.max(this.#confirmedAt, at);
     return !isGap;
   }
 
-  /** Follows a list, unless a later one is followed; returns true when that changed something. */
-  follow(row: OwnersRow): boolean {
-    const known = this.#row;
-    if (known !== undefined && row.epoch < known.epoch) return false;
-    if (known !== undefined && row.epoch === known.epoch && known.next !== undefined) return false;
-    if (known?.epoch !== row.epoch) this.#followedSince = this.#clock();
+  /** Applies a list of owners unless a later one is known. Returns true if it was applied. */
+  update(row: OwnersRow): boolean {
+    const current = this.#row;
+    if (current !== undefined && row.epoch < current.epoch) return false;
+    if (current !== undefined && row.epoch === current.epoch && current.next !== undefined) return false;
+    if (current?.epoch !== row.epoch) this.#epochSince = this.#clock();
     this.#row = row;
     return true;
   }
 
-  /** What this process says of its ownership. */
+  /** The ownership that this process reports to its home entry; undefined if it has no list of owners. */
   claim(): OwnershipClaim | undefined {
     if (this.#row === undefined) return undefined;
     const { epoch, next } = this.#row;
-    return { epoch, heldFor: this.#clock() - this.#followedSince, movesAcknowledged: next !== undefined };
+    return { epoch, heldFor: this.#clock() - this.#epochSince, movesAcknowledged: next !== undefined };
   }
 
-  /** Whether a key that was routed under `epoch` may be taken now. */
+  /** Whether this process may run a call with this key that was routed under `epoch`. */
   owns(key: string, epoch: number): boolean {
     const row = this.#row;
     if (row === undefined || row.epoch !== epoch) return false;
-    if (this.#clock() - this.#confirmedAt > WORD_LIMIT) return false;
+    if (this.#clock() - this.#confirmedAt > MAX_CONFIRMATION_GAP) return false;
     return ownerOf(key, row.owners) === this.#address && keepsOwner(key, row);
   }
 }
--- a/src/agent/versions.ts
+++ b/src/agent/version-reconciler.ts
@@ -1,6 +1,7 @@
 /**
- * What an agent does about its assignments: fetch each version's manifest, join the burst, load what is whole,
- * and take out what is no longer assigned once its successor is ready.
+ * Brings an agent in line with its assignments. It requests the manifest of each assigned version, joins its burst and
+ * loads it once it is complete. A version that is no longer assigned is unloaded once all assigned ones are ready and no
+ * request uses it.
  */
 import { type Digest, isManifestOf, type Manifest, totalBytes } from '../model/manifest.js';
 import type { Log } from '../observability/log.js';
@@ -11,32 +12,32 @@
 import type { Exchange } from './exchange.js';
 import type { VersionLoader } from './version-loader.js';
 
-/** What the versions work with. */
-export interface VersionsComponents {
+/** Components of a version reconciler. */
+export interface VersionReconcilerComponents {
   exchange: Exchange;
   bursts: BurstLinks;
   loader: VersionLoader;
   timeline: Timeline;
   log: Log;
-  /** Asks the home entry for a manifest; it comes through {@link Versions.onManifest}. */
+  /** Requests a manifest from the home entry, which is passed to {@link VersionReconciler.onManifest}. */
   requestManifest: (version: Digest) => void;
-  /** Requests that run here with a version. */
+  /** Number of requests in progress for a version. */
   requestsInProgress: (version: Digest) => number;
 }
 
-/** The versions of one agent. */
-export class Versions {
-  readonly #components: VersionsComponents;
+/** Reconciles the versions of one agent. */
+export class VersionReconciler {
+  readonly #components: VersionReconcilerComponents;
   readonly #manifests = new Map<Digest, Manifest>();
   #assignments: Assignment[] = [];
   #revision = 0;
   readonly #problems = new Map<Digest, VersionError>();
 
-  constructor(components: VersionsComponents) {
+  constructor(components: VersionReconcilerComponents) {
     this.#components = components;
   }
 
-  /** Takes new assignments; older ones than those in force are ignored. */
+  /** Applies new assignments. Those of an older revision than the current ones are ignored. */
   assign(assignments: Assignment[], revision: number): void {
     if (revision < this.#revision) return;
     this.#revision = revision;
@@ -45,10 +46,10 @@
     for (const { deployment, version } of assignments) {
       if (!known.has(version)) this.#components.timeline.record({ type: 'assigned', deployment, version });
     }
-    this.review();
+    this.reconcile();
   }
 
-  /** A manifest came; it is used only if it is the one that the version names. */
+  /** Handles a received manifest, which is used only if the version is its digest. */
   onManifest(version: Digest, manifest: Manifest): void {
     if (!isManifestOf(manifest, version)) {
       this.#problems.set(version, { type: 'manifestMismatch', version });
@@ -56,15 +57,15 @@
     }
     this.#manifests.set(version, manifest);
     this.#problems.delete(version);
-    this.review();
+    this.reconcile();
   }
 
-  /** There is no manifest to be had; it is asked for again at the next review. */
+  /** Handles the failure of a manifest request. The manifest is requested again at the next reconciliation. */
   onManifestUnavailable(version: Digest, reason: string): void {
     this.#problems.set(version, { type: 'manifestUnavailable', version, reason });
   }
 
-  /** A version is whole and verified. */
+  /** Handles a complete and verified version: loads it into the engine. */
   onComplete(version: Digest): void {
     const assignment = this.#assignments.find((row) => row.version === version);
     const manifest = this.#manifests.get(version);
@@ -72,16 +73,16 @@
     void this.#components.loader.load(version, manifest, assignment.revision);
   }
 
-  /** Brings transfers and engine in line with the assignments; called again until nothing is left to do. */
-  review(): void {
+  /** Brings transfers and the engine in line with the assignments; called periodically and after each change. */
+  reconcile(): void {
     const wanted = new Set(this.#assignments.map((row) => row.version));
-    this.#endUnwantedTransfers(wanted);
-    this.#forgetUnwanted(wanted);
-    for (const assignment of this.#assignments) this.#pursue(assignment);
+    this.#stopUnwantedTransfers(wanted);
+    this.#dropUnwantedManifests(wanted);
+    for (const assignment of this.#assignments) this.#ensureTransfer(assignment);
     this.#unloadSuperseded(wanted);
   }
 
-  /** How far each version is. */
+  /** The progress of each assigned or loaded version. */
   progress(): VersionProgress[] {
     const { loader, exchange } = this.#components;
     const versions = new Set([...this.#assignments.map((row) => row.version), ...loader.ready]);
@@ -97,7 +98,7 @@
     });
   }
 
-  #pursue(assignment: Assignment): void {
+  #ensureTransfer(assignment: Assignment): void {
     const { version } = assignment;
     const { loader, exchange, bursts, requestManifest } = this.#components;
     if (loader.ready.has(version) && exchange.held(version) === undefined) return;
@@ -112,7 +113,7 @@
     bursts.join(assignment);
   }
 
-  #endUnwantedTransfers(wanted: ReadonlySet<Digest>): void {
+  #stopUnwantedTransfers(wanted: ReadonlySet<Digest>): void {
     const { exchange, bursts } = this.#components;
     for (const version of [...exchange.node.transfers.keys()]) {
       if (wanted.has(version)) continue;
@@ -121,8 +122,8 @@
     }
   }
 
-  /** A manifest of a large model takes about a megabyte: it is kept only while its version is wanted or served. */
-  #forgetUnwanted(wanted: ReadonlySet<Digest>): void {
+  /** Drops manifests of versions that are neither assigned nor served, as that of a large model takes about 1 MB. */
+  #dropUnwantedManifests(wanted: ReadonlySet<Digest>): void {
     const { loader } = this.#components;
     for (const version of [...this.#manifests.keys(), ...this.#problems.keys()]) {
       if (wanted.has(version) || loader.ready.has(version)) continue;
@@ -133,8 +134,8 @@
 
   #unloadSuperseded(wanted: ReadonlySet<Digest>): void {
     const { loader, requestsInProgress } = this.#components;
-    const successorReady = [...wanted].every((version) => loader.ready.has(version));
-    if (!successorReady || this.#revision === 0) return;
+    const allWantedReady = [...wanted].every((version) => loader.ready.has(version));
+    if (!allWantedReady || this.#revision === 0) return;
     for (const version of loader.ready) {
       if (wanted.has(version) || requestsInProgress(version) > 0) continue;
       void loader.unload(version, this.#revision);
--- a/test/agent/exchange.test.ts
+++ b/test/agent/exchange.test.ts
@@ -47,16 +47,16 @@
   };
 }
 
-/** An origin that has the weights; `tamper` may change what it sends. */
+/** An origin that has the weights; `tamper` may modify the chunks it returns. */
 function originOf(
   weights: Buffer,
   manifest: Manifest,
   tamper = (data: Buffer) => data,
-): Origin & { draws: number } {
+): Origin & { fetches: number } {
   const origin = {
-    draws: 0,
+    fetches: 0,
     async chunk(digest: string) {
-      origin.draws++;
+      origin.fetches++;
       const index = manifest.chunks.findIndex((chunk) => chunk.digest === digest);
       if (index < 0) return failure({ type: 'notFound' as const, service: 'origin' });
       return success(tamper(Buffer.from(weights.subarray(index * CHUNK_BYTES, (index + 1) * CHUNK_BYTES))));
@@ -87,7 +87,7 @@
   return { exchange, store, info, timeline, completed, toCoordinator };
 }
 
-/** An agent that has the whole version already. */
+/** An agent that has all chunks of the version. */
 async function seed(name: string): Promise<TestAgent> {
   const seeded = await agent(name, originOf(WEIGHTS, MANIFEST));
   for (const [index, { digest }] of MANIFEST.chunks.entries()) {
@@ -97,7 +97,7 @@
   return seeded;
 }
 
-function drawAll(target: TestAgent): void {
+function grantAll(target: TestAgent): void {
   for (const chunk of MANIFEST.chunks.keys()) {
     target.exchange.onGrant(KEY, { grantId: chunk + 1, chunk, source: { type: 'origin' } });
   }
@@ -107,18 +107,18 @@
   return Buffer.concat(manifest.chunks.map(({ digest }) => target.store.get(digest) ?? Buffer.alloc(0)));
 }
 
-/** A peer that speaks the protocol by hand. */
-async function impostor(
+/** A peer whose messages are sent by the test. */
+async function manualPeer(
   target: TestAgent,
   place = 'place-a',
-): Promise<{ connection: Connection; heard: Message[] }> {
-  const { context } = await contextAt('impostor', place);
+): Promise<{ connection: Connection; received: Message[] }> {
+  const { context } = await contextAt('manual-peer', place);
   const outcome = await connect(target.info.address, context, AbortSignal.timeout(5_000));
   if (!outcome.ok) throw new Error(outcome.error.reason);
-  const heard: Message[] = [];
-  outcome.value.handleMessages((message) => heard.push(message));
+  const received: Message[] = [];
+  outcome.value.handleMessages((message) => received.push(message));
   running.push({ stop: async () => outcome.value.close() });
-  return { connection: outcome.value, heard };
+  return { connection: outcome.value, received };
 }
 
 describe('the chunk exchange', () => {
@@ -130,30 +130,33 @@
     expect(weightsOf(target).equals(WEIGHTS)).toBe(true);
   });
 
-  it('draws from the origin only under grants, and returns each of them', async () => {
+  it('fetches from the origin only under grants, and reports the end of each grant', async () => {
     const origin = originOf(WEIGHTS, MANIFEST);
     const target = await agent('target', origin);
     target.exchange.begin(assignment(), MANIFEST);
-    drawAll(target);
+    grantAll(target);
     await until(() => target.completed.length > 0, 'completion');
     const ended = () => target.toCoordinator.filter((message) => message.type === 'grantEnded');
     await until(() => ended().length === MANIFEST.chunks.length, 'all grants returned');
-    expect(origin.draws).toBe(MANIFEST.chunks.length);
+    expect(origin.fetches).toBe(MANIFEST.chunks.length);
   });
 
-  it('keeps no chunk that does not match its digest, whoever sent it', async () => {
+  it('discards chunks that do not match their digest, from the origin and from peers', async () => {
     const corrupting = originOf(WEIGHTS, MANIFEST, (data) => {
       data[0] ^= 0xff;
       return data;
     });
     const target = await agent('target', corrupting);
     target.exchange.begin(assignment(), MANIFEST);
-    drawAll(target);
-    await until(() => target.exchange.counters.corruptChunks === MANIFEST.chunks.length, 'all chunks judged');
-    const { connection, heard } = await impostor(target);
+    grantAll(target);
+    await until(
+      () => target.exchange.counters.corruptChunks === MANIFEST.chunks.length,
+      'verification of all chunks',
+    );
+    const { connection, received } = await manualPeer(target);
     connection.send({ type: 'greet', transfer: KEY, have: new Uint8Array([0xff]) });
-    await until(() => heard.some((message) => message.type === 'request'), 'a request');
-    const request = heard.find((message) => message.type === 'request')!;
+    await until(() => received.some((message) => message.type === 'request'), 'a request');
+    const request = received.find((message) => message.type === 'request')!;
     connection.send({
       type: 'chunk',
       transfer: KEY,
@@ -161,23 +164,26 @@
       queueLength: 0,
       data: Buffer.alloc(CHUNK_BYTES),
     });
-    await until(() => target.exchange.counters.corruptChunks > MANIFEST.chunks.length, 'the chunk judged');
+    await until(
+      () => target.exchange.counters.corruptChunks > MANIFEST.chunks.length,
+      'verification of the chunk',
+    );
     expect(target.exchange.held(VERSION)!.size).toBe(0);
     expect(target.store.usedBytes).toBe(0);
     expect(target.timeline.entries().some(({ event }) => event.type === 'corruptChunk')).toBe(true);
   });
 
-  it('gives nothing to a machine in a place that is not allowed', async () => {
+  it('serves no chunk to a machine in a place that is not allowed', async () => {
     const source = await seed('seed');
-    const { connection, heard } = await impostor(source, 'forbidden');
+    const { connection, received } = await manualPeer(source, 'forbidden');
     connection.send({ type: 'greet', transfer: KEY, have: new Uint8Array(1) });
     connection.send({ type: 'request', transfer: KEY, chunk: 0, have: 0, urgent: true });
-    await until(() => heard.some((message) => message.type === 'refuse'), 'a refusal');
-    expect(heard.filter((message) => message.type !== 'refuse')).toEqual([]);
+    await until(() => received.some((message) => message.type === 'refuse'), 'a refusal');
+    expect(received.filter((message) => message.type !== 'refuse')).toEqual([]);
     expect(source.exchange.counters.placeRefusals).toBe(1);
   });
 
-  it('takes over the chunks that a new version shares with the old one', async () => {
+  it('reuses the chunks that a new version shares with the old one', async () => {
     const changed = Buffer.concat([WEIGHTS.subarray(0, 6 * CHUNK_BYTES), Buffer.alloc(2 * CHUNK_BYTES, 9)]);
     const manifest = buildManifest(changed, CHUNK_BYTES);
     const version = versionOf(manifest);
@@ -187,7 +193,7 @@
     expect(target.exchange.held(version)!.size).toBe(6);
   });
 
-  it('drops a version that changed in mid-transfer, and finishes the new one', async () => {
+  it('stops the transfer of a version that is replaced, and completes the new one', async () => {
     const changed = Buffer.concat([WEIGHTS.subarray(0, 4 * CHUNK_BYTES), Buffer.alloc(4 * CHUNK_BYTES, 9)]);
     const manifest = buildManifest(changed, CHUNK_BYTES);
     const version = versionOf(manifest);
@@ -204,11 +210,11 @@
     expect(weightsOf(target, manifest).equals(changed)).toBe(true);
   });
 
-  it('survives messages that make no sense', async () => {
+  it('continues to serve peers after malformed messages', async () => {
     const source = await seed('seed');
-    const { connection } = await impostor(source);
-    const nonsense = { type: 'request', transfer: KEY, chunk: 'x', have: null, urgent: 3 };
-    connection.send(nonsense as unknown as Message);
+    const { connection } = await manualPeer(source);
+    const malformed = { type: 'request', transfer: KEY, chunk: 'x', have: null, urgent: 3 };
+    connection.send(malformed as unknown as Message);
     connection.send({ type: 'announce', transfer: KEY, chunks: 7, queueLength: 0 } as unknown as Message);
     connection.send({ type: 'greet', transfer: KEY, have: 'x' } as unknown as Message);
     const target = await agent('target', originOf(WEIGHTS, MANIFEST));
--- a/test/agent/versions.test.ts
+++ b/test/agent/version-reconciler.test.ts
@@ -1,6 +1,6 @@
 import { describe, expect, it } from 'vitest';
 import { OriginWeights } from '../../emulator/platform/weights.js';
-import { Versions, type VersionsComponents } from '../../src/agent/versions.js';
+import { VersionReconciler, type VersionReconcilerComponents } from '../../src/agent/version-reconciler.js';
 import { HybridClock } from '../../src/model/hybrid-clock.js';
 import { Timeline } from '../../src/observability/timeline.js';
 import type { Assignment } from '../../src/protocol/messages.js';
@@ -29,35 +29,35 @@
   };
 }
 
-/** Versions over an exchange and an engine that never get anywhere; manifests asked for are noted. */
-function versionsNoting(asked: string[], ready: Set<string>): Versions {
-  const nothing = () => undefined;
-  const parts = {
-    exchange: { node: { transfers: new Map() }, begin: () => true, held: nothing, end: nothing },
-    bursts: { join: nothing, leave: nothing },
-    loader: { ready, load: nothing, unload: nothing },
+/** A reconciler whose exchange and engine make no progress; requested manifests are added to `requested`. */
+function createReconciler(requested: string[], ready: Set<string>): VersionReconciler {
+  const noop = () => undefined;
+  const components = {
+    exchange: { node: { transfers: new Map() }, begin: () => true, held: noop, end: noop },
+    bursts: { join: noop, leave: noop },
+    loader: { ready, load: noop, unload: noop },
     log: {},
     timeline: new Timeline('a', new HybridClock()),
-    requestManifest: (version: string) => asked.push(version),
+    requestManifest: (version: string) => requested.push(version),
     requestsInProgress: () => 0,
   };
-  return new Versions(parts as unknown as VersionsComponents);
+  return new VersionReconciler(components as unknown as VersionReconcilerComponents);
 }
 
-describe('the versions of an agent', () => {
-  it('forgets the manifest of a version that is not wanted any more', () => {
-    const asked: string[] = [];
-    const versions = versionsNoting(asked, new Set());
+describe('the version reconciler', () => {
+  it('drops the manifest of a version that is no longer assigned', () => {
+    const requested: string[] = [];
+    const versions = createReconciler(requested, new Set());
     versions.assign([assignment(first.version)], 1);
     versions.onManifest(first.version, first.manifest);
     versions.assign([assignment(second.version)], 2);
     versions.assign([assignment(first.version)], 3);
-    expect(asked).toEqual([first.version, second.version, first.version]);
+    expect(requested).toEqual([first.version, second.version, first.version]);
   });
 
-  it('keeps that of a version that is served until another is ready', () => {
-    const asked: string[] = [];
-    const versions = versionsNoting(asked, new Set([first.version]));
+  it('keeps the manifest of a version that is served until its successor is ready', () => {
+    const requested: string[] = [];
+    const versions = createReconciler(requested, new Set([first.version]));
     versions.assign([assignment(first.version)], 1);
     versions.onManifest(first.version, first.manifest);
     versions.assign([assignment(second.version)], 2);
@@ -65,10 +65,10 @@
   });
 
   it('ignores assignments of an older revision', () => {
-    const asked: string[] = [];
-    const versions = versionsNoting(asked, new Set());
+    const requested: string[] = [];
+    const versions = createReconciler(requested, new Set());
     versions.assign([assignment(second.version)], 2);
     versions.assign([assignment(first.version)], 1);
-    expect(asked).toEqual([second.version]);
+    expect(requested).toEqual([second.version]);
   });
 });
