--- a/test/platform/foreign-answers.test.ts
+++ b/test/platform/foreign-answers.test.ts
@@ -23,12 +23,12 @@
   server.close();
 });
 
-const NO_OBJECTS = ['', 'null', '4', '[]', '"text"', '{"rows":'];
+const INVALID_OBJECTS = ['', 'null', '4', '[]', '"text"', '{"rows":'];
 
 describe('an invalid answer of the store', () => {
   const row = { table: 't', part: '', private_key: 'k', value: 'YQ==', ver: 3 };
   const answers = [
-    ...NO_OBJECTS,
+    ...INVALID_OBJECTS,
     '{}',
     '{"rows":{},"ver":4,"now_ms":1}',
     '{"rows":[],"ver":"4","now_ms":1}',
@@ -48,7 +48,7 @@
     });
   }
 
-  for (const answer of [...NO_OBJECTS, '{}', '{"ver":"4"}']) {
+  for (const answer of [...INVALID_OBJECTS, '{}', '{"ver":"4"}']) {
     it(`commits nothing: ${answer}`, async () => {
       body = answer;
       const committed = await platformTables(address).transact([], [], signal());
@@ -56,7 +56,7 @@
     });
   }
 
-  for (const answer of [...NO_OBJECTS, '{"names":4}', '{"names":[4]}']) {
+  for (const answer of [...INVALID_OBJECTS, '{"names":4}', '{"names":[4]}']) {
     it(`lists no objects: ${answer}`, async () => {
       body = answer;
       expect(await platformObjects(address).list('p', signal())).toMatchObject({ ok: false });
@@ -66,7 +66,7 @@
 
 describe('an invalid report of a worker', () => {
   const answers = [
-    ...NO_OBJECTS,
+    ...INVALID_OBJECTS,
     '{"models":"m"}',
     '{"models":[{"name":4}]}',
     '{"layers":"all"}',
@@ -98,7 +98,7 @@
 
 describe('an invalid manifest of the origin', () => {
   const answers = [
-    ...NO_OBJECTS,
+    ...INVALID_OBJECTS,
     '{}',
     '{"chunk_bytes":4}',
     '{"chunk_bytes":0,"digests":["ab"]}',
--- a/test/platform/foreign-rows.test.ts
+++ b/test/platform/foreign-rows.test.ts
@@ -10,7 +10,7 @@
 import { configurationDocument, workerRow } from './wire-rows.js';
 
 /** One log line. */
-interface Line {
+interface LogLine {
   message: string;
   fields: Record<string, unknown>;
 }
@@ -18,11 +18,11 @@
 let store: MemoryStore;
 let fleet: FleetView;
 let sync: StoreSync;
-let lines: Line[];
+let lines: LogLine[];
 
-const note = (message: string, fields: object = {}) =>
-  void lines.push({ message, fields: fields as Line['fields'] });
-const log: Log = { debug: note, info: note, warn: note, error: note };
+const addLine = (message: string, fields: object = {}) =>
+  void lines.push({ message, fields: fields as LogLine['fields'] });
+const log: Log = { debug: addLine, info: addLine, warn: addLine, error: addLine };
 
 const ids = () => [...fleet.backEnds.records.keys()].filter((id) => !id.startsWith('marker-')).sort();
 const linesAbout = (key: string) => lines.filter(({ fields }) => fields.key === key);
@@ -30,7 +30,7 @@
   store.write('servers', id, JSON.stringify(workerRow(change)));
 
 /** Resolves once everything written so far has been read. */
-async function settled(): Promise<void> {
+async function untilRead(): Promise<void> {
   const marker = `marker-${store.revision}`;
   writeWorker(marker);
   await until(() => fleet.backEnds.records.has(marker), 'what was written');
@@ -88,7 +88,7 @@
   it('is rejected and reported once, without effect on other rows', async () => {
     for (const [name, change] of Object.entries(faults)) writeWorker(name, change);
     for (const text of unreadable) store.write('servers', `as ${text}`, text);
-    await settled();
+    await untilRead();
     expect(ids()).toEqual(['good']);
     for (const key of [...Object.keys(faults), ...unreadable.map((text) => `as ${text}`)]) {
       const told = linesAbout(key);
@@ -114,7 +114,7 @@
 });
 
 describe('a row of a back end that the platform allows', () => {
-  const sound: Record<string, object> = {
+  const validRows: Record<string, object> = {
     'fields that are new': { colour: 'green', deep: { er: [null] } },
     'no layers': { layers: undefined },
     'layers that are null, as engines that hold none tell': { layers: null, models: [] },
@@ -125,10 +125,10 @@
   };
 
   it('is accepted and not reported', async () => {
-    for (const [name, change] of Object.entries(sound)) writeWorker(name, change);
-    await settled();
-    expect(ids()).toEqual(['good', ...Object.keys(sound)].sort());
-    for (const key of Object.keys(sound)) expect(linesAbout(key)).toEqual([]);
+    for (const [name, change] of Object.entries(validRows)) writeWorker(name, change);
+    await untilRead();
+    expect(ids()).toEqual(['good', ...Object.keys(validRows)].sort());
+    for (const key of Object.keys(validRows)) expect(linesAbout(key)).toEqual([]);
   });
 });
 
@@ -136,17 +136,17 @@
   it('is removed until the row is valid again, and reported once per fault', async () => {
     for (const seq of [2, 3, 4]) {
       writeWorker('good', { slots: 'many', seq });
-      await settled();
+      await untilRead();
     }
     expect(ids()).toEqual([]);
     expect(linesAbout('good')).toHaveLength(1);
     expect(sync.faults.counts).toEqual({ unreadable: 0, missing: 0, type: 1, value: 0 });
     writeWorker('good', { state: 'resting' });
-    await settled();
+    await untilRead();
     expect(linesAbout('good')).toHaveLength(2);
     expect(sync.faults.counts).toEqual({ unreadable: 0, missing: 0, type: 1, value: 1 });
     writeWorker('good', { seq: 6 });
-    await settled();
+    await untilRead();
     expect(ids()).toEqual(['good']);
     expect(linesAbout('good')).toHaveLength(2);
   });
--- a/test/platform/origin.test.ts
+++ b/test/platform/origin.test.ts
@@ -15,14 +15,14 @@
 });
 
 it('a client of the origin keeps no connection open', async () => {
-  const told: Array<string | undefined> = [];
+  const connectionHeaders: Array<string | undefined> = [];
   server = createServer((request, response) => {
-    told.push(request.headers.connection);
+    connectionHeaders.push(request.headers.connection);
     response.end(JSON.stringify({ chunk_bytes: 4, digests: ['a', 'b'] }));
   });
   await new Promise<void>((resolve) => server!.listen(0, '127.0.0.1', resolve));
   const client = platformOrigin(`127.0.0.1:${(server.address() as AddressInfo).port}`);
   expect(await client.manifest(VERSION, AbortSignal.timeout(5_000))).toEqual({ ok: true, value: MANIFEST });
   await client.piece(VERSION, 0, AbortSignal.timeout(5_000));
-  expect(told).toEqual(['close', 'close']);
+  expect(connectionHeaders).toEqual(['close', 'close']);
 });
--- a/test/platform/records-generated.test.ts
+++ b/test/platform/records-generated.test.ts
@@ -21,7 +21,7 @@
 const bytesOf = (value: unknown) => Buffer.from(JSON.stringify(value) ?? '');
 
 /** Values that a field may contain by mistake. */
-const oddValue = fc.oneof(
+const unexpectedValue = fc.oneof(
   fc.jsonValue(),
   fc.constantFrom(null, -1, 0, 0.5, 1e15, 1e300, '', '16', 'NaN', [], {}, [null], true),
   fc.string({ maxLength: 40 }),
@@ -45,7 +45,10 @@
 
 /** A document of which some values are replaced or removed. */
 function mutated(document: object): fc.Arbitrary<unknown> {
-  const change = fc.tuple(fc.constantFrom(...pathsOf(document)), fc.option(oddValue, { nil: undefined }));
+  const change = fc.tuple(
+    fc.constantFrom(...pathsOf(document)),
+    fc.option(unexpectedValue, { nil: undefined }),
+  );
   return fc
     .array(change, { minLength: 1, maxLength: 4 })
     .map((changes) => changes.reduce<unknown>((whole, [path, odd]) => changedAt(whole, path, odd), document));
@@ -82,7 +85,7 @@
 }
 
 /** Fails if a record contains a value that is impossible for a back end. */
-function expectSound(record: BackEndRecord): void {
+function expectValid(record: BackEndRecord): void {
   for (const text of [record.service, record.zone]) expect(text).toMatch(/./s);
   expect(record.address).toMatch(/^[^\s:/]+:[0-9]{1,5}$/);
   expectWholeNumber(record.slots, 1);
@@ -121,7 +124,7 @@
 }
 
 /** Fails if a fault is too long for a log line. */
-function expectTold({ kind, reason }: { kind: string; reason: string }): void {
+function expectReportable({ kind, reason }: { kind: string; reason: string }): void {
   expect(['unreadable', 'missing', 'type', 'value']).toContain(kind);
   expect(reason.length).toBeLessThanOrEqual(200);
 }
@@ -131,8 +134,8 @@
     fc.assert(
       fc.property(anyBytesOf(workerRow({ born: 1_764_730_000_000 })), (bytes) => {
         const read = platformRecords.backEnd(row('i', bytes));
-        if (read.ok) expectSound(read.value);
-        else expectTold(read.error);
+        if (read.ok) expectValid(read.value);
+        else expectReportable(read.error);
       }),
       RUNS,
     );
@@ -142,9 +145,9 @@
     fc.assert(
       fc.property(anyBytesOf(configurationDocument()), (bytes) => {
         const read = platformRecords.configuration(bytes);
-        if (!read.ok) return expectTold(read.error);
+        if (!read.ok) return expectReportable(read.error);
         expectUsable(read.value.configuration);
-        for (const fault of read.value.skippedEntries ?? []) expectTold(fault);
+        for (const fault of read.value.skippedEntries ?? []) expectReportable(fault);
       }),
       RUNS,
     );
@@ -154,7 +157,7 @@
     fc.assert(
       fc.property(anyBytesOf({ model: 'm', version: 2 }), (bytes) => {
         const read = platformRecords.operatorRecord({ ...row('version/m', bytes), table: 'op' });
-        if (read?.ok !== true) return expectTold(read!.error);
+        if (read?.ok !== true) return expectReportable(read!.error);
         if (read.value.type !== 'namedVersion') throw new Error('a version was read as something else');
         expectWholeNumber(read.value.version, 1);
         expect(read.value.model).not.toBe('');
--- a/test/platform/silent-store.test.ts
+++ b/test/platform/silent-store.test.ts
@@ -9,13 +9,13 @@
 import { textRecordDecoder } from '../fleet/text-records.js';
 import { SilentProxy } from '../silent-proxy.js';
 import { until } from '../support.js';
-import { wireStore } from './wire-store.js';
+import { startStoreServer } from './wire-store.js';
 
 /**
  * Changes in the store must be known this long after the connections went silent, in milliseconds: processes count as connected
  * again 3 s after it.
  */
-const KNOWN_WITHIN = 2_800;
+const MAX_DELAY = 2_800;
 
 let store: MemoryStore;
 let proxy: SilentProxy;
@@ -26,7 +26,7 @@
   store.write('operator', 'configuration', '1');
   store.write('backEnds', 'one', 'ready');
   store.write('backEnds', 'two', 'ready');
-  const { address, stop } = await wireStore(store);
+  const { address, stop } = await startStoreServer(store);
   stopStore = stop;
   proxy = await new SilentProxy(address).start();
 });
@@ -81,7 +81,7 @@
   it('receives a configuration in time', async () => {
     proxy.silence();
     store.write('operator', 'configuration', '2');
-    expect(await timeUntil(() => fleet.configurationRevision === 2, 'it')).toBeLessThan(KNOWN_WITHIN);
+    expect(await timeUntil(() => fleet.configurationRevision === 2, 'it')).toBeLessThan(MAX_DELAY);
   });
 
   it('receives a leaving and a removed back end in time', async () => {
@@ -92,6 +92,6 @@
       const { records } = fleet.backEnds;
       return records.get('one')?.leaving === true && !records.has('two');
     }, 'both');
-    expect(took).toBeLessThan(KNOWN_WITHIN);
+    expect(took).toBeLessThan(MAX_DELAY);
   });
 });
--- a/test/platform/slow-store.test.ts
+++ b/test/platform/slow-store.test.ts
@@ -9,15 +9,15 @@
 import { silentLog } from '../../src/observability/log.js';
 import { textRecordDecoder } from '../fleet/text-records.js';
 import { until } from '../support.js';
-import { wireStore } from './wire-store.js';
+import { startStoreServer } from './wire-store.js';
 
 /** The link transfers this many bytes per interval in milliseconds. */
-const PART = 5_000;
-const PART_INTERVAL = 50;
+const BYTES_PER_INTERVAL = 5_000;
+const INTERVAL = 50;
 /** A configuration that takes 2.7 s over the link as encoded there; longer than a call may wait for the next part. */
 const CONFIGURATION_BYTES = 200_000;
 /** Others read the store themselves after 1.3 s without an update, so at least this many must be sent during the answer. */
-const LEAST_NEWS = 2;
+const MIN_UPDATES = 2;
 
 /** A slow link in front of a server. */
 class SlowLink {
@@ -31,9 +31,9 @@
       let waiting = Buffer.alloc(0);
       const timer = setInterval(() => {
         if (waiting.byteLength === 0) return;
-        caller.write(waiting.subarray(0, PART));
-        waiting = waiting.subarray(PART);
-      }, PART_INTERVAL);
+        caller.write(waiting.subarray(0, BYTES_PER_INTERVAL));
+        waiting = waiting.subarray(BYTES_PER_INTERVAL);
+      }, INTERVAL);
       server.on('data', (bytes) => {
         waiting = Buffer.concat([waiting, bytes]);
       });
@@ -67,11 +67,11 @@
 let fleet: FleetView;
 let sync: StoreSync;
 /** Number of updates that this process has forwarded to others. */
-let newsCount: number;
+let updateCount: number;
 
 beforeEach(async () => {
   store = new MemoryStore();
-  const wire = await wireStore(store);
+  const wire = await startStoreServer(store);
   stopStore = wire.stop;
   link = new SlowLink(wire.address);
   const address = await link.start();
@@ -83,9 +83,9 @@
     random: seededRandom(1),
     log: silentLog,
   });
-  newsCount = 0;
+  updateCount = 0;
   sync.onForward = ({ table }) => {
-    if (table === 'operator') newsCount++;
+    if (table === 'operator') updateCount++;
   };
 });
 
@@ -108,11 +108,11 @@
 it('a change that takes long to transfer is read once, and other processes get updates meanwhile', async () => {
   store.write('operator', 'configuration', '1');
   await sync.start();
-  await until(() => newsCount > 0, 'the first news');
+  await until(() => updateCount > 0, 'the first news');
   store.write('operator', 'configuration', configurationOf(7));
-  newsCount = 0;
+  updateCount = 0;
   await until(() => fleet.configurationRevision === 7, 'the configuration');
   // The last update contains the configuration itself.
-  expect(newsCount - 1).toBeGreaterThanOrEqual(LEAST_NEWS);
+  expect(updateCount - 1).toBeGreaterThanOrEqual(MIN_UPDATES);
   expect(store.calls.read).toBe(2);
 });
--- a/test/platform/soak/world.ts
+++ b/test/platform/soak/world.ts
@@ -7,7 +7,7 @@
 import { join } from 'node:path';
 import { CuttableLink } from '../../../bench/processes/cuttable-link.js';
 import { MemoryStore } from '../../../emulator/store/memory-store.js';
-import { wireStore } from '../wire-store.js';
+import { startStoreServer } from '../wire-store.js';
 import { Disruptions } from './disruptions.js';
 import { endAfterGrace } from './grace.js';
 import { RunLog, StandInEngine, StandInOrigin, StandInService, type StandInWorker } from './workers.js';
@@ -152,7 +152,7 @@
   async start(): Promise<void> {
     process.once('exit', this.#endWithProcess);
     const { entries, agents } = this.#size;
-    const wire = await wireStore(this.store);
+    const wire = await startStoreServer(this.store);
     this.#stopStore = wire.stop;
     await this.#origin.start();
     this.configure();
--- a/test/platform/stop.test.ts
+++ b/test/platform/stop.test.ts
@@ -12,7 +12,7 @@
 import { StandInBackEnd } from '../forwarding/stand-in-back-end.js';
 import { until } from '../support.js';
 import { workerRow } from './wire-rows.js';
-import { wireStore } from './wire-store.js';
+import { startStoreServer } from './wire-store.js';
 
 const HOST = 'stop.example';
 const GRACE_SECONDS = 4;
@@ -54,7 +54,7 @@
 
 beforeEach(async () => {
   store = new MemoryStore();
-  const wire = await wireStore(store);
+  const wire = await startStoreServer(store);
   stopStore = wire.stop;
   backEnd = await new StandInBackEnd((request, response) => {
     release = () => {
--- a/test/platform/store-drill.test.ts
+++ b/test/platform/store-drill.test.ts
@@ -15,10 +15,10 @@
 import { silentLog } from '../../src/observability/log.js';
 import { textRecordDecoder } from '../fleet/text-records.js';
 import { until } from '../support.js';
-import { type EraTold, wireStore } from './wire-store.js';
+import { type EraHeader, startStoreServer } from './wire-store.js';
 
 /** All changes must be known this long after the store is back, in milliseconds; includes the hold time of removals. */
-const FOLLOWED_WITHIN = 3_000;
+const MAX_DELAY = 3_000;
 /** Number of heartbeats before the restore, so that versions go back by more than are written after it. */
 const HEARTBEATS = 60;
 
@@ -30,10 +30,10 @@
 /** The record that the back end `two` writes at each heartbeat. */
 let two: string;
 
-async function start(eraTold?: EraTold): Promise<void> {
+async function start(eraTold?: EraHeader): Promise<void> {
   store = new MemoryStore();
   two = 'ready 200';
-  const { address, stop } = await wireStore(store, eraTold);
+  const { address, stop } = await startStoreServer(store, eraTold);
   stopStore = stop;
   tables = platformTables(address);
   store.write('operator', 'configuration', '1');
@@ -58,21 +58,21 @@
 });
 
 const ids = () => [...fleet.backEnds.records.keys()].sort();
-const isKnown = () => fleet.backEnds.revision === store.revision;
+const isUpToDate = () => fleet.backEnds.revision === store.revision;
 
 /** Writes heartbeats of the back end `two`. */
-async function beat(times = HEARTBEATS): Promise<void> {
+async function writeHeartbeats(times = HEARTBEATS): Promise<void> {
   for (let beats = 0; beats < times; beats++) store.write('backEnds', 'two', two);
-  await until(isKnown, 'the heartbeats');
+  await until(isUpToDate, 'the heartbeats');
 }
 
 /**
  * Makes the store unavailable for a moment and restores it from `copy`; `write` and then `versions` other writes are made before
  * it answers again.
  */
-async function comeBack(copy: StoreCopy, versions = 0, write = () => {}): Promise<number> {
+async function interruptAndRestore(copy: StoreCopy, versions = 0, write = () => {}): Promise<number> {
   // The latest answer is recent, so that the interruption is too short for records to expire.
-  await beat(1);
+  await writeHeartbeats(1);
   store.faults.down = true;
   await until(() => !sync.connected, 'the loss');
   store.restore(copy);
@@ -82,9 +82,9 @@
   return performance.now();
 }
 
-async function expectSoon(since: number, condition: () => boolean, what: string): Promise<void> {
+async function expectWithinMaxDelay(since: number, condition: () => boolean, what: string): Promise<void> {
   await until(condition, what);
-  expect(performance.now() - since).toBeLessThan(FOLLOWED_WITHIN);
+  expect(performance.now() - since).toBeLessThan(MAX_DELAY);
 }
 
 describe.each([
@@ -93,13 +93,17 @@
 ])('a store restored from an older copy, $what', ({ versions }) => {
   it('is followed: back ends that join or leave afterwards are seen', async () => {
     const copy = store.copy();
-    await beat();
-    const since = await comeBack(copy, versions, () => {
+    await writeHeartbeats();
+    const since = await interruptAndRestore(copy, versions, () => {
       store.write('backEnds', 'three', 'ready 300');
       store.write('backEnds', 'one', 'leaving 100');
     });
-    await expectSoon(since, () => ids().join() === 'one,three,two', 'the one that joined');
-    await expectSoon(since, () => fleet.backEnds.records.get('one')?.leaving === true, 'the one that leaves');
+    await expectWithinMaxDelay(since, () => ids().join() === 'one,three,two', 'the one that joined');
+    await expectWithinMaxDelay(
+      since,
+      () => fleet.backEnds.records.get('one')?.leaving === true,
+      'the one that leaves',
+    );
   });
 
   it('does not restore a removed back end, nor make a leaving one serve again', async () => {
@@ -115,8 +119,8 @@
           if (change.type === 'changed' && !change.record.leaving) seen.push(change.record.id);
       },
     });
-    await comeBack(copy, versions);
-    await until(isKnown, 'the copy');
+    await interruptAndRestore(copy, versions);
+    await until(isUpToDate, 'the copy');
     expect(ids()).toEqual(['two']);
     expect(fleet.backEnds.records.get('two')?.leaving).toBe(true);
     expect(seen).toEqual([]);
@@ -127,8 +131,8 @@
     store.write('backEnds', 'three', 'ready 300');
     store.write('backEnds', 'four', 'ready 400');
     await until(() => ids().length === 4, 'both');
-    await comeBack(copy, versions);
-    await until(isKnown, 'the copy');
+    await interruptAndRestore(copy, versions);
+    await until(isUpToDate, 'the copy');
     expect(ids()).toEqual(['four', 'one', 'three', 'two']);
     store.write('backEnds', 'three', 'ready 300');
     await until(() => ids().join() === 'one,three,two', 'the end of the one that is still missing');
@@ -140,8 +144,8 @@
     store.write('operator', 'model', '2');
     await until(() => fleet.versions.newest('model')?.version === 2, 'the version');
     const { notBefore } = fleet.versions.newest('model')!;
-    await comeBack(copy, versions);
-    await until(isKnown, 'the copy');
+    await interruptAndRestore(copy, versions);
+    await until(isUpToDate, 'the copy');
     expect(fleet.configurationRevision).toBe(5);
     store.write('operator', 'model', '2');
     store.write('operator', 'configuration', '5');
@@ -156,10 +160,10 @@
 
   it('has no history of changes in the next era', async () => {
     const copy = store.copy();
-    await beat();
+    await writeHeartbeats();
     const before = await tables.read('backEnds', '', never);
     store.restore(copy);
-    await until(isKnown, 'the copy');
+    await until(isUpToDate, 'the copy');
     const after = before.ok ? before.value.revision : 0;
     expect(await tables.changes({ table: 'backEnds', after, wait: 0 }, never)).toEqual({
       ok: false,
--- a/test/platform/store.test.ts
+++ b/test/platform/store.test.ts
@@ -2,7 +2,7 @@
 import { MemoryStore } from '../../emulator/store/memory-store.js';
 import { platformObjects, platformTables } from '../../platform/store.js';
 import { storeContract } from '../contracts/store-contract.js';
-import { wireStore } from './wire-store.js';
+import { startStoreServer } from './wire-store.js';
 
 const started: Array<() => void> = [];
 afterEach(() => {
@@ -11,7 +11,7 @@
 
 storeContract("the users' store", async () => {
   const behind = new MemoryStore();
-  const { address, stop } = await wireStore(behind);
+  const { address, stop } = await startStoreServer(behind);
   started.push(stop);
   return { tables: platformTables(address), objects: platformObjects(address), behind };
 });
--- a/test/platform/wire-store.ts
+++ b/test/platform/wire-store.ts
@@ -6,15 +6,15 @@
 import type { StoredRow } from '../../src/clients/watched-tables.js';
 
 /** The value of the era header; undefined to omit it. */
-export type EraTold = (era: number) => number | string | undefined;
+export type EraHeader = (era: number) => number | string | undefined;
 
 /** Starts the server; returns its address and a function to stop it. */
-export async function wireStore(
+export async function startStoreServer(
   behind: MemoryStore,
-  eraTold: EraTold = (era) => era,
+  eraHeader: EraHeader = (era) => era,
 ): Promise<{ address: string; stop: () => void }> {
   const server = createServer((request, response) => {
-    const era = eraTold(behind.era);
+    const era = eraHeader(behind.era);
     if (era !== undefined) response.setHeader('store-era', era);
     void answer(behind, request, response).catch(() => response.destroy());
   });
--- a/tools/guard-table.mjs
+++ b/tools/guard-table.mjs
@@ -183,7 +183,7 @@
   {
     fault: 'a late answer of a former era of the store is believed',
     file: 'platform/store.ts',
-    find: "if (told < this.latest) return failure(unavailable('answer from an earlier era of the store'));",
+    find: "if (era < this.latest) return failure(unavailable('answer from an earlier era of the store'));",
     replace: '',
     test: 'test/platform/store-drill.test.ts',
   },
@@ -371,8 +371,8 @@
   {
     fault: 'a start that is no whole number is taken for one',
     file: 'platform/schemas.ts',
-    find: '{ service: isName, address: isAddress, zone: isName, slots: isSlots, born: isCount }',
-    replace: '{ service: isName, address: isAddress, zone: isName, slots: isSlots }',
+    find: '{ service: isName, address: isAddress, zone: isName, slots: isSlotCount, born: isCount }',
+    replace: '{ service: isName, address: isAddress, zone: isName, slots: isSlotCount }',
     also: {
       file: 'platform/schemas.ts',
       find: '{ queued: isCount, active: isCount, seq: isCount, born: isCount }',
@@ -1315,7 +1315,7 @@
   {
     fault: 'times are longer than a timer can wait',
     file: 'platform/records.ts',
-    find: 'return Math.min(milliseconds, LONGEST_TIME);',
+    find: 'return Math.min(milliseconds, MAX_TIME);',
     replace: 'return milliseconds;',
     test: 'test/platform/foreign-rows.test.ts',
   },
