--- a/test/platform/foreign-rows.test.ts
+++ b/test/platform/foreign-rows.test.ts
@@ -91,12 +91,12 @@
     await untilRead();
     expect(ids()).toEqual(['good']);
     for (const key of [...Object.keys(faults), ...unreadable.map((text) => `as ${text}`)]) {
-      const told = linesAbout(key);
+      const reported = linesAbout(key);
       expect(
-        told.map(({ message }) => message),
+        reported.map(({ message }) => message),
         key,
       ).toEqual(['record left out']);
-      expect(JSON.stringify(told).length).toBeLessThan(1_000);
+      expect(JSON.stringify(reported).length).toBeLessThan(1_000);
     }
   });
 });
--- a/test/platform/store-drill.test.ts
+++ b/test/platform/store-drill.test.ts
@@ -191,38 +191,38 @@
 
 describe('an answer', () => {
   it('from an earlier era is an error', async () => {
-    let told = 7;
+    let eraHeader = 7;
     await sync.stop();
     stopStore();
-    await start(() => told);
+    await start(() => eraHeader);
     const read = () => tables.read('backEnds', '', AbortSignal.timeout(60_000));
     expect((await read()).ok).toBe(true);
-    told = 6;
+    eraHeader = 6;
     expect((await read()).ok).toBe(false);
   });
 
   it('from an earlier era that arrives late changes nothing', async () => {
-    let told: number | undefined = 7;
+    let eraHeader: number | undefined = 7;
     await sync.stop();
     stopStore();
-    await start(() => told);
+    await start(() => eraHeader);
     const { revision } = fleet.backEnds;
-    told = 6;
+    eraHeader = 6;
     store.write('backEnds', 'three', 'ready 300');
     await until(() => !sync.connected, 'the error');
     expect(fleet.backEnds.revision).toBe(revision);
-    told = 7;
+    eraHeader = 7;
     await until(() => ids().length === 3, 'the answer of the present one');
   });
 
   it.each([undefined, '', 'second', -1, 1.5])(
     'with the era %j is attributed to the latest era',
     async (unreadable) => {
-      let told: number | string | undefined = 7;
+      let eraHeader: number | string | undefined = 7;
       await sync.stop();
       stopStore();
-      await start(() => told);
-      told = unreadable;
+      await start(() => eraHeader);
+      eraHeader = unreadable;
       store.write('backEnds', 'three', 'ready 300');
       await until(() => ids().length === 3, 'the news');
       expect(eraOf(fleet.backEnds.revision)).toBe(7);
