--- a/src/systems/slot-table.ts
+++ b/src/systems/slot-table.ts
@@ -18,7 +18,7 @@
 
 /**
  * Age below which grants and releases may not be visible in the reported load yet, in milliseconds. An engine reports its
- * load some 100 ms late, and a request takes some milliseconds to reach it. This is twice the lag in the users'
+ * load a few hundred milliseconds late, and a request takes a few to reach it. This is twice the lag in the users'
  * specifications.
  */
 const REPORT_LAG = 400;
