--- a/src/entry/configuration.ts
+++ b/src/entry/configuration.ts
@@ -1,6 +1,6 @@
 /**
- * The configuration in force at an entry: the rows of the platform's tables, taken in by revision. Only rows of a higher
- * revision than the known one count, so a late or lagging answer changes nothing back and revives nothing.
+ * The entry's replica of the platform's tables, advanced by revision. Only rows with a revision above the known one are
+ * applied, so a late answer or a lagging replica of the store can neither revert a change nor restore a deleted row.
  */
 
 import type { Row, TableService } from '../clients/table-service.js';
@@ -10,14 +10,14 @@
 import type { ModelDeployment, Resource, Service, Tenant } from '../resources/schemas.js';
 import type { Placement } from '../systems/placement.js';
 
-/** Shortest time between two readings and the random part of it, in milliseconds. */
+/** Minimum interval between two reads of the table service and the random jitter added to it, in milliseconds. */
 const POLL_MIN = 300;
 const POLL_SPREAD = 200;
 const READ_TIMEOUT = 3_000;
-/** Time without news after which an entry reads the store although another one does it for the zone. */
+/** Time without an update, in milliseconds, after which an entry reads the store itself although another entry reads it for the zone. */
 const QUIET_LIMIT = 4_000;
 
-/** Deletions of resources that are remembered. */
+/** Number of resource deletions kept for watches that reconnect. */
 const DELETIONS_KEPT = 1_000;
 
 /** Names of the tables. */
@@ -29,32 +29,31 @@
   operations: 'operations',
 } as const;
 
-/** What the configuration works with. */
 export interface ConfigurationComponents {
   tables: TableService;
   random: Random;
   timeline: Timeline;
 }
 
-/** Figures of the reading, for metrics. */
+/** Counts of reads of the table service, for metrics. */
 export interface ConfigurationCounters {
   reads: number;
   failedReads: number;
 }
 
-/** The configuration as this entry knows it. */
+/** Replica of the platform's tables at this entry. */
 export class Configuration implements Startable {
   readonly counters: ConfigurationCounters = { reads: 0, failedReads: 0 };
-  /** Called with the rows that a reading of the store brought, and the revision before it. */
+  /** Called after a read of the store that returned a new revision, with the previous revision, the new one and the changed rows. */
   onRead: (base: number, revision: number, rows: Row[]) => void = () => {};
-  /** Whether this entry reads the store for its zone; the others are told, and read only when nothing comes. */
+  /** Whether this entry reads the store for its zone. The others receive its updates, and read only when none arrive. */
   isReader: () => boolean = () => true;
   readonly #components: ConfigurationComponents;
-  /** Rows by table and key. */
+  /** Rows by table, then by key. */
   readonly #tables = new Map<string, Map<string, Row>>();
   readonly #listeners = new Set<(rows: Row[]) => void>();
   readonly #stopping = new AbortController();
-  /** The latest deletions of resources, for watches that were away; all of them from this revision on. */
+  /** The latest deletions of resources, for watches that reconnect; complete after revision `#deletionsKnownFrom`. */
   readonly #deleted: Row[] = [];
   #deletionsKnownFrom = 0;
   #revision = 0;
@@ -67,7 +66,7 @@
     this.#components = components;
   }
 
-  /** The revision up to which this entry knows all rows. */
+  /** The revision up to which all changes have been applied; 0 before the first read. */
   get revision(): number {
     return this.#revision;
   }
@@ -82,15 +81,15 @@
     this.#stopping.abort();
   }
 
-  /** Calls `listener` with the rows of each change. Returns the end of it. */
+  /** Calls `listener` with the changed rows after each update. Returns a function that removes the listener. */
   listen(listener: (rows: Row[]) => void): () => void {
     this.#listeners.add(listener);
     return () => this.#listeners.delete(listener);
   }
 
   /**
-   * Reads what has changed since the known revision; returns whether the store answered. The reading begins after
-   * the call: during another one, one more follows.
+   * Reads the changes since the known revision; returns whether the store answered. The read always starts after this
+   * call: if one is in progress, another follows it, shared by all callers that wait.
    */
   poll(): Promise<boolean> {
     if (this.#following !== undefined) return this.#following;
@@ -107,7 +106,7 @@
     return this.#following;
   }
 
-  /** Another process knows this revision: it is read at once if it is news here. */
+  /** Reads the store at once if another process has reported a revision that is not known here. */
   hint(revision: number): void {
     if (revision > this.#revision) void this.poll();
   }
@@ -126,7 +125,7 @@
     return true;
   }
 
-  /** The row, or undefined where there is none. */
+  /** The row with this key, or undefined if there is none. */
   row(table: string, key: string): Row | undefined {
     return this.#tables.get(table)?.get(key);
   }
@@ -136,7 +135,7 @@
     return [...this.#tables.values()].flatMap((rows) => [...rows.values()]);
   }
 
-  /** The rows of a table. */
+  /** All rows of a table that are not deleted. */
   rows(table: string): Row[] {
     return [...(this.#tables.get(table)?.values() ?? [])];
   }
@@ -165,8 +164,8 @@
   }
 
   /**
-   * Takes rows in that changed after revision `base`, from the store or from another entry; with base 0 all rows there
-   * are. Rows of a revision that is known already are not news, or were deleted since.
+   * Applies the rows changed after revision `base`, read from the store or received from another entry. With base 0,
+   * `rows` is a full snapshot. Rows whose revision is already known are skipped: they are applied, or deleted since.
    */
   take(base: number, rows: readonly Row[], revision: number): void {
     this.#heardAt = performance.now();
@@ -184,13 +183,13 @@
     for (const listener of this.#listeners) listener(fresh);
   }
 
-  /** Resources deleted after revision `since`, or undefined where this entry does not know all of them. */
+  /** Resources deleted after revision `since`, or undefined if this entry does not have all of those deletions. */
   deletedSince(since: number): Row[] | undefined {
     if (this.#revision === 0 || since < this.#deletionsKnownFrom) return undefined;
     return this.#deleted.filter((row) => row.revision > since);
   }
 
-  /** As deletions, the rows known here that the whole configuration does not hold. */
+  /** Returns deletions for the rows that are known here but missing from a full snapshot. */
   #missingFrom(whole: readonly Row[], revision: number): Row[] {
     const held = new Set(whole.map(({ table, key }) => `${table}/${key}`));
     const missing = this.allRows().filter(({ table, key }) => !held.has(`${table}/${key}`));
