--- a/src/entry/attempt.ts
+++ b/src/entry/attempt.ts
@@ -1,34 +1,34 @@
-/** One attempt of a call at one agent: the frames put together, whole or not. */
+/** One attempt of a call at one agent: reassembles the answer's frames and detects incomplete answers. */
 import type { CallMessage, CallRefusal } from '../protocol/messages.js';
 import type { CallLink, CallListener } from './call-links.js';
 import type { Ran } from './errors.js';
 
-/** Bytes of an answer that are told to the agent as taken at a time: a quarter of its window. */
+/** Bytes of an answer after which the agent is sent an acknowledgement: a quarter of its flow-control window. */
 const TAKEN_STEP = 64 * 1_024;
 
-/** Where an answer goes. */
+/** Receives an answer. */
 export interface AnswerSink {
   head(status: number, contentType: string, agent: string): void;
-  /** Takes a part of the answer; returns undefined when it is taken, or a promise while the caller is slow. */
+  /** Writes a part of the answer; returns a promise if the caller reads slowly, which resolves when it can take more. */
   data(data: Uint8Array): Promise<void> | undefined;
 }
 
-/** What became of an attempt. */
+/** Outcome of an attempt. */
 export type AttemptOutcome =
   | { type: 'answered' }
-  /** The agent did not take it; `notRun` is false where the key may have run at an earlier attempt. */
+  /** The agent did not accept the call; `notRun` is false if an earlier attempt with the same key may have run. */
   | { type: 'refused'; reason: CallRefusal | 'unreachable'; notRun: boolean; retryAfter: number }
   | { type: 'failed'; ran: Ran; reason: string; headSent: boolean };
 
-/** A call as it is handed over. */
+/** The message that starts a call at an agent. */
 export type CallHandOver = CallMessage & { type: 'call' };
 
-/** Nothing was sent. */
+/** Outcome if the call was never sent. */
 const NOT_SENT: AttemptOutcome = { type: 'refused', reason: 'unreachable', notRun: true, retryAfter: 0 };
 
 /**
- * Hands a call over and waits for the end of its answer. Nothing is handed over for a caller that has gone, or whose time is over:
- * a signal that was aborted before tells nobody any more, and the call would run to its end.
+ * Sends a call and waits for the end of its answer. Nothing is sent if the caller has disconnected or its deadline has
+ * passed: a signal that is already aborted emits no further event, so the call would never be cancelled.
  */
 export function attemptCall(
   link: CallLink,
@@ -50,15 +50,15 @@
   });
 }
 
-/** Puts the frames of one attempt together; an answer is whole only when its end names all of them. */
+/** Reassembles the frames of one attempt; an answer is complete only if its end frame states the number received. */
 class AttemptAnswer implements CallListener {
-  /** True when the agent may still be at work on it. */
+  /** True if the agent may still be processing the call. */
   mustCancel = false;
   readonly #agent: string;
   readonly #sink: AnswerSink;
   readonly #taken: (bytes: number) => void;
   readonly #settled: (outcome: AttemptOutcome) => void;
-  /** Bytes taken and not yet told to the agent. */
+  /** Bytes the caller has taken that are not yet acknowledged to the agent. */
   #untold = 0;
   readonly #timer: NodeJS.Timeout;
   #frames = 0;
@@ -108,7 +108,7 @@
     void slow.then(() => this.#noteTaken(data.byteLength));
   }
 
-  /** Tells the agent of what the caller has taken, a part of its window at a time. */
+  /** Acknowledges the bytes the caller has taken, in steps of a part of the agent's window. */
   #noteTaken(bytes: number): void {
     this.#untold += bytes;
     if (this.#untold < TAKEN_STEP) return;
@@ -120,13 +120,13 @@
     this.#fail('unknown', 'the connection to the back end was lost');
   }
 
-  /** Gives the answer up; what has been sent of it stays cut. */
+  /** Gives up the attempt; an answer that is partly sent remains truncated. */
   abandon(reason: string): void {
     this.mustCancel = true;
     this.#fail('unknown', reason);
   }
 
-  /** Nothing was sent: the connection was gone before. */
+  /** Settles the attempt as not sent, because the connection had already closed. */
   notSent(): void {
     this.#settle(NOT_SENT);
   }
--- a/src/entry/call-router.ts
+++ b/src/entry/call-router.ts
@@ -1,6 +1,6 @@
 /**
- * Brings a request to a back end and its answer back. A request is handed to another back end only when it
- * provably did not run, or when it may be repeated and nothing of an answer has reached the caller.
+ * Routes a request to a back end and relays the answer. A request is retried on another back end only if it
+ * provably did not run, or if it is repeatable and no part of an answer has reached the caller.
  */
 import { randomUUID } from 'node:crypto';
 import type { Random } from '../model/random.js';
@@ -12,36 +12,36 @@
 import type { CallLinks } from './call-links.js';
 import type { CallError } from './errors.js';
 
-/** Attempts for one request, the first included. */
+/** Maximum attempts for one request, including the first. */
 const MAX_ATTEMPTS = 4;
-/** Retries of a repeatable request whose back end was lost: it may be the request that ends them. */
+/** Maximum retries of a repeatable request whose back end was lost: the request itself may crash its back ends. */
 const MAX_RETRIES_AFTER_LOSS = 1;
-/** Time for which a back end that failed is not used, in milliseconds. */
+/** Time for which a back end that could not be reached is not used, in milliseconds. */
 const SUSPENSION = 1_000;
-/** Time after which a caller may come back when nothing has room, in milliseconds. */
+/** Retry delay returned to callers when no back end has capacity, in milliseconds. */
 const NO_CAPACITY_RETRY_AFTER = 1_000;
 
 /** A request to be routed. */
 export interface RoutedCall {
-  /** Where weights may lie and answers may travel. */
+  /** Places in which the request may be served and its answer sent. */
   places: readonly string[];
-  /** Versions that may answer, or undefined for a plain service. */
+  /** Model versions that may answer, or undefined for a plain service. */
   versions: readonly string[] | undefined;
-  /** Beginning of the prompt, where it is long enough to be worth finding in a cache. */
+  /** Start of the prompt, if it is long enough for prefix-cache affinity. */
   prefix: string | undefined;
-  /** Which agents may serve it, besides place and version. */
+  /** Filters the agents that may serve the request; place and version are checked separately. */
   eligible: (agent: AgentRow) => boolean;
-  /** Whether it may run more than once. */
+  /** Whether the request may run more than once. */
   repeatable: boolean;
   method: string;
   path: string;
   contentType: string;
   body: Buffer;
-  /** Time for the whole answer, in milliseconds. */
+  /** Time limit for the complete answer, in milliseconds. */
   deadline: number;
 }
 
-/** Counts of one router, for metrics. */
+/** Counts of requests, for metrics. */
 export interface CallRouterCounters {
   routed: number;
   answered: number;
@@ -51,14 +51,12 @@
   refused: number;
 }
 
-/** What the router works with. */
 export interface CallRouterComponents {
   directory: AgentDirectory;
   links: CallLinks;
   random: Random;
 }
 
-/** The router of one entry. */
 export class CallRouter {
   readonly counters: CallRouterCounters = {
     routed: 0,
@@ -77,7 +75,7 @@
     this.#components = components;
   }
 
-  /** Routes a request; returns once the whole answer has gone to `sink`, or why there is none. */
+  /** Routes a request; resolves when the complete answer has been passed to `sink`, or with the reason why there is none. */
   async route(call: RoutedCall, sink: AnswerSink, signal: AbortSignal): Promise<Result<void, CallError>> {
     this.counters.routed++;
     this.#budget.earn();
