--- a/src/entry/admission.ts
+++ b/src/entry/admission.ts
@@ -1,4 +1,4 @@
-/** Lets callers' requests in as the admission table decides, and tells those that are refused at once. */
+/** Applies the admission table's decisions to callers' requests: starts, queues or refuses them. */
 import type { Startable } from '../model/startable.js';
 import {
   type AdmissionDecision,
@@ -10,15 +10,15 @@
 
 const EXPIRY_INTERVAL = 50;
 
-/** Counts by refusal, for metrics. */
+/** Counts of started requests, and of refused ones by reason, for metrics. */
 export type AdmissionCounters = Record<AdmissionRefusal | 'started', number>;
 
-/** A request that was let in, or why it was not. */
+/** The admission decision for one request. A started request must call `finish` when it is done. */
 export type Admitted =
   | { type: 'started'; finish: () => void }
   | { type: 'refused'; reason: AdmissionRefusal };
 
-/** The admission of one entry. */
+/** Admission control for callers' requests. */
 export class Admission implements Startable {
   readonly counters: AdmissionCounters = { started: 0, tenantLimit: 0, entryFull: 0, shed: 0, queueTime: 0 };
   readonly #table: AdmissionTable;
@@ -30,14 +30,14 @@
     this.#table = new AdmissionTable(limits, limitsOf);
   }
 
-  /** Nothing runs until a first request waits. */
+  /** Does nothing: the expiry timer starts with the first queued request. */
   async start(): Promise<void> {}
 
   async stop(): Promise<void> {
     clearTimeout(this.#timer);
   }
 
-  /** Returns when the request may run, or at once when it may not; ends the wait when the caller has gone. */
+  /** Resolves when the request may run or is refused; an aborted `signal` withdraws it from the queue. */
   enter(tenant: string, priority: number, signal: AbortSignal): Promise<Admitted> {
     const id = this.#nextId++;
     return new Promise((resolve) => {
--- a/src/entry/once-router.ts
+++ b/src/entry/once-router.ts
@@ -1,6 +1,6 @@
 /**
- * Brings calls that may not be repeated to the owner of their key, and to nobody else. The entry never hands
- * such a call over a second time; where it cannot prove that the key has not run, it says so.
+ * Routes non-repeatable calls, each only to the agent that owns its idempotency key. A call that an owner may have
+ * accepted is never sent again; if the entry cannot prove that the key has not run, the error says so.
  */
 import { randomUUID } from 'node:crypto';
 import { setTimeout as pause } from 'node:timers/promises';
@@ -12,16 +12,16 @@
 import { type Configuration, TABLES } from './configuration.js';
 import type { CallError } from './errors.js';
 
-/** Time for which an entry waits for a key's owner to be settled, in milliseconds. */
+/** Maximum wait for a key to have a settled owner, in milliseconds. */
 const OWNER_WAIT = 1_500;
 const OWNER_CHECK_INTERVAL = 25;
-/** Time after which a caller may come back when the owner cannot be reached, in milliseconds. */
+/** Retry delay returned to callers when the owner cannot be reached, in milliseconds. */
 const OWNER_RETRY_AFTER = 1_000;
-/** By this much, and this share, an owner must have been one for longer than the caller has tried. */
+/** Absolute margin (ms) and relative margin by which the ownership must be older than the caller's first attempt. */
 const CLOCK_MARGIN = 100;
 const CLOCK_DRIFT_SHARE = 0.01;
 
-/** A call with a key. */
+/** A call with an idempotency key. */
 export interface OnceCallInput {
   service: string;
   key: string;
@@ -35,11 +35,11 @@
   path: string;
   contentType: string;
   body: Buffer;
-  /** Time for the whole answer, in milliseconds. */
+  /** Time limit for the complete answer, in milliseconds. */
   deadline: number;
 }
 
-/** Counts of one router, for metrics. */
+/** Counts of non-repeatable calls, for metrics. */
 export interface OnceRouterCounters {
   routed: number;
   answered: number;
@@ -47,20 +47,19 @@
   unknown: number;
 }
 
-/** What the router works with. */
 export interface OnceRouterComponents {
   configuration: Configuration;
   directory: AgentDirectory;
   links: CallLinks;
 }
 
-/** The owner of a key and the list by which it is. */
+/** The agent that owns a key, and the epoch of the owners' list that says so. */
 interface Owner {
   row: AgentRow;
   epoch: number;
 }
 
-/** The router of one entry. */
+/** Routes non-repeatable calls to the owners of their keys. */
 export class OnceRouter {
   readonly counters: OnceRouterCounters = { routed: 0, answered: 0, refusedNotRun: 0, unknown: 0 };
   readonly #components: OnceRouterComponents;
@@ -69,7 +68,7 @@
     this.#components = components;
   }
 
-  /** Routes a call; returns once the whole answer has gone to `sink`, or what is known of the key. */
+  /** Routes a call; resolves when the complete answer has been passed to `sink`, or with what is known about the key. */
   async route(call: OnceCallInput, sink: AnswerSink, signal: AbortSignal): Promise<Result<void, CallError>> {
     this.counters.routed++;
     const outcome = await this.#tryUntilSettled(call, sink, signal);
@@ -83,7 +82,7 @@
     return failure(error);
   }
 
-  /** Asks the owner; while the owner is not settled, asks again. Only refusals as not the owner are repeated. */
+  /** Sends the call to the key's owner. Repeats only if the owner could not be reached or refused as not being the owner. */
   async #tryUntilSettled(
     call: OnceCallInput,
     sink: AnswerSink,
@@ -136,7 +135,7 @@
     return attemptCall(link.value, message, sink, signal);
   }
 
-  /** The process that owns the call's key under the list in force here, if it follows that list. */
+  /** The agent that owns the call's key under the owners' list known here, if the agent has adopted the same epoch. */
   #ownerOf(call: OnceCallInput): Owner | undefined {
     const { configuration, directory } = this.#components;
     const owners = configuration.row(TABLES.owners, call.service)?.value as OwnersRow | undefined;
@@ -150,9 +149,9 @@
   }
 
   /**
-   * Whether the owner has been the only one that could take the key since before the caller's first attempt.
-   * The owner's time is a lower bound: what it said, and the time since that came here. What happens to the
-   * message from now on does not matter, since the connection leads to that process alone.
+   * Whether the owner has been the only agent that could accept the key since before the caller's first attempt.
+   * The time of ownership is a lower bound: what the agent reported plus the time since the report arrived here.
+   * Later delays of the message do not matter, since the connection leads only to that process.
    */
   #isFresh(call: OnceCallInput, { row }: Owner): boolean {
     const now = performance.now();
@@ -162,7 +161,7 @@
   }
 }
 
-/** A first attempt that nobody was asked about has not run; of a later one this entry knows nothing. */
+/** A first attempt that was sent to no agent has not run; about an earlier attempt elsewhere this entry knows nothing. */
 function unreachable(call: OnceCallInput): AttemptOutcome {
   return {
     type: 'refused',
