--- a/src/entry/caller-api.ts
+++ b/src/entry/caller-api.ts
@@ -1,6 +1,6 @@
 /**
- * The HTTP interface for callers: the OpenAI shape of chat completions for models, plain pass-through for
- * services, and discovery of entries. The tenant is named by the header `x-thistleway-tenant`.
+ * HTTP API for callers: OpenAI-compatible chat completions for models, pass-through for services, and discovery of
+ * entries. The header `x-thistleway-tenant` names the tenant.
  */
 import Router from '@koa/router';
 import type Koa from 'koa';
@@ -17,51 +17,49 @@
 import { CALL_ERROR_STATUS, type CallError } from './errors.js';
 import type { OnceRouter } from './once-router.js';
 
-/** Header that names the caller's tenant. */
 const TENANT_HEADER = 'x-thistleway-tenant';
-/** Header by which a caller sets the time for the whole answer, in milliseconds. */
+/** Header with the caller's time limit for the complete answer, in milliseconds. */
 const DEADLINE_HEADER = 'x-thistleway-deadline';
-/** Headers of calls that may not be repeated: the key, the number of the attempt, and the time since the first. */
+/** Headers of non-repeatable calls: key, attempt number from 1, and milliseconds since the first attempt. */
 const KEY_HEADER = 'idempotency-key';
 const ATTEMPT_HEADER = 'idempotency-attempt';
 const ELAPSED_HEADER = 'idempotency-elapsed';
 const MAX_KEY_LENGTH = 200;
-/** Time after which a caller that was not let in may come back, in milliseconds. */
+/** Retry delay returned to callers refused by admission, in milliseconds. */
 const ADMISSION_RETRY_AFTER: Record<AdmissionRefusal, number> = {
   tenantLimit: 1_000,
   entryFull: 1_000,
   shed: 2_000,
   queueTime: 2_000,
 };
-/** Time after which an entry without a configuration may be asked again, in milliseconds. */
+/** Retry delay returned by an entry that has no configuration yet, in milliseconds. */
 const NOT_CONFIGURED_RETRY_AFTER = 1_000;
-/** Shortest beginning of a prompt by which a replica is chosen, and how much of it counts. */
+/** Minimum prompt length for prefix-cache affinity, and the maximum number of characters compared. */
 const MIN_PREFIX_CHARACTERS = 256;
 const MAX_PREFIX_CHARACTERS = 1_024;
-/** Why a request is given up; one object, since an error made for each costs as much as the routing. */
+/** Abort reason for a disconnected caller. Shared, since creating an error per request costs as much as routing it. */
 const CALLER_GONE = new Error('the caller has gone');
 const SAFE_METHODS = new Set(['GET', 'HEAD']);
 
-/** What the interface works with. */
 export interface CallerApiComponents {
   configuration: Configuration;
   router: CallRouter;
   onceRouter: OnceRouter;
   self: () => EntryInfo;
-  /** All entries known, this one included. */
+  /** All known entries, including this one. */
   entries: () => EntryInfo[];
   addressLifetimeSeconds: number;
   defaultDeadline: number;
   admission: Admission;
 }
 
-/** A request with what admission goes by. */
+/** A request with the attributes that admission control uses. */
 interface AdmittedCall extends RoutedCall {
   tenant: string;
   priority: number;
 }
 
-/** The interface of one entry. */
+/** The caller-facing routes of one entry. */
 export class CallerApi {
   readonly #components: CallerApiComponents;
   #inProgress = 0;
@@ -70,7 +68,7 @@
     this.#components = components;
   }
 
-  /** Requests of callers from their arrival until their answer is out: those whose body is coming are among them. */
+  /** Number of requests between arrival and the end of the answer, including those whose body is still being received. */
   get inProgress(): number {
     return this.#inProgress;
   }
@@ -94,12 +92,12 @@
     this.#tellLeaving(context);
   }
 
-  /** A caller of an entry that leaves is to use its connection no more; called before the head of an answer. */
+  /** While the entry is leaving, asks the caller to close its connection. Must be called before the response head is sent. */
   #tellLeaving({ res }: Koa.Context): void {
     if (this.#components.self().leaving && !res.headersSent) res.setHeader('connection', 'close');
   }
 
-  /** Until it holds a configuration, an entry answers nothing that it might have to take back. */
+  /** Refuses requests until a configuration is loaded: an answer such as "not found" could turn out to be wrong. */
   async #requireConfiguration(context: Koa.Context, next: Koa.Next): Promise<void> {
     if (this.#components.configuration.revision > 0) return next();
     this.#refuse(context, { type: 'notConfigured', ran: 'no', retryAfter: NOT_CONFIGURED_RETRY_AFTER });
@@ -217,7 +215,7 @@
     const elapsed = attempt === 1 ? 0 : named === '' ? Number.POSITIVE_INFINITY : Math.max(0, Number(named));
     const { method, path, contentType, body, deadline } = call;
     const input = { ...once, attempt, elapsed, method, path, contentType, body, deadline };
-    // Of an earlier attempt this entry knows nothing: what it refuses by itself may have run.
+    // This entry knows nothing about earlier attempts, so even a call that it refuses itself may have run.
     const ran = attempt === 1 ? 'no' : 'unknown';
     const { onceRouter } = this.#components;
     return this.#admit(context, call, ran, (sink, signal) => onceRouter.route(input, sink, signal));
@@ -268,7 +266,7 @@
     };
     const outcome = await route(sink, signal);
     if (outcome.ok) return void res.end();
-    // A cut answer must not pass for a whole one: the connection ends without the end of the body.
+    // A truncated answer must not look complete: the connection is destroyed without the end of the body.
     if (res.headersSent) return void res.destroy();
     this.#refuse(context, outcome.error);
   }
@@ -285,7 +283,7 @@
   }
 }
 
-/** What routing needs of a completion's body; undefined where it is not one. */
+/** Extracts the model name and prompt prefix from a completion request; undefined if the body is not valid. */
 function promptOf(body: Buffer): { model: string; prefix: string | undefined } | undefined {
   try {
     const { model, messages } = JSON.parse(body.toString('utf8')) as { model?: unknown; messages?: unknown };
@@ -295,7 +293,7 @@
   }
 }
 
-/** The beginning of the first message, if it is long enough to be worth finding in a cache. */
+/** The start of the first message, if it is long enough for prefix-cache affinity. */
 function prefixOf(messages: unknown): string | undefined {
   const first = Array.isArray(messages) ? (messages[0] as { content?: unknown } | undefined) : undefined;
   if (typeof first?.content !== 'string' || first.content.length < MIN_PREFIX_CHARACTERS) return undefined;
--- a/src/entry/errors.ts
+++ b/src/entry/errors.ts
@@ -1,22 +1,22 @@
-/** Errors of the entry's own layer, as callers are told of them. */
+/** Errors that the entry returns to callers. */
 
-/** Whether a request that has no whole answer ran. */
+/** Whether a request without a complete answer ran. */
 export type Ran = 'no' | 'yes' | 'unknown';
 
-/** Why a request has no whole answer. */
+/** Reason why a request has no complete answer. */
 export type CallError =
   | { type: 'unknownModel'; ran: 'no' }
   | { type: 'unknownService'; ran: 'no' }
-  /** This entry lies in a place where the answer may not travel. */
+  /** This entry is in a place through which the answer may not be sent; `entries` lists the allowed ones. */
   | { type: 'placeNotAllowed'; ran: Ran; entries: string[] }
   | { type: 'malformedRequest'; ran: 'no'; reason: string }
   /** `retryAfter` is in milliseconds. */
   | { type: 'noCapacity'; ran: Ran; retryAfter: number }
   | { type: 'entryLeaving'; ran: 'no'; retryAfter: number }
-  /** This entry has no configuration yet: it cannot tell what is allowed. */
+  /** This entry has no configuration yet, so it cannot tell what is allowed. */
   | { type: 'notConfigured'; ran: 'no'; retryAfter: number }
   | { type: 'deadlineExceeded'; ran: Ran }
-  /** Nothing proves that the key has not run; asking again with the same key tells more. */
+  /** The key may have run; a retry with the same key can determine the outcome. */
   | { type: 'outcomeUnknown'; ran: 'unknown'; retryAfter: number; reason: string }
   | { type: 'backEndFailed'; ran: Ran; reason: string };
 
