--- a/src/entry/entry-mesh.ts
+++ b/src/entry/entry-mesh.ts
@@ -1,6 +1,6 @@
 /**
- * What entries tell one another, over the links of {@link MeshLinks}: who they are and which agents they are home to
- * ({@link Membership}), the configuration in force, and, inside a zone, loads, which change fast.
+ * State exchanged between entries over {@link MeshLinks}: the entries and the agents homed at each ({@link Membership}),
+ * the configuration, and the agents' loads. Loads change fast and are sent only within a zone.
  */
 
 import type { Row } from '../clients/table-service.js';
@@ -15,36 +15,35 @@
 import type { EntryDirectory } from './entry-directory.js';
 import { type MeshLink, MeshLinks } from './mesh-links.js';
 
-/** Time in which changes of agents homed here are gathered, in milliseconds. */
+/** Delay for which changes of agents homed here are batched, in milliseconds. */
 const NEWS_DELAY = 100;
-/** Time between two messages with loads, in milliseconds. */
+/** Interval between load messages, in milliseconds. */
 const LOADS_INTERVAL = 2_000;
-/** Longest wait of news that nobody waits for; shorter than the time after which an entry reads the store itself. */
+/** Maximum delay of non-urgent configuration changes (ms); shorter than the time after which an entry reads the store itself. */
 const PATIENT_NEWS_INTERVAL = 2_000;
-/** Time between two digests of what is offered on a link, in milliseconds. */
+/** Interval between membership digests on a link, in milliseconds. */
 const DIGEST_INTERVAL = 4_000;
-/** Time after the start from which an entry goes by the zones that it hears of, in milliseconds. */
+/** Time after the start, in milliseconds, after which an entry no longer waits to hear from every configured zone. */
 const SETTLING_LIMIT = 15_000;
 
-/** What the mesh works with. */
 export interface EntryMeshComponents {
   context: ConnectionContext;
   directory: AgentDirectory;
   entries: EntryDirectory;
   configuration: Configuration;
-  /** What this entry says of itself. */
+  /** This entry's own information. */
   self: () => EntryInfo;
 }
 
-/** The mesh as one entry sees it. */
+/** One entry's participation in the mesh. */
 export class EntryMesh implements Startable {
-  /** Called when an entry came, changed or went. */
+  /** Called when an entry was added, changed or removed. */
   onChange: () => void = () => {};
   readonly #components: EntryMeshComponents;
   readonly #links: MeshLinks;
   readonly #membership: Membership;
   readonly #zones: Set<string>;
-  /** What was last published of each agent homed here. */
+  /** Serialized status last published for each agent homed here. */
   readonly #published = new Map<string, string>();
   #newsTimer: NodeJS.Timeout | undefined;
   readonly #toldLoads = new Map<string, string>();
@@ -72,12 +71,12 @@
     components.configuration.onRead = (base, revision, rows) => this.#tellRead({ base, revision, rows });
   }
 
-  /** True when this entry reads the store for its zone, and may take duties over. */
+  /** Whether this entry reads the store for its zone and may take over duties. */
   get isFirstOfZone(): boolean {
     return this.#links.isFirstOfZone;
   }
 
-  /** True once this entry hears of every zone, or has waited long for those that it does not hear of. */
+  /** Whether this entry has heard from every configured zone, or has stopped waiting for the missing ones. */
   get isSettled(): boolean {
     const own = this.#components.self().zone;
     const missing = [...this.#zones].filter((zone) => zone !== own && !this.#membership.isZoneOffered(zone));
@@ -93,12 +92,12 @@
     return this.#links.stop();
   }
 
-  /** Takes over a connection that another entry opened. */
+  /** Accepts a connection that another entry opened. */
   accept(connection: Parameters<MeshLinks['accept']>[0]): void {
     this.#links.accept(connection);
   }
 
-  /** Notes that an agent homed here has told something. */
+  /** Handles a status received from an agent homed here. */
   agentChanged(status: AgentStatus): void {
     const { id } = status.info;
     const lasting = lastingPartOf(status);
@@ -110,7 +109,7 @@
     this.#components.directory.refresh(status);
   }
 
-  /** Notes that an agent homed here is gone. */
+  /** Handles the loss of an agent homed here. */
   agentGone(id: string): void {
     this.#published.delete(id);
     this.#toldLoads.delete(id);
@@ -118,7 +117,7 @@
     this.#sendNewsSoon();
   }
 
-  /** Tells the others at once of a change of this entry itself. */
+  /** Sends a change of this entry's own information to the other entries at once. */
   announceSelf(): void {
     this.#membership.publishSelf(this.#components.self());
     this.#membership.sendOwnNews();
@@ -145,7 +144,7 @@
     }
   }
 
-  /** Loads that have changed: what an entry sent there itself it knows at once. */
+  /** Sends the loads that have changed to the zone; each entry already counts the requests that it sent itself. */
   #sendLoads(): void {
     const changed = this.#ownLoads().filter(({ id, active, held }) => {
       const load = `${active} ${held.join()}`;
@@ -189,7 +188,7 @@
     }
   }
 
-  /** Tells what this entry read. Other zones read for themselves, so renewals of leases are never told there. */
+  /** Forwards changes read from the store. Other zones read it themselves, so lease renewals alone are not sent there. */
   #tellRead(news: ConfigurationNews): void {
     const now = performance.now();
     const near = this.#heldBackNear.add(news, now);
@@ -203,7 +202,7 @@
     const { base, revision, rows } = message;
     const known = configuration.revision;
     if (revision <= known) return;
-    // With a gap in between, the rows alone do not make the revision: the store is read.
+    // Revisions are missing in between, so these rows do not give a complete state: read the store instead.
     if (base > known) return configuration.hint(revision);
     configuration.take(base, rows, revision);
     const news: Message = { type: 'configuration', base: known, revision, rows };
@@ -222,12 +221,12 @@
   }
 }
 
-/** A load that is told once and never again would stand for ever: entries elsewhere go by what they send themselves. */
+/** Removes the load, since other zones get no later updates of it and would keep it forever; they count their own requests. */
 function withoutLoad(status: AgentStatus): AgentStatus {
   return { ...status, active: 0 };
 }
 
-/** What of a status concerns all entries: not its load, and not how far a transfer is. */
+/** The part of a status that is published to all entries: without the load and the progress of transfers. */
 function lastingPartOf({ info, leaving, pool, capacity, versions, ownership }: AgentStatus): string {
   const ready = versions.map(({ version, ready, problem }) => [version, ready, problem]);
   return JSON.stringify([
--- a/src/entry/entry.ts
+++ b/src/entry/entry.ts
@@ -1,6 +1,6 @@
 /**
- * The role of an entry machine: callers' and operators' interfaces, the home of agents, the coordination of
- * bursts, and any duty whose lease this entry holds.
+ * The entry process: HTTP APIs for callers and operators, home of agents, coordinator of bursts, and worker for
+ * the duties whose lease it holds.
  */
 
 import { randomBytes } from 'node:crypto';
@@ -45,7 +45,7 @@
 import { OwnersDuty } from './owners-duty.js';
 import { PlacementDuty } from './placement-duty.js';
 
-/** What an entry is composed of. */
+/** The components of an entry. */
 export interface EntryComponents {
   settings: EntrySettings;
   /** Identity of this process. */
@@ -66,12 +66,11 @@
   entry: Entry;
 }
 
-/** Creates an entry from its settings. */
 export function createEntry(settings: EntrySettings): Entry {
   return composeEntry(settings).entry;
 }
 
-/** The parts of an entry; those that are not asked for are made when they are. */
+/** Creates the container of an entry's components; each is created when first accessed. */
 export function composeEntry(settings: EntrySettings): EntryComponents {
   const identity = `${settings.listen.peers}#${randomBytes(4).toString('hex')}`;
   const container = createContainer<EntryComponents>({ injectionMode: InjectionMode.PROXY, strict: true });
@@ -100,10 +99,10 @@
   return container.cradle;
 }
 
-/** A running entry. */
+/** An entry process. */
 export class Entry implements Startable {
   readonly #components: EntryComponents;
-  /** What does not change of this entry's word on itself. */
+  /** The constant part of this entry's own information. */
   readonly #self: Omit<EntryInfo, 'leaving' | 'sequence'>;
   readonly #context: ConnectionContext;
   readonly #mesh: EntryMesh;
@@ -171,7 +170,7 @@
     const owners = new OwnersDuty({ configuration, directory, lease, machines });
     const operations = new OperationsDuty(configuration, lease);
     lease.onHeld = async () => {
-      // Machines that are not heard of yet must not be taken for gone.
+      // Until every zone has been heard from, machines that are merely unknown would be treated as gone.
       if (!this.#mesh.isSettled) return;
       await placement.review();
       await owners.review();
@@ -204,7 +203,7 @@
     await this.#links.stop();
   }
 
-  /** Withdraws from discovery; callers that hold the address are still served. */
+  /** Withdraws the entry from discovery. Callers that already hold its address are still served. */
   drain(): void {
     if (this.#leaving) return;
     this.#leaving = true;
@@ -215,12 +214,12 @@
     this.#home.tellAll();
   }
 
-  /** Requests in progress. */
+  /** Number of requests in progress. */
   get active(): number {
     return this.#callers.inProgress;
   }
 
-  /** What this entry says of itself. */
+  /** This entry's own information, as sent to entries and agents. */
   info(): EntryInfo {
     return { ...this.#self, leaving: this.#leaving, sequence: this.#sequence };
   }
