--- a/src/entry/home-agents.ts
+++ b/src/entry/home-agents.ts
@@ -1,4 +1,4 @@
-/** The agents that have chosen this entry as their home: their news in, their assignments out. */
+/** The agents that chose this entry as their home: receives their statuses and sends them their assignments. */
 
 import { manifestKey, type ObjectStore } from '../clients/object-store.js';
 import type { Manifest } from '../model/manifest.js';
@@ -16,15 +16,14 @@
 import type { EntryMesh } from './entry-mesh.js';
 
 const OBJECT_TIMEOUT = 5_000;
-/** Manifests kept: one of a large model takes about a megabyte, and several versions come a day. */
+/** Number of cached manifests: one of a large model takes about 1 MB, and several versions are released a day. */
 const MANIFESTS_KEPT = 4;
-/** Time in which news of entries are gathered before agents are told, in milliseconds. */
+/** Delay for which changes of entries are batched before agents are notified, in milliseconds. */
 const ENTRIES_DELAY = 250;
 
-/** Tables of which agents are told. */
+/** Tables whose changes affect the messages to agents. */
 const TOLD_TABLES: ReadonlySet<string> = new Set([TABLES.resources, TABLES.placements, TABLES.owners]);
 
-/** What the home works with. */
 export interface HomeAgentsComponents {
   self: () => EntryInfo;
   configuration: Configuration;
@@ -36,18 +35,18 @@
   timeline: Timeline;
 }
 
-/** The home that one entry gives to agents. */
+/** The agents homed at one entry. */
 export class HomeAgents {
   readonly #components: HomeAgentsComponents;
   readonly #connections = new Map<string, Connection>();
-  /** What each agent was last told, so that it is told only of changes. */
+  /** Serialized message last sent to each agent, so that only changes are sent. */
   readonly #told = new Map<string, string>();
-  /** Agents whose owners' list was read from the store after they connected: only that may be told to them. */
+  /** Agents for which the owners' list was read from the store after they connected; no older list may be sent to them. */
   readonly #vouched = new Set<string>();
-  /** What agents are told of entries, and the same as text; undefined after a change. */
+  /** Cached entry list for agents and its serialized form; undefined after a change. */
   #entries: { infos: EntryInfo[]; text: string } | undefined;
   #entriesTimer: NodeJS.Timeout | undefined;
-  /** The manifests asked for last, by version; they never change. */
+  /** The latest requested manifests by version; a version's manifest never changes. */
   readonly #manifests = new Map<string, Promise<Result<Manifest, string>>>();
 
   constructor(components: HomeAgentsComponents) {
@@ -63,13 +62,13 @@
     return this.#connections.size;
   }
 
-  /** Takes over a connection that an agent opened, as its home or to join a burst. */
+  /** Accepts a connection that an agent opened, to use this entry as its home or to join a burst. */
   accept(connection: Connection): void {
     connection.handleMessages((message) => this.#onMessage(connection, message));
     connection.onClose = () => this.#lost(connection);
   }
 
-  /** Tells every agent homed here what is news to it. */
+  /** Sends every agent homed here its assignments if they have changed. */
   tellAll(): void {
     this.#entries = undefined;
     for (const id of this.#connections.keys()) this.#tell(id);
@@ -102,7 +101,7 @@
     if (message.status.backEnd === 'service' && !this.#vouched.has(id)) void this.#vouch(id, connection);
   }
 
-  /** Reads the store once for a connected agent; while the store is down, its next status tries again. */
+  /** Reads the store once after an agent connected. If the read fails, the agent's next status triggers another. */
   async #vouch(id: string, connection: Connection): Promise<void> {
     const read = await this.#components.configuration.poll();
     if (!read || this.#connections.get(id) !== connection) return;
@@ -125,7 +124,7 @@
     connection.send({ type: 'assignments', revision: configuration.revision, assignments, entries, owners });
   }
 
-  /** The entries of this zone, for homes, and the lowest entry of each zone, for the coordination of bursts. */
+  /** The entries of this zone, as possible homes, and the lowest entry of each zone, as possible burst coordinators. */
   #entriesFor(): { infos: EntryInfo[]; text: string } {
     const { self, entries } = this.#components;
     const own = self();
@@ -139,7 +138,7 @@
     return this.#components.configuration.row(TABLES.owners, service)?.value as OwnersRow | undefined;
   }
 
-  /** What an agent is to do; never in a place that the declaration does not allow, whatever an older placement says. */
+  /** An agent's assignments. An outdated placement never yields one in a place that the deployment does not allow. */
   #assignmentsOf({ address, place }: PeerInfo): Assignment[] {
     const { configuration } = this.#components;
     return configuration.deployments().flatMap(({ value, revision }) => {
@@ -147,7 +146,7 @@
       if (placement === undefined || !placement.machines.includes(address)) return [];
       const { tenant, model, places, priority, objective } = value.spec;
       if (!places.includes(place)) return [];
-      // Until the placement follows a new declaration, the version placed earlier stays assigned.
+      // Until a new placement is decided for a changed deployment, the version placed earlier stays assigned.
       const { version } = placement;
       const deployment = value.metadata.name;
       return [{ deployment, tenant, model, version, places, priority, objective, revision }];
--- a/src/entry/mesh-links.ts
+++ b/src/entry/mesh-links.ts
@@ -1,23 +1,23 @@
-/** The connections of an entry to other entries, kept as the topology says. */
+/** The connections of an entry to other entries, maintained according to the entry topology. */
 import { setMaxListeners } from 'node:events';
 import type { Startable } from '../model/startable.js';
 import { type Connection, type ConnectionContext, connect } from '../protocol/connection.js';
 import type { Message } from '../protocol/messages.js';
 import { type ConfiguredEntry, entriesToDial, isFirstOfZone, isLinkedTo } from '../systems/entry-topology.js';
 
-/** Time between two reviews of the connections, in milliseconds. */
+/** Interval between reviews of the connections, in milliseconds. */
 const REVIEW_INTERVAL = 250;
-/** Time for which an entry that took no connection is passed over for others of its zone, in milliseconds. */
+/** Time for which an entry that could not be reached is skipped in favour of others in its zone, in milliseconds. */
 const UNREACHABLE_TIME = 2_000;
-/** Time after the start for entries of the own zone to connect, before links to other zones are made, in milliseconds. */
+/** Time after the start for entries of the own zone to connect before other zones are dialled, in milliseconds. */
 const OWN_ZONE_TIME = 1_500;
 
-/** What the links tell. */
+/** Callbacks of the links. */
 export interface MeshLinkEvents {
   onOpen(link: MeshLink): void;
   onMessage(link: MeshLink, message: Message): void;
   onLost(link: MeshLink): void;
-  /** A while has passed. */
+  /** Called at every review interval. */
   onReview(): void;
 }
 
@@ -26,9 +26,9 @@
   /** Identity of the other process. */
   id: string;
   entry: ConfiguredEntry;
-  /** True for an entry of the own zone. */
+  /** Whether the other entry is in the same zone. */
   near: boolean;
-  /** True when this side opened the connection. */
+  /** Whether this entry opened the connection. */
   dialled: boolean;
   connection: Connection;
 }
@@ -44,7 +44,7 @@
   readonly #unreachable = new Map<string, number>();
   readonly #stopping = new AbortController();
   #startedAt = performance.now();
-  /** False while nothing has changed since there was nothing to dial. */
+  /** Whether links may have changed since a review last found nothing to dial. */
   #mayHaveToDial = true;
   #timer: NodeJS.Timeout | undefined;
 
@@ -58,11 +58,11 @@
     this.#configured = configured;
     this.#context = context;
     this.#events = events;
-    // Every connection that is being made listens to it.
+    // Every connection attempt adds a listener to the signal.
     setMaxListeners(0, this.#stopping.signal);
   }
 
-  /** True when no connected entry of the zone comes before this one. */
+  /** Whether this entry sorts first among the connected entries of its zone. */
   get isFirstOfZone(): boolean {
     return isFirstOfZone(this.#self, this.#connected());
   }
@@ -79,31 +79,31 @@
     for (const { connection } of this.#links.values()) connection.close();
   }
 
-  /** Takes over a connection that another entry opened. */
+  /** Accepts a connection that another entry opened. */
   accept(connection: Connection): void {
     this.#add(connection, false);
   }
 
-  /** Sends over one link; nothing where it is gone. */
+  /** Sends over one link; does nothing if the link is closed. */
   send(id: string, message: Message): void {
     this.#links.get(id)?.connection.send(message);
   }
 
-  /** Sends to the entries of the own zone. */
+  /** Sends to the connected entries of the own zone. */
   sendNear(message: Message): void {
     for (const link of this.#links.values()) {
       if (link.near) link.connection.send(message);
     }
   }
 
-  /** Sends to the entries of other zones that are connected here. */
+  /** Sends to the connected entries of other zones. */
   sendFar(message: Message): void {
     for (const link of this.#links.values()) {
       if (!link.near) link.connection.send(message);
     }
   }
 
-  /** Closes links to other zones that were made before the entry that is to have them was there, and that has one. */
+  /** Closes links to other zones that another entry of this zone is responsible for, once that zone is heard through it. */
   closeRedundant(isHeard: (zone: string, without: MeshLink) => boolean): void {
     for (const link of this.#links.values()) {
       const isOwnTask =
@@ -164,7 +164,7 @@
     if (this.#links.get(link.id) !== link) return;
     this.#links.delete(link.id);
     this.#mayHaveToDial = true;
-    // What this entry loses because it stops itself is no news.
+    // Links closed because this entry is stopping are not reported as lost.
     if (!this.#stopping.signal.aborted) this.#events.onLost(link);
   }
 }
