--- a/src/entry/agent-directory.ts
+++ b/src/entry/agent-directory.ts
@@ -1,10 +1,10 @@
-/** The agents that an entry knows: its own ones, and those that other entries are home to. */
+/** The agents known to an entry: those homed here and those homed at other entries. */
 import type { AgentLoad, AgentStatus } from '../protocol/messages.js';
 
-/** An agent as this entry knows it. */
+/** An agent's latest known status. */
 export interface AgentRow {
   status: AgentStatus;
-  /** When the status came here, by this entry's clock. */
+  /** When the status arrived here, by this entry's clock. */
   receivedAt: number;
   /** Identity of the agent's home entry. */
   home: string;
@@ -12,7 +12,7 @@
   homeZone: string;
 }
 
-/** All agents known here, by identity of their process; one at each address. */
+/** All known agents by the identity of their process; at most one at each address. */
 export class AgentDirectory {
   readonly rows = new Map<string, AgentRow>();
   readonly #byAddress = new Map<string, string>();
@@ -24,8 +24,8 @@
   }
 
   /**
-   * Sets who stands at an address. What the same home has told of the same process already, or something later, stays
-   * as it is: its age tells for how long a process has owned its keys.
+   * Sets the agent at an address; undefined removes it. A status that is no newer than the known one from the same home
+   * and process is ignored: a row's age is used to compute for how long the process has owned its keys.
    */
   set(address: string, told: { status: AgentStatus; home: string; homeZone: string } | undefined): void {
     const earlier = this.#byAddress.get(address);
@@ -38,7 +38,7 @@
     else {
       const { status, home, homeZone } = told;
       const { id } = status.info;
-      // A load that its home told of stays until the next.
+      // Published statuses carry no load: keep the last one received from this home.
       const active = isSame ? known.status.active : status.active;
       this.#byAddress.set(address, id);
       this.rows.set(id, { status: { ...status, active }, receivedAt: performance.now(), home, homeZone });
@@ -46,7 +46,7 @@
     this.#notify();
   }
 
-  /** Takes a status of an agent in that is homed here. */
+  /** Stores a status received from an agent that is homed here. */
   refresh(status: AgentStatus): void {
     const row = this.rows.get(status.info.id);
     if (row === undefined) return;
@@ -55,7 +55,7 @@
     this.#notify();
   }
 
-  /** Takes loads in; they change nothing else. */
+  /** Updates loads and bytes held only; does not notify listeners. */
   updateLoads(loads: readonly AgentLoad[]): void {
     for (const { id, active, held } of loads) {
       const row = this.rows.get(id);
@@ -67,7 +67,7 @@
     }
   }
 
-  /** The agents whose home is `home`. */
+  /** The statuses of the agents whose home is `home`. */
   homedAt(home: string): AgentStatus[] {
     return [...this.rows.values()].filter((row) => row.home === home).map((row) => row.status);
   }
--- a/src/entry/call-links.ts
+++ b/src/entry/call-links.ts
@@ -1,4 +1,4 @@
-/** The connections of an entry to the agents that it sends requests to; one an agent, dialled when needed. */
+/** Connections of an entry to the agents that it sends requests to: one per agent, dialled on demand. */
 import { type Result, success } from '../model/result.js';
 import { withLimit } from '../model/time-limit.js';
 import {
@@ -12,14 +12,14 @@
 
 const DIAL_TIMEOUT = 1_000;
 
-/** Who waits for the frames of a call. */
+/** Receives the frames of a call. */
 export interface CallListener {
   onFrame(message: CallMessage): void;
-  /** The connection is gone; frames may be missing. */
+  /** Called when the connection is lost; frames may be missing. */
   onLost(): void;
 }
 
-/** A connection and the calls on it. */
+/** A connection to an agent, with the listeners of its calls. */
 export class CallLink {
   readonly #connection: Connection;
   readonly #listeners = new Map<string, CallListener>();
@@ -43,7 +43,7 @@
     return this.#connection.remote.peer.id;
   }
 
-  /** Hands a call over; returns false when nothing was sent. */
+  /** Sends a call; returns false if nothing was sent. */
   start(call: CallMessage & { type: 'call' }, listener: CallListener): boolean {
     this.#listeners.set(keyOf(call), listener);
     if (this.#connection.send(call)) return true;
@@ -51,13 +51,13 @@
     return false;
   }
 
-  /** Stops listening to a call; the agent is told where it still runs. */
+  /** Stops listening to a call, and cancels it at the agent if `cancel` is set. */
   end(callId: string, attempt: number, cancel: boolean): void {
     this.#listeners.delete(keyOf({ callId, attempt }));
     if (cancel) this.#connection.send({ type: 'callCancel', callId, attempt });
   }
 
-  /** The caller has taken bytes of an answer. */
+  /** Acknowledges to the agent that the caller has taken bytes of an answer. */
   taken(callId: string, attempt: number, bytes: number): void {
     this.#connection.send({ type: 'callTaken', callId, attempt, bytes });
   }
@@ -77,7 +77,7 @@
     this.#context = context;
   }
 
-  /** An open link to an agent; a process replaced under the same address is not it. */
+  /** Returns an open link to an agent. Fails if another process answers at the agent's address. */
   async to(agent: PeerInfo): Promise<Result<CallLink, ConnectionError>> {
     const known = await this.#links.get(agent.id);
     if (known?.ok && known.value.open) return known;
@@ -104,7 +104,11 @@
     outcome.value.close();
     return {
       ok: false,
-      error: { type: 'peerUnreachable', address: agent.address, reason: 'process replaced' },
+      error: {
+        type: 'peerUnreachable',
+        address: agent.address,
+        reason: 'another process answers at this address',
+      },
     };
   }
 }
