--- a/src/entry/burst-duty.ts
+++ b/src/entry/burst-duty.ts
@@ -1,4 +1,4 @@
-/** The bursts that this entry coordinates, because their machines chose it by rendezvous hash. */
+/** The bursts that this entry coordinates. Machines select a burst's coordinator by rendezvous hashing. */
 import { ChunkSet } from '../model/chunk-set.js';
 import { hash32, seededRandom } from '../model/random.js';
 import type { Startable } from '../model/startable.js';
@@ -20,7 +20,7 @@
   connections: Map<string, Connection>;
 }
 
-/** The coordinators of one entry. */
+/** The burst coordinators that run at one entry. */
 export class BurstDuty implements Startable {
   readonly #bursts = new Map<TransferKey, Burst>();
   readonly #timeline: Timeline;
@@ -33,12 +33,12 @@
     this.#strategy = strategy;
   }
 
-  /** Bursts with members. */
+  /** Number of bursts with members. */
   get active(): number {
     return this.#bursts.size;
   }
 
-  /** Nothing runs until a first machine joins a burst. */
+  /** Does nothing: the timer starts when the first machine joins a burst. */
   async start(): Promise<void> {}
 
   async stop(): Promise<void> {
@@ -50,7 +50,7 @@
     this.#timer = undefined;
   }
 
-  /** Handles a message of an agent; returns false when it is not about a burst. */
+  /** Handles a message from an agent; returns false if it does not concern bursts. */
   handle(connection: Connection, message: Message): boolean {
     const handled = this.#handle(connection, message);
     if (handled) this.#tickSoon();
@@ -88,7 +88,7 @@
     }
   }
 
-  /** A connection is gone: its agent takes part in no burst of this entry any more. */
+  /** Removes the agent of a lost connection from all bursts. */
   lost(connection: Connection): void {
     for (const key of [...this.#bursts.keys()]) this.#leave(key, connection.remote.peer.id, connection);
   }
--- a/src/entry/duty-lease.ts
+++ b/src/entry/duty-lease.ts
@@ -1,4 +1,4 @@
-/** One duty held under a lease of the table service; every write of the holder depends on the lease's row. */
+/** A duty held under a lease in the table service. Each write of the holder is conditional on the lease's row. */
 import { randomUUID } from 'node:crypto';
 import type { RowCondition, RowWrite, TableService, TransactionOutcome } from '../clients/table-service.js';
 import type { Startable } from '../model/startable.js';
@@ -6,25 +6,24 @@
 import { decideLease, type LeaseObservation, type LeaseRow } from '../systems/lease.js';
 import { type Configuration, TABLES } from './configuration.js';
 
-/** Time between two reviews of a holder, and of a process that may have to take over, in milliseconds. */
+/** Intervals between reviews by the holder, and by processes that may take over, in milliseconds. */
 const HOLDER_INTERVAL = 250;
 const OBSERVER_INTERVAL = 1_000;
 const WRITE_TIMEOUT = 3_000;
 
-/** What a lease works with. */
 export interface DutyLeaseComponents {
   configuration: Configuration;
   tables: TableService;
   timeline: Timeline;
   /** Identity of this process. */
   self: string;
-  /** Whether this process may take the lease over from another. */
+  /** Whether this process may take over the lease from another. */
   mayTakeOver: () => boolean;
 }
 
 /** The lease of one duty. */
 export class DutyLease implements Startable {
-  /** Called about every `HOLDER_INTERVAL` milliseconds while this process believes to hold the lease. */
+  /** Called about every `HOLDER_INTERVAL` milliseconds while this process believes that it holds the lease. */
   onHeld: () => Promise<void> = async () => {};
   readonly #duty: string;
   readonly #components: DutyLeaseComponents;
@@ -39,7 +38,7 @@
     this.#components = components;
   }
 
-  /** Whether this process believes to hold the lease; only a conditional write proves it. */
+  /** Whether this process believes that it holds the lease; only a successful conditional write proves it. */
   get held(): boolean {
     return this.#heldEpoch !== undefined;
   }
@@ -56,7 +55,7 @@
     this.#stopping.abort();
   }
 
-  /** Writes on the condition that the lease's row is the one this process knows. */
+  /** Writes on condition that the lease's row still has the revision known here; returns whether it was committed. */
   async write(conditions: RowCondition[], writes: RowWrite[]): Promise<boolean> {
     const fence = { table: TABLES.leases, key: this.#duty, revision: this.#observation.revision };
     const outcome = await this.#transact([fence, ...conditions], writes);
@@ -91,8 +90,8 @@
     const write = { table: TABLES.leases, key: this.#duty, value: row };
     const isRenewal = this.held;
     const outcome = await this.#transact([condition], [write]);
-    // Whatever the answer, the row itself tells: a lost answer is found out by reading. A renewal can wait for the
-    // next reading.
+    // The row itself shows the outcome, also if the answer was lost. After a committed renewal, the next
+    // scheduled read is early enough.
     if (outcome?.type === 'conflict' || (outcome !== undefined && !isRenewal)) await configuration.poll();
     this.#observe();
   }
@@ -118,7 +117,7 @@
     if (!this.#stopping.signal.aborted) this.#timer = setTimeout(() => this.#run(), wait);
   }
 
-  /** Reviews at once, unless a review is under way. */
+  /** Reviews at once, unless a review is in progress. */
   #wake(): void {
     if (!this.#reviewing) this.#run();
   }
--- a/src/entry/machine-watch.ts
+++ b/src/entry/machine-watch.ts
@@ -1,20 +1,20 @@
-/** Which machines the platform's list has dropped for so long that their processes count as dead. */
+/** Detects machines that have been missing from the platform's machine list for so long that their processes are dead. */
 import type { MachineList } from '../clients/machine-list.js';
 
-/** Time between two readings of the list, in milliseconds. */
+/** Minimum interval between reads of the list, in milliseconds. */
 const READ_INTERVAL = 2_000;
 const READ_TIMEOUT = 2_000;
-/** Absence after which a machine that was listed counts as dead; must exceed `WORD_LIMIT` of the agents. */
+/** Absence (ms) after which a machine that was listed counts as dead. Must exceed `WORD_LIMIT` in agent/key-ownership.ts. */
 const DEAD_AFTER = 10_000;
-/** The same for a machine that this process has never seen listed: it may be too new for the lagging list. */
+/** The same for a machine that was never seen on the list: the list lags, so the machine may be too new to be on it. */
 const DEAD_AFTER_UNSEEN = 60_000;
 
-/** The view of one entry. */
+/** One entry's view of the machine list. */
 export class MachineWatch {
   readonly #list: MachineList;
   readonly #lastListed = new Map<string, number>();
   readonly #firstMissed = new Map<string, number>();
-  /** The list as it was last read. */
+  /** The addresses on the list at the last successful read. */
   #listed: ReadonlySet<string> | undefined;
   #readAt = Number.NEGATIVE_INFINITY;
 
@@ -22,7 +22,7 @@
     this.#list = list;
   }
 
-  /** Of `addresses`, all out of sight of the entries, those whose machines are gone. */
+  /** Of `addresses`, none of which is connected to an entry, returns those whose machines are dead. */
   async dead(addresses: readonly string[]): Promise<Set<string>> {
     if (addresses.length > 0 && performance.now() - this.#readAt >= READ_INTERVAL) await this.#read();
     for (const address of addresses) this.#note(address);
@@ -41,7 +41,7 @@
     }
   }
 
-  /** Whoever asks first for an address, the time for which it is missed counts from the reading. */
+  /** Starts the absence of an unlisted address at the last read of the list, regardless of when it is first queried. */
   #note(address: string): void {
     if (this.#listed === undefined || this.#listed.has(address) || this.#firstMissed.has(address)) return;
     this.#firstMissed.set(address, this.#readAt);
--- a/src/entry/operations-duty.ts
+++ b/src/entry/operations-duty.ts
@@ -1,13 +1,13 @@
-/** Keeps the table of settled operations short: the oldest rows go once nobody can still ask for them. */
+/** Limits the size of the table of settled operations by deleting the oldest rows, which clients no longer query. */
 import { type Configuration, TABLES } from './configuration.js';
 import type { DutyLease } from './duty-lease.js';
 
-/** Rows kept; at 3,800 changes a day they reach back half a day. */
+/** Number of rows kept: half a day at 3,800 changes a day. */
 const OPERATIONS_KEPT = 2_000;
-/** Rows deleted in one transaction. */
+/** Number of rows deleted in one transaction. */
 const DELETED_AT_ONCE = 200;
 
-/** The duty of one entry; it acts only while the lease is held. */
+/** The operations duty of one entry. Must be run only while the lease is held. */
 export class OperationsDuty {
   readonly #configuration: Configuration;
   readonly #lease: DutyLease;
@@ -17,7 +17,7 @@
     this.#lease = lease;
   }
 
-  /** Deletes the oldest rows beyond those kept. */
+  /** Deletes a batch of the oldest rows when the table exceeds its limit by a full batch. */
   async review(): Promise<void> {
     const rows = this.#configuration.rows(TABLES.operations);
     if (rows.length < OPERATIONS_KEPT + DELETED_AT_ONCE) return;
--- a/src/entry/owners-duty.ts
+++ b/src/entry/owners-duty.ts
@@ -1,11 +1,10 @@
-/** The owners of keys of every service, decided by whichever entry holds the lease of the placement duty. */
+/** Decides which agents own the idempotency keys of each service, at the entry that holds the placement lease. */
 import { decideOwners, type OwnerCandidate, type OwnersRow } from '../systems/ownership.js';
 import type { AgentDirectory } from './agent-directory.js';
 import { type Configuration, TABLES } from './configuration.js';
 import type { DutyLease } from './duty-lease.js';
 import type { MachineWatch } from './machine-watch.js';
 
-/** What the duty works with. */
 export interface OwnersDutyComponents {
   configuration: Configuration;
   directory: AgentDirectory;
@@ -13,7 +12,7 @@
   machines: MachineWatch;
 }
 
-/** The duty of one entry; it acts only while the lease is held. */
+/** The owners duty of one entry. Must be run only while the lease is held. */
 export class OwnersDuty {
   readonly #components: OwnersDutyComponents;
 
@@ -21,7 +20,7 @@
     this.#components = components;
   }
 
-  /** Writes the lists that should change. */
+  /** Writes the owners' lists that should change. */
   async review(): Promise<void> {
     for (const { value } of this.#components.configuration.services()) {
       await this.#reviewService(value.metadata.name, value.spec.places);
--- a/src/entry/placement-duty.ts
+++ b/src/entry/placement-duty.ts
@@ -1,4 +1,4 @@
-/** The placement of deployments on machines, decided by whichever entry holds the lease of the duty. */
+/** Decides the placement of deployments on machines, at the entry that holds the duty's lease. */
 import type { Timeline } from '../observability/timeline.js';
 import {
   type DeploymentRow,
@@ -12,12 +12,11 @@
 import type { DutyLease } from './duty-lease.js';
 import type { MachineWatch } from './machine-watch.js';
 
-/** Time after which the machines known here count as all there are, in milliseconds. */
+/** Time after the start, in milliseconds, after which the known machines are assumed to be complete. */
 const SETTLING_TIME = 1_500;
-/** Time for which a machine that is out of sight is awaited before another serves in its place, in milliseconds. */
+/** Time to wait for a disconnected machine before another is used in its place, in milliseconds. */
 const AWAITED_TIME = 8_000;
 
-/** What the duty works with. */
 export interface PlacementDutyComponents {
   configuration: Configuration;
   directory: AgentDirectory;
@@ -26,11 +25,11 @@
   machines: MachineWatch;
 }
 
-/** The placement duty of one entry; it acts only while the lease is held. */
+/** The placement duty of one entry. Must be run only while the lease is held. */
 export class PlacementDuty {
   readonly #components: PlacementDutyComponents;
   readonly #startedAt = performance.now();
-  /** When an assigned machine was first found missing. */
+  /** When each missing assigned machine was first found missing. */
   readonly #missingSince = new Map<string, number>();
 
   constructor(components: PlacementDutyComponents) {
@@ -39,7 +38,7 @@
 
   /** Writes the placements that should change. */
   async review(): Promise<void> {
-    // An entry that has just started knows few machines; it must not take the others for gone.
+    // An entry that has just started knows few machines, and must not treat the others as gone.
     if (performance.now() - this.#startedAt < SETTLING_TIME) return;
     const { configuration } = this.#components;
     const earlier = new Map<string, Placement>();
@@ -53,7 +52,7 @@
     }
   }
 
-  /** The assigned machines that are out of sight and not given up by the platform's list. */
+  /** The assigned machines that are disconnected but not dead according to the platform's machine list. */
   async #missing(
     machines: readonly MachineRow[],
     earlier: ReadonlyMap<string, Placement>,
