--- a/src/entry/discovery.ts
+++ b/src/entry/discovery.ts
@@ -1,15 +1,15 @@
-/** Which entries a caller may use, nearest first, and for how long it may keep the answer. */
+/** The discovery answer: which entries a caller may use, and for how long it may cache the answer. */
 import type { EntryInfo } from '../protocol/messages.js';
 
 /** The answer of `GET /v1/entries`. */
 export interface DiscoveryAnswer {
   /** `host:port` of each entry. */
   entries: Array<{ address: string; place: string; zone: string }>;
-  /** Time for which the answer may be kept, in seconds. */
+  /** Time for which the answer may be cached, in seconds. */
   validSeconds: number;
 }
 
-/** The entries in `places` (all where undefined) that do not leave. */
+/** Returns the entries in `places` (any place if undefined) that are not leaving, in the order of `known`. */
 export function discover(
   known: readonly EntryInfo[],
   places: readonly string[] | undefined,
