--- a/src/entry/admission.ts
+++ b/src/entry/admission.ts
@@ -42,7 +42,7 @@
     const id = this.#nextId++;
     return new Promise((resolve) => {
       this.#waiting.set(id, resolve);
-      signal.addEventListener('abort', () => this.#leave(id), { once: true });
+      signal.addEventListener('abort', () => this.#withdraw(id), { once: true });
       this.#apply(this.#table.offer({ id, tenant, priority }, performance.now()));
       this.#expireLater();
     });
@@ -57,7 +57,7 @@
     }, EXPIRY_INTERVAL);
   }
 
-  #leave(id: number): void {
+  #withdraw(id: number): void {
     const waiting = this.#waiting.get(id);
     if (waiting === undefined) return;
     this.#waiting.delete(id);
--- a/src/entry/agent-directory.ts
+++ b/src/entry/agent-directory.ts
@@ -27,16 +27,16 @@
    * Sets the agent at an address; undefined removes it. A status that is no newer than the known one from the same home
    * and process is ignored: a row's age is used to compute for how long the process has owned its keys.
    */
-  set(address: string, told: { status: AgentStatus; home: string; homeZone: string } | undefined): void {
+  set(address: string, update: { status: AgentStatus; home: string; homeZone: string } | undefined): void {
     const earlier = this.#byAddress.get(address);
     const known = earlier === undefined ? undefined : this.rows.get(earlier);
     const isSame =
-      known !== undefined && known.status.info.id === told?.status.info.id && known.home === told.home;
-    if (isSame && known.status.sequence >= told!.status.sequence) return;
-    if (earlier !== undefined && earlier !== told?.status.info.id) this.rows.delete(earlier);
-    if (told === undefined) this.#byAddress.delete(address);
+      known !== undefined && known.status.info.id === update?.status.info.id && known.home === update.home;
+    if (isSame && known.status.sequence >= update!.status.sequence) return;
+    if (earlier !== undefined && earlier !== update?.status.info.id) this.rows.delete(earlier);
+    if (update === undefined) this.#byAddress.delete(address);
     else {
-      const { status, home, homeZone } = told;
+      const { status, home, homeZone } = update;
       const { id } = status.info;
       // Published statuses carry no load: keep the last one received from this home.
       const active = isSame ? known.status.active : status.active;
--- a/src/entry/attempt.ts
+++ b/src/entry/attempt.ts
@@ -4,7 +4,7 @@
 import type { Ran } from './errors.js';
 
 /** Bytes of an answer after which the agent is sent an acknowledgement: a quarter of its flow-control window. */
-const TAKEN_STEP = 64 * 1_024;
+const ACKNOWLEDGEMENT_STEP = 64 * 1_024;
 
 /** Receives an answer. */
 export interface AnswerSink {
@@ -57,9 +57,9 @@
   readonly #agent: string;
   readonly #sink: AnswerSink;
   readonly #taken: (bytes: number) => void;
-  readonly #settled: (outcome: AttemptOutcome) => void;
+  readonly #onSettled: (outcome: AttemptOutcome) => void;
   /** Bytes the caller has taken that are not yet acknowledged to the agent. */
-  #untold = 0;
+  #unacknowledged = 0;
   readonly #timer: NodeJS.Timeout;
   #frames = 0;
   #headSent = false;
@@ -75,7 +75,7 @@
     this.#agent = agent;
     this.#sink = sink;
     this.#taken = taken;
-    this.#settled = settled;
+    this.#onSettled = settled;
     this.#timer = setTimeout(() => this.abandon('the deadline has passed'), timeLeft);
   }
 
@@ -88,7 +88,7 @@
       case 'callData':
         if (message.sequence !== this.#frames) return this.abandon('a frame of the answer is missing');
         this.#frames++;
-        return this.#pass(message.data);
+        return this.#forward(message.data);
       case 'callEnd':
         if (message.frames !== this.#frames) return this.abandon('frames of the answer are missing');
         return this.#settle({ type: 'answered' });
@@ -102,18 +102,18 @@
     }
   }
 
-  #pass(data: Uint8Array): void {
-    const slow = this.#sink.data(data);
-    if (slow === undefined) return this.#noteTaken(data.byteLength);
-    void slow.then(() => this.#noteTaken(data.byteLength));
+  #forward(data: Uint8Array): void {
+    const drained = this.#sink.data(data);
+    if (drained === undefined) return this.#acknowledge(data.byteLength);
+    void drained.then(() => this.#acknowledge(data.byteLength));
   }
 
   /** Acknowledges the bytes the caller has taken, in steps of a part of the agent's window. */
-  #noteTaken(bytes: number): void {
-    this.#untold += bytes;
-    if (this.#untold < TAKEN_STEP) return;
-    this.#taken(this.#untold);
-    this.#untold = 0;
+  #acknowledge(bytes: number): void {
+    this.#unacknowledged += bytes;
+    if (this.#unacknowledged < ACKNOWLEDGEMENT_STEP) return;
+    this.#taken(this.#unacknowledged);
+    this.#unacknowledged = 0;
   }
 
   onLost(): void {
@@ -139,6 +139,6 @@
     if (this.#isSettled) return;
     this.#isSettled = true;
     clearTimeout(this.#timer);
-    this.#settled(outcome);
+    this.#onSettled(outcome);
   }
 }
--- a/src/entry/call-router.ts
+++ b/src/entry/call-router.ts
@@ -86,7 +86,7 @@
     let losses = 0;
     let error: CallError = { type: 'noCapacity', ran: 'no', retryAfter: NO_CAPACITY_RETRY_AFTER };
     for (let attempt = 1; attempt <= MAX_ATTEMPTS && !signal.aborted; attempt++) {
-      const hand = {
+      const message = {
         type: 'call',
         callId,
         attempt,
@@ -96,7 +96,7 @@
         body,
         once: undefined,
       } as const;
-      const outcome = await this.#attempt(call, hand, endsAt, excluded, sink, signal);
+      const outcome = await this.#attempt(call, message, endsAt, excluded, sink, signal);
       if (outcome === undefined) break;
       if (outcome.type === 'answered') {
         this.counters.answered++;
@@ -116,7 +116,7 @@
 
   async #attempt(
     call: RoutedCall,
-    hand: Omit<CallHandOver, 'version' | 'timeLeft'>,
+    message: Omit<CallHandOver, 'version' | 'timeLeft'>,
     endsAt: number,
     excluded: Set<string>,
     sink: AnswerSink,
@@ -144,7 +144,7 @@
     this.counters.attempts++;
     this.#ownActive.set(replica.id, (this.#ownActive.get(replica.id) ?? 0) + 1);
     try {
-      return await attemptCall(link.value, { ...hand, version, timeLeft: timeLeft() }, sink, signal);
+      return await attemptCall(link.value, { ...message, version, timeLeft: timeLeft() }, sink, signal);
     } finally {
       this.#ownActive.set(replica.id, (this.#ownActive.get(replica.id) ?? 1) - 1);
     }
--- a/src/entry/caller-api.ts
+++ b/src/entry/caller-api.ts
@@ -38,7 +38,7 @@
 const MIN_PREFIX_CHARACTERS = 256;
 const MAX_PREFIX_CHARACTERS = 1_024;
 /** Abort reason for a disconnected caller. Shared, since creating an error per request costs as much as routing it. */
-const CALLER_GONE = new Error('the caller has gone');
+const CALLER_DISCONNECTED = new Error('the caller has gone');
 const SAFE_METHODS = new Set(['GET', 'HEAD']);
 
 export interface CallerApiComponents {
@@ -75,25 +75,25 @@
 
   routes(): Router {
     const router = new Router();
-    router.use((context, next) => this.#track(context, next));
+    router.use((context, next) => this.#trackInProgress(context, next));
     router.use('/v1', (context, next) => this.#requireConfiguration(context, next));
     router.use('/services', (context, next) => this.#requireConfiguration(context, next));
     router.get('/v1/entries', (context) => this.#discover(context));
     router.get('/v1/models', (context) => this.#listModels(context));
-    router.post('/v1/chat/completions', (context) => this.#complete(context));
+    router.post('/v1/chat/completions', (context) => this.#completeChat(context));
     router.all(/^\/services\/([^/]+)(\/.*)?$/, (context) => this.#callService(context));
     return router;
   }
 
-  async #track(context: Koa.Context, next: Koa.Next): Promise<void> {
+  async #trackInProgress(context: Koa.Context, next: Koa.Next): Promise<void> {
     this.#inProgress++;
     context.res.once('close', () => this.#inProgress--);
     await next();
-    this.#tellLeaving(context);
+    this.#closeConnectionIfLeaving(context);
   }
 
   /** While the entry is leaving, asks the caller to close its connection. Must be called before the response head is sent. */
-  #tellLeaving({ res }: Koa.Context): void {
+  #closeConnectionIfLeaving({ res }: Koa.Context): void {
     if (this.#components.self().leaving && !res.headersSent) res.setHeader('connection', 'close');
   }
 
@@ -123,7 +123,7 @@
     context.body = { object: 'list', data };
   }
 
-  async #complete(context: Koa.Context): Promise<void> {
+  async #completeChat(context: Koa.Context): Promise<void> {
     const body = await readBody(context);
     const prompt = promptOf(body);
     if (prompt === undefined) {
@@ -178,7 +178,7 @@
       const reason = `this call may not be repeated: it needs a header ${KEY_HEADER} of 1 to ${MAX_KEY_LENGTH} characters`;
       return this.#refuse(context, { type: 'malformedRequest', ran: 'no', reason });
     }
-    await this.#routeOnce(context, call, { service: found.value.metadata.name, key, receivedAt });
+    await this.#routeNonRepeatable(context, call, { service: found.value.metadata.name, key, receivedAt });
   }
 
   #serviceCall(context: Koa.Context, service: Service, path: string, body: Buffer): AdmittedCall {
@@ -205,7 +205,7 @@
     return this.#admit(context, call, 'no', (sink, signal) => router.route(call, sink, signal));
   }
 
-  #routeOnce(
+  #routeNonRepeatable(
     context: Koa.Context,
     call: AdmittedCall,
     once: { service: string; key: string; receivedAt: number },
@@ -234,7 +234,7 @@
       return this.#refuse(context, { type: 'placeNotAllowed', ran, entries: addresses });
     }
     const gone = new AbortController();
-    context.res.once('close', () => gone.abort(CALLER_GONE));
+    context.res.once('close', () => gone.abort(CALLER_DISCONNECTED));
     const admitted = await admission.enter(call.tenant, call.priority, gone.signal);
     if (admitted.type === 'refused') {
       const retryAfter = ADMISSION_RETRY_AFTER[admitted.reason];
@@ -256,7 +256,7 @@
     const sink = {
       head: (status: number, contentType: string, agent: string) => {
         context.respond = false;
-        this.#tellLeaving(context);
+        this.#closeConnectionIfLeaving(context);
         res.writeHead(status, { 'content-type': contentType, 'x-thistleway-agent': agent });
       },
       data: (data: Uint8Array) => {
--- a/src/entry/configuration.ts
+++ b/src/entry/configuration.ts
@@ -15,7 +15,7 @@
 const POLL_SPREAD = 200;
 const READ_TIMEOUT = 3_000;
 /** Time without an update, in milliseconds, after which an entry reads the store itself although another entry reads it for the zone. */
-const QUIET_LIMIT = 4_000;
+const UPDATE_TIMEOUT = 4_000;
 
 /** Number of resource deletions kept for watches that reconnect. */
 const DELETIONS_KEPT = 1_000;
@@ -58,9 +58,9 @@
   #deletionsKnownFrom = 0;
   #revision = 0;
   #timer: NodeJS.Timeout | undefined;
-  #heardAt = 0;
+  #updatedAt = 0;
   #reading: Promise<boolean> | undefined;
-  #following: Promise<boolean> | undefined;
+  #nextRead: Promise<boolean> | undefined;
 
   constructor(components: ConfigurationComponents) {
     this.#components = components;
@@ -92,18 +92,18 @@
    * call: if one is in progress, another follows it, shared by all callers that wait.
    */
   poll(): Promise<boolean> {
-    if (this.#following !== undefined) return this.#following;
+    if (this.#nextRead !== undefined) return this.#nextRead;
     if (this.#reading === undefined) {
       this.#reading = this.#read().finally(() => {
         this.#reading = undefined;
       });
       return this.#reading;
     }
-    this.#following = this.#reading.then(() => {
-      this.#following = undefined;
+    this.#nextRead = this.#reading.then(() => {
+      this.#nextRead = undefined;
       return this.poll();
     });
-    return this.#following;
+    return this.#nextRead;
   }
 
   /** Reads the store at once if another process has reported a revision that is not known here. */
@@ -168,13 +168,13 @@
    * `rows` is a full snapshot. Rows whose revision is already known are skipped: they are applied, or deleted since.
    */
   take(base: number, rows: readonly Row[], revision: number): void {
-    this.#heardAt = performance.now();
+    this.#updatedAt = performance.now();
     const known = this.#revision;
     if (revision <= known) return;
     const changed = rows.filter((row) => row.revision > known);
     const removed = base === 0 && known > 0 ? this.#missingFrom(rows, revision) : [];
     const fresh = [...changed, ...removed];
-    for (const row of fresh) this.#put(row);
+    for (const row of fresh) this.#applyRow(row);
     if (known === 0) this.#deletionsKnownFrom = revision;
     this.#revision = revision;
     if (fresh.length === 0) return;
@@ -196,7 +196,7 @@
     return missing.map(({ table, key }) => ({ table, key, value: null, revision }));
   }
 
-  #put(row: Row): void {
+  #applyRow(row: Row): void {
     if (row.value !== null) return void this.#tableOf(row).set(row.key, row);
     this.#tables.get(row.table)?.delete(row.key);
     if (row.table !== TABLES.resources) return;
@@ -217,7 +217,7 @@
   }
 
   async #readIfDue(): Promise<void> {
-    const isQuiet = performance.now() - this.#heardAt > QUIET_LIMIT;
+    const isQuiet = performance.now() - this.#updatedAt > UPDATE_TIMEOUT;
     if (this.isReader() || isQuiet) await this.poll();
   }
 
--- a/src/entry/entry-mesh.ts
+++ b/src/entry/entry-mesh.ts
@@ -16,11 +16,11 @@
 import { type MeshLink, MeshLinks } from './mesh-links.js';
 
 /** Delay for which changes of agents homed here are batched, in milliseconds. */
-const NEWS_DELAY = 100;
+const UPDATE_DELAY = 100;
 /** Interval between load messages, in milliseconds. */
 const LOADS_INTERVAL = 2_000;
 /** Maximum delay of non-urgent configuration changes (ms); shorter than the time after which an entry reads the store itself. */
-const PATIENT_NEWS_INTERVAL = 2_000;
+const DEFERRED_CHANGES_INTERVAL = 2_000;
 /** Interval between membership digests on a link, in milliseconds. */
 const DIGEST_INTERVAL = 4_000;
 /** Time after the start, in milliseconds, after which an entry no longer waits to hear from every configured zone. */
@@ -45,12 +45,12 @@
   readonly #zones: Set<string>;
   /** Serialized status last published for each agent homed here. */
   readonly #published = new Map<string, string>();
-  #newsTimer: NodeJS.Timeout | undefined;
-  readonly #toldLoads = new Map<string, string>();
-  readonly #heldBackNear = new HeldBackNews(PATIENT_NEWS_INTERVAL);
-  readonly #heldBackFar = new HeldBackNews(Number.POSITIVE_INFINITY);
+  #updateTimer: NodeJS.Timeout | undefined;
+  readonly #sentLoads = new Map<string, string>();
+  readonly #deferredNear = new HeldBackNews(DEFERRED_CHANGES_INTERVAL);
+  readonly #deferredFar = new HeldBackNews(Number.POSITIVE_INFINITY);
   readonly #startedAt = performance.now();
-  #loadsToldAt = 0;
+  #loadsSentAt = 0;
   #digestsSentAt = 0;
 
   constructor(configured: readonly ConfiguredEntry[], components: EntryMeshComponents) {
@@ -58,7 +58,7 @@
     const { address, zone } = components.self();
     this.#zones = new Set(configured.map((entry) => entry.zone));
     this.#links = new MeshLinks({ address, zone }, configured, components.context, {
-      onOpen: (link) => this.#greet(link),
+      onOpen: (link) => this.#sendInitialState(link),
       onMessage: (link, message) => this.#onMessage(link, message),
       onLost: (link) => this.#membership.linkLost(link.id, performance.now()),
       onReview: () => this.#review(),
@@ -68,7 +68,7 @@
       onAgentsChanged: (addresses) => this.#updateAgents(addresses),
       onEntriesChanged: () => this.#updateEntries(),
     });
-    components.configuration.onRead = (base, revision, rows) => this.#tellRead({ base, revision, rows });
+    components.configuration.onRead = (base, revision, rows) => this.#forwardRead({ base, revision, rows });
   }
 
   /** Whether this entry reads the store for its zone and may take over duties. */
@@ -88,7 +88,7 @@
   }
 
   stop(): Promise<void> {
-    clearTimeout(this.#newsTimer);
+    clearTimeout(this.#updateTimer);
     return this.#links.stop();
   }
 
@@ -100,11 +100,11 @@
   /** Handles a status received from an agent homed here. */
   agentChanged(status: AgentStatus): void {
     const { id } = status.info;
-    const lasting = lastingPartOf(status);
-    if (this.#published.get(id) !== lasting) {
-      this.#published.set(id, lasting);
+    const published = publishedPartOf(status);
+    if (this.#published.get(id) !== published) {
+      this.#published.set(id, published);
       this.#membership.publish([withoutLoad(status)], []);
-      this.#sendNewsSoon();
+      this.#scheduleUpdate();
     }
     this.#components.directory.refresh(status);
   }
@@ -112,9 +112,9 @@
   /** Handles the loss of an agent homed here. */
   agentGone(id: string): void {
     this.#published.delete(id);
-    this.#toldLoads.delete(id);
+    this.#sentLoads.delete(id);
     this.#membership.publish([], [id]);
-    this.#sendNewsSoon();
+    this.#scheduleUpdate();
   }
 
   /** Sends a change of this entry's own information to the other entries at once. */
@@ -123,19 +123,19 @@
     this.#membership.sendOwnNews();
   }
 
-  #sendNewsSoon(): void {
-    this.#newsTimer ??= setTimeout(() => {
-      this.#newsTimer = undefined;
+  #scheduleUpdate(): void {
+    this.#updateTimer ??= setTimeout(() => {
+      this.#updateTimer = undefined;
       this.#membership.sendOwnNews();
-    }, NEWS_DELAY);
+    }, UPDATE_DELAY);
   }
 
   #review(): void {
     const now = performance.now();
     this.#membership.expire(now);
     this.#links.closeRedundant((zone, link) => this.#membership.isZoneOffered(zone, link.id));
-    if (now - this.#loadsToldAt >= LOADS_INTERVAL) {
-      this.#loadsToldAt = now;
+    if (now - this.#loadsSentAt >= LOADS_INTERVAL) {
+      this.#loadsSentAt = now;
       this.#sendLoads();
     }
     if (now - this.#digestsSentAt >= DIGEST_INTERVAL) {
@@ -148,8 +148,8 @@
   #sendLoads(): void {
     const changed = this.#ownLoads().filter(({ id, active, held }) => {
       const load = `${active} ${held.join()}`;
-      if ((this.#toldLoads.get(id) ?? '') === load) return false;
-      this.#toldLoads.set(id, load);
+      if ((this.#sentLoads.get(id) ?? '') === load) return false;
+      this.#sentLoads.set(id, load);
       return true;
     });
     if (changed.length > 0) this.#links.sendNear({ type: 'agentLoads', loads: changed });
@@ -162,7 +162,7 @@
     });
   }
 
-  #greet(link: MeshLink): void {
+  #sendInitialState(link: MeshLink): void {
     const { configuration } = this.#components;
     this.#membership.linkOpened(link.id, link.near ? 'near' : 'far');
     if (link.near) link.connection.send({ type: 'agentLoads', loads: this.#ownLoads() });
@@ -189,10 +189,10 @@
   }
 
   /** Forwards changes read from the store. Other zones read it themselves, so lease renewals alone are not sent there. */
-  #tellRead(news: ConfigurationNews): void {
+  #forwardRead(news: ConfigurationNews): void {
     const now = performance.now();
-    const near = this.#heldBackNear.add(news, now);
-    const far = this.#heldBackFar.add(news, now);
+    const near = this.#deferredNear.add(news, now);
+    const far = this.#deferredFar.add(news, now);
     if (near !== undefined) this.#links.sendNear({ type: 'configuration', ...near });
     if (far !== undefined) this.#links.sendFar({ type: 'configuration', ...far });
   }
@@ -227,7 +227,7 @@
 }
 
 /** The part of a status that is published to all entries: without the load and the progress of transfers. */
-function lastingPartOf({ info, leaving, pool, capacity, versions, ownership }: AgentStatus): string {
+function publishedPartOf({ info, leaving, pool, capacity, versions, ownership }: AgentStatus): string {
   const ready = versions.map(({ version, ready, problem }) => [version, ready, problem]);
   return JSON.stringify([
     info,
--- a/src/entry/home-agents.ts
+++ b/src/entry/home-agents.ts
@@ -19,10 +19,10 @@
 /** Number of cached manifests: one of a large model takes about 1 MB, and several versions are released a day. */
 const MANIFESTS_KEPT = 4;
 /** Delay for which changes of entries are batched before agents are notified, in milliseconds. */
-const ENTRIES_DELAY = 250;
+const ENTRIES_UPDATE_DELAY = 250;
 
 /** Tables whose changes affect the messages to agents. */
-const TOLD_TABLES: ReadonlySet<string> = new Set([TABLES.resources, TABLES.placements, TABLES.owners]);
+const ASSIGNMENT_TABLES: ReadonlySet<string> = new Set([TABLES.resources, TABLES.placements, TABLES.owners]);
 
 export interface HomeAgentsComponents {
   self: () => EntryInfo;
@@ -40,9 +40,9 @@
   readonly #components: HomeAgentsComponents;
   readonly #connections = new Map<string, Connection>();
   /** Serialized message last sent to each agent, so that only changes are sent. */
-  readonly #told = new Map<string, string>();
+  readonly #lastSent = new Map<string, string>();
   /** Agents for which the owners' list was read from the store after they connected; no older list may be sent to them. */
-  readonly #vouched = new Set<string>();
+  readonly #withFreshOwners = new Set<string>();
   /** Cached entry list for agents and its serialized form; undefined after a change. */
   #entries: { infos: EntryInfo[]; text: string } | undefined;
   #entriesTimer: NodeJS.Timeout | undefined;
@@ -52,7 +52,7 @@
   constructor(components: HomeAgentsComponents) {
     this.#components = components;
     components.configuration.listen((rows) => {
-      if (rows.some(({ table }) => TOLD_TABLES.has(table))) this.tellAll();
+      if (rows.some(({ table }) => ASSIGNMENT_TABLES.has(table))) this.tellAll();
     });
     components.mesh.onChange = () => this.#onEntriesChanged();
   }
@@ -71,14 +71,14 @@
   /** Sends every agent homed here its assignments if they have changed. */
   tellAll(): void {
     this.#entries = undefined;
-    for (const id of this.#connections.keys()) this.#tell(id);
+    for (const id of this.#connections.keys()) this.#sendAssignments(id);
   }
 
   #onEntriesChanged(): void {
     this.#entriesTimer ??= setTimeout(() => {
       this.#entriesTimer = undefined;
       this.tellAll();
-    }, ENTRIES_DELAY);
+    }, ENTRIES_UPDATE_DELAY);
   }
 
   #onMessage(connection: Connection, message: Message): void {
@@ -92,40 +92,41 @@
     const { id } = connection.remote.peer;
     if (this.#connections.get(id) !== connection) {
       this.#connections.set(id, connection);
-      this.#told.delete(id);
-      this.#vouched.delete(id);
+      this.#lastSent.delete(id);
+      this.#withFreshOwners.delete(id);
       timeline.record({ type: 'agentConnected', agent: id });
     }
     mesh.agentChanged(message.status);
-    if (!this.#told.has(id)) this.#tell(id);
-    if (message.status.backEnd === 'service' && !this.#vouched.has(id)) void this.#vouch(id, connection);
+    if (!this.#lastSent.has(id)) this.#sendAssignments(id);
+    if (message.status.backEnd === 'service' && !this.#withFreshOwners.has(id))
+      void this.#refreshOwners(id, connection);
   }
 
   /** Reads the store once after an agent connected. If the read fails, the agent's next status triggers another. */
-  async #vouch(id: string, connection: Connection): Promise<void> {
+  async #refreshOwners(id: string, connection: Connection): Promise<void> {
     const read = await this.#components.configuration.poll();
     if (!read || this.#connections.get(id) !== connection) return;
-    this.#vouched.add(id);
-    this.#tell(id);
+    this.#withFreshOwners.add(id);
+    this.#sendAssignments(id);
   }
 
-  #tell(id: string): void {
+  #sendAssignments(id: string): void {
     const connection = this.#connections.get(id);
     const { configuration } = this.#components;
     const row = this.#components.directory.rows.get(id);
     if (connection === undefined || row === undefined || configuration.revision === 0) return;
     const assignments = this.#assignmentsOf(row.status.info);
-    this.#entries ??= this.#entriesFor();
+    this.#entries ??= this.#entriesForAgents();
     const { infos: entries, text } = this.#entries;
-    const owners = this.#vouched.has(id) ? this.#ownersOf(row.status.pool) : undefined;
+    const owners = this.#withFreshOwners.has(id) ? this.#ownersOf(row.status.pool) : undefined;
     const news = `${JSON.stringify([assignments, owners])}${text}`;
-    if (this.#told.get(id) === news) return;
-    this.#told.set(id, news);
+    if (this.#lastSent.get(id) === news) return;
+    this.#lastSent.set(id, news);
     connection.send({ type: 'assignments', revision: configuration.revision, assignments, entries, owners });
   }
 
   /** The entries of this zone, as possible homes, and the lowest entry of each zone, as possible burst coordinators. */
-  #entriesFor(): { infos: EntryInfo[]; text: string } {
+  #entriesForAgents(): { infos: EntryInfo[]; text: string } {
     const { self, entries } = this.#components;
     const own = self();
     const known = [own, ...entries.rows.values()];
@@ -187,8 +188,8 @@
     bursts.lost(connection);
     if (this.#connections.get(id) !== connection) return;
     this.#connections.delete(id);
-    this.#told.delete(id);
-    this.#vouched.delete(id);
+    this.#lastSent.delete(id);
+    this.#withFreshOwners.delete(id);
     mesh.agentGone(id);
     timeline.record({ type: 'agentLost', agent: id });
   }
--- a/src/entry/machine-watch.ts
+++ b/src/entry/machine-watch.ts
@@ -25,7 +25,7 @@
   /** Of `addresses`, none of which is connected to an entry, returns those whose machines are dead. */
   async dead(addresses: readonly string[]): Promise<Set<string>> {
     if (addresses.length > 0 && performance.now() - this.#readAt >= READ_INTERVAL) await this.#read();
-    for (const address of addresses) this.#note(address);
+    for (const address of addresses) this.#startAbsence(address);
     const dead = addresses.filter((address) => this.#isDead(address, performance.now()));
     return new Set(dead);
   }
@@ -42,7 +42,7 @@
   }
 
   /** Starts the absence of an unlisted address at the last read of the list, regardless of when it is first queried. */
-  #note(address: string): void {
+  #startAbsence(address: string): void {
     if (this.#listed === undefined || this.#listed.has(address) || this.#firstMissed.has(address)) return;
     this.#firstMissed.set(address, this.#readAt);
   }
--- a/src/entry/mesh-links.ts
+++ b/src/entry/mesh-links.ts
@@ -8,9 +8,9 @@
 /** Interval between reviews of the connections, in milliseconds. */
 const REVIEW_INTERVAL = 250;
 /** Time for which an entry that could not be reached is skipped in favour of others in its zone, in milliseconds. */
-const UNREACHABLE_TIME = 2_000;
+const UNREACHABLE_RETRY_DELAY = 2_000;
 /** Time after the start for entries of the own zone to connect before other zones are dialled, in milliseconds. */
-const OWN_ZONE_TIME = 1_500;
+const OWN_ZONE_TIMEOUT = 1_500;
 
 /** Callbacks of the links. */
 export interface MeshLinkEvents {
@@ -106,9 +106,9 @@
   /** Closes links to other zones that another entry of this zone is responsible for, once that zone is heard through it. */
   closeRedundant(isHeard: (zone: string, without: MeshLink) => boolean): void {
     for (const link of this.#links.values()) {
-      const isOwnTask =
+      const isRequired =
         link.near || !link.dialled || isLinkedTo(link.entry.zone, this.#self, this.#connected());
-      if (!isOwnTask && isHeard(link.entry.zone, link)) link.connection.close();
+      if (!isRequired && isHeard(link.entry.zone, link)) link.connection.close();
     }
   }
 
@@ -145,7 +145,7 @@
   #dialMissing(now: number): void {
     const connected = [...this.#connected(), ...this.#dialling.values()];
     const unreachable = new Set(this.#unreachable.keys());
-    const knowsOwnZone = now - this.#startedAt >= OWN_ZONE_TIME || this.#isZoneConnected();
+    const knowsOwnZone = now - this.#startedAt >= OWN_ZONE_TIMEOUT || this.#isZoneConnected();
     const view = { self: this.#self, configured: this.#configured, connected, unreachable, knowsOwnZone };
     const missing = entriesToDial(view);
     this.#mayHaveToDial = missing.length > 0 || !knowsOwnZone || this.#dialling.size > 0;
@@ -157,7 +157,7 @@
     const outcome = await connect(entry.address, this.#context, this.#stopping.signal);
     this.#dialling.delete(entry.address);
     if (outcome.ok) this.#add(outcome.value, true);
-    else this.#unreachable.set(entry.address, performance.now() + UNREACHABLE_TIME);
+    else this.#unreachable.set(entry.address, performance.now() + UNREACHABLE_RETRY_DELAY);
   }
 
   #lost(link: MeshLink): void {
--- a/src/entry/once-router.ts
+++ b/src/entry/once-router.ts
@@ -71,7 +71,7 @@
   /** Routes a call; resolves when the complete answer has been passed to `sink`, or with what is known about the key. */
   async route(call: OnceCallInput, sink: AnswerSink, signal: AbortSignal): Promise<Result<void, CallError>> {
     this.counters.routed++;
-    const outcome = await this.#tryUntilSettled(call, sink, signal);
+    const outcome = await this.#askOwnerUntilSettled(call, sink, signal);
     if (outcome.type === 'answered') {
       this.counters.answered++;
       return success(undefined);
@@ -83,7 +83,7 @@
   }
 
   /** Sends the call to the key's owner. Repeats only if the owner could not be reached or refused as not being the owner. */
-  async #tryUntilSettled(
+  async #askOwnerUntilSettled(
     call: OnceCallInput,
     sink: AnswerSink,
     signal: AbortSignal,
@@ -95,9 +95,9 @@
       const owner = this.#ownerOf(call);
       if (owner !== undefined) {
         last = await this.#attempt(call, callId, attempt, owner, sink, signal);
-        const mayAskAgain =
+        const mayRetry =
           last.type === 'refused' && (last.reason === 'notOwner' || last.reason === 'unreachable');
-        if (!mayAskAgain) return last;
+        if (!mayRetry) return last;
       }
       await pause(OWNER_CHECK_INTERVAL);
     }
--- a/src/entry/owners-duty.ts
+++ b/src/entry/owners-duty.ts
@@ -33,8 +33,8 @@
     const owners = row?.value as OwnersRow | undefined;
     const candidates = this.#candidates(service, places);
     const connected = new Set(candidates.map((candidate) => candidate.address));
-    const outOfSight = (owners?.owners ?? []).filter((address) => !connected.has(address));
-    const next = decideOwners(owners, candidates, await machines.dead(outOfSight));
+    const disconnected = (owners?.owners ?? []).filter((address) => !connected.has(address));
+    const next = decideOwners(owners, candidates, await machines.dead(disconnected));
     if (next === undefined) return;
     const table = TABLES.owners;
     const key = service;
--- a/src/entry/placement-duty.ts
+++ b/src/entry/placement-duty.ts
@@ -15,7 +15,7 @@
 /** Time after the start, in milliseconds, after which the known machines are assumed to be complete. */
 const SETTLING_TIME = 1_500;
 /** Time to wait for a disconnected machine before another is used in its place, in milliseconds. */
-const AWAITED_TIME = 8_000;
+const SUBSTITUTION_DELAY = 8_000;
 
 export interface PlacementDutyComponents {
   configuration: Configuration;
@@ -69,7 +69,7 @@
     for (const address of unseen.filter((candidate) => !dead.has(candidate))) {
       const since = this.#missingSince.get(address) ?? now;
       this.#missingSince.set(address, since);
-      if (now - since < AWAITED_TIME) missing.awaited.add(address);
+      if (now - since < SUBSTITUTION_DELAY) missing.awaited.add(address);
       else missing.substituted.add(address);
     }
     return missing;
