--- a/src/entry/admission.ts
+++ b/src/entry/admission.ts
@@ -38,7 +38,7 @@
   }
 
   /** Resolves when the request may run or is refused; an aborted `signal` withdraws it from the queue. */
-  enter(tenant: string, priority: number, signal: AbortSignal): Promise<Admitted> {
+  admit(tenant: string, priority: number, signal: AbortSignal): Promise<Admitted> {
     const id = this.#nextId++;
     return new Promise((resolve) => {
       this.#waiting.set(id, resolve);
--- a/src/entry/attempt.ts
+++ b/src/entry/attempt.ts
@@ -21,7 +21,7 @@
   | { type: 'failed'; ran: Ran; reason: string; headSent: boolean };
 
 /** The message that starts a call at an agent. */
-export type CallHandOver = CallMessage & { type: 'call' };
+export type CallRequest = CallMessage & { type: 'call' };
 
 /** Outcome if the call was never sent. */
 const NOT_SENT: AttemptOutcome = { type: 'refused', reason: 'unreachable', notRun: true, retryAfter: 0 };
@@ -32,7 +32,7 @@
  */
 export function attemptCall(
   link: CallLink,
-  call: CallHandOver,
+  call: CallRequest,
   sink: AnswerSink,
   signal: AbortSignal,
 ): Promise<AttemptOutcome> {
--- a/src/entry/burst-duty.ts
+++ b/src/entry/burst-coordinators.ts
@@ -21,7 +21,7 @@
 }
 
 /** The burst coordinators that run at one entry. */
-export class BurstDuty implements Startable {
+export class BurstCoordinators implements Startable {
   readonly #bursts = new Map<TransferKey, Burst>();
   readonly #timeline: Timeline;
   readonly #strategy: DistributionStrategy;
--- a/src/entry/call-links.ts
+++ b/src/entry/call-links.ts
@@ -78,7 +78,7 @@
   }
 
   /** Returns an open link to an agent. Fails if another process answers at the agent's address. */
-  async to(agent: PeerInfo): Promise<Result<CallLink, ConnectionError>> {
+  async getLink(agent: PeerInfo): Promise<Result<CallLink, ConnectionError>> {
     const known = await this.#links.get(agent.id);
     if (known?.ok && known.value.open) return known;
     const dialled = this.#dial(agent);
--- a/src/entry/call-router.ts
+++ b/src/entry/call-router.ts
@@ -8,7 +8,7 @@
 import { RetryBudget } from '../systems/retry-budget.js';
 import { chooseRoute, type ReplicaRow } from '../systems/routing.js';
 import type { AgentDirectory, AgentRow } from './agent-directory.js';
-import { type AnswerSink, type AttemptOutcome, attemptCall, type CallHandOver } from './attempt.js';
+import { type AnswerSink, type AttemptOutcome, attemptCall, type CallRequest } from './attempt.js';
 import type { CallLinks } from './call-links.js';
 import type { CallError } from './errors.js';
 
@@ -116,7 +116,7 @@
 
   async #attempt(
     call: RoutedCall,
-    message: Omit<CallHandOver, 'version' | 'timeLeft'>,
+    message: Omit<CallRequest, 'version' | 'timeLeft'>,
     endsAt: number,
     excluded: Set<string>,
     sink: AnswerSink,
@@ -134,7 +134,7 @@
     if (route === undefined || timeLeft() <= 0) return undefined;
     const { replica, version } = route;
     excluded.add(replica.id);
-    const link = await this.#components.links.to(
+    const link = await this.#components.links.getLink(
       this.#components.directory.rows.get(replica.id)!.status.info,
     );
     if (!link.ok) {
--- a/src/entry/caller-api.ts
+++ b/src/entry/caller-api.ts
@@ -15,7 +15,7 @@
 import type { Configuration } from './configuration.js';
 import { discover } from './discovery.js';
 import { CALL_ERROR_STATUS, type CallError } from './errors.js';
-import type { OnceRouter } from './once-router.js';
+import type { NonRepeatableRouter } from './non-repeatable-router.js';
 
 const TENANT_HEADER = 'x-thistleway-tenant';
 /** Header with the caller's time limit for the complete answer, in milliseconds. */
@@ -44,7 +44,7 @@
 export interface CallerApiComponents {
   configuration: Configuration;
   router: CallRouter;
-  onceRouter: OnceRouter;
+  nonRepeatableRouter: NonRepeatableRouter;
   self: () => EntryInfo;
   /** All known entries, including this one. */
   entries: () => EntryInfo[];
@@ -217,8 +217,8 @@
     const input = { ...once, attempt, elapsed, method, path, contentType, body, deadline };
     // This entry knows nothing about earlier attempts, so even a call that it refuses itself may have run.
     const ran = attempt === 1 ? 'no' : 'unknown';
-    const { onceRouter } = this.#components;
-    return this.#admit(context, call, ran, (sink, signal) => onceRouter.route(input, sink, signal));
+    const { nonRepeatableRouter } = this.#components;
+    return this.#admit(context, call, ran, (sink, signal) => nonRepeatableRouter.route(input, sink, signal));
   }
 
   async #admit(
@@ -235,7 +235,7 @@
     }
     const gone = new AbortController();
     context.res.once('close', () => gone.abort(CALLER_DISCONNECTED));
-    const admitted = await admission.enter(call.tenant, call.priority, gone.signal);
+    const admitted = await admission.admit(call.tenant, call.priority, gone.signal);
     if (admitted.type === 'refused') {
       const retryAfter = ADMISSION_RETRY_AFTER[admitted.reason];
       return this.#refuse(context, { type: 'noCapacity', ran, retryAfter });
--- a/src/entry/configuration.ts
+++ b/src/entry/configuration.ts
@@ -107,7 +107,7 @@
   }
 
   /** Reads the store at once if another process has reported a revision that is not known here. */
-  hint(revision: number): void {
+  pollIfBehind(revision: number): void {
     if (revision > this.#revision) void this.poll();
   }
 
@@ -120,7 +120,7 @@
     }
     const base = this.#revision;
     const { rows, revision } = read.value;
-    this.take(base, rows, revision);
+    this.applyChanges(base, rows, revision);
     if (revision > base) this.onRead(base, revision, rows);
     return true;
   }
@@ -167,7 +167,7 @@
    * Applies the rows changed after revision `base`, read from the store or received from another entry. With base 0,
    * `rows` is a full snapshot. Rows whose revision is already known are skipped: they are applied, or deleted since.
    */
-  take(base: number, rows: readonly Row[], revision: number): void {
+  applyChanges(base: number, rows: readonly Row[], revision: number): void {
     this.#updatedAt = performance.now();
     const known = this.#revision;
     if (revision <= known) return;
--- a/src/entry/entry-mesh.ts
+++ b/src/entry/entry-mesh.ts
@@ -203,8 +203,8 @@
     const known = configuration.revision;
     if (revision <= known) return;
     // Revisions are missing in between, so these rows do not give a complete state: read the store instead.
-    if (base > known) return configuration.hint(revision);
-    configuration.take(base, rows, revision);
+    if (base > known) return configuration.pollIfBehind(revision);
+    configuration.applyChanges(base, rows, revision);
     const news: Message = { type: 'configuration', base: known, revision, rows };
     if (link.near) this.#links.sendFar(news);
     else this.#links.sendNear(news);
--- a/src/entry/entry.ts
+++ b/src/entry/entry.ts
@@ -30,7 +30,7 @@
 import { DEFAULT_TENANT_LIMITS } from '../systems/admission.js';
 import { Admission } from './admission.js';
 import { AgentDirectory } from './agent-directory.js';
-import { BurstDuty } from './burst-duty.js';
+import { BurstCoordinators } from './burst-coordinators.js';
 import { CallLinks } from './call-links.js';
 import { CallRouter } from './call-router.js';
 import { CallerApi } from './caller-api.js';
@@ -40,7 +40,7 @@
 import { EntryMesh } from './entry-mesh.js';
 import { HomeAgents } from './home-agents.js';
 import { MachineWatch } from './machine-watch.js';
-import { OnceRouter } from './once-router.js';
+import { NonRepeatableRouter } from './non-repeatable-router.js';
 import { OperationsDuty } from './operations-duty.js';
 import { OwnersDuty } from './owners-duty.js';
 import { PlacementDuty } from './placement-duty.js';
@@ -62,7 +62,7 @@
   configuration: Configuration;
   directory: AgentDirectory;
   entries: EntryDirectory;
-  bursts: BurstDuty;
+  bursts: BurstCoordinators;
   entry: Entry;
 }
 
@@ -92,7 +92,7 @@
     directory: asFunction(() => new AgentDirectory()).singleton(),
     entries: asFunction(() => new EntryDirectory()).singleton(),
     bursts: asFunction(
-      ({ timeline }: EntryComponents) => new BurstDuty(timeline, settings.bursts.strategy),
+      ({ timeline }: EntryComponents) => new BurstCoordinators(timeline, settings.bursts.strategy),
     ).singleton(),
     entry: asFunction((components: EntryComponents) => new Entry(components)).singleton(),
   });
@@ -109,7 +109,7 @@
   readonly #home: HomeAgents;
   readonly #links: CallLinks;
   readonly #router: CallRouter;
-  readonly #onceRouter: OnceRouter;
+  readonly #nonRepeatableRouter: NonRepeatableRouter;
   readonly #admission: Admission;
   readonly #callers: CallerApi;
   readonly #lease: DutyLease;
@@ -146,11 +146,11 @@
     this.#admission = new Admission(settings.calls, (tenant) => {
       return configuration.tenant(tenant)?.spec.limits ?? DEFAULT_TENANT_LIMITS;
     });
-    this.#onceRouter = new OnceRouter({ configuration, directory, links: this.#links });
+    this.#nonRepeatableRouter = new NonRepeatableRouter({ configuration, directory, links: this.#links });
     this.#callers = new CallerApi({
       configuration,
       router: this.#router,
-      onceRouter: this.#onceRouter,
+      nonRepeatableRouter: this.#nonRepeatableRouter,
       self,
       entries: () => [this.info(), ...entries.rows.values()],
       addressLifetimeSeconds: settings.discovery.addressLifetimeSeconds,
@@ -211,7 +211,7 @@
     this.#components.timeline.record({ type: 'processLeaving' });
     this.#components.log.info('entry leaves');
     this.#mesh.announceSelf();
-    this.#home.tellAll();
+    this.#home.notifyAll();
   }
 
   /** Number of requests in progress. */
@@ -287,7 +287,7 @@
         name: 'once_calls',
         help: 'Calls that may not be repeated, by outcome',
         label: 'outcome',
-        read: () => ({ ...this.#onceRouter.counters }),
+        read: () => ({ ...this.#nonRepeatableRouter.counters }),
       },
       {
         name: 'admission',
--- a/src/entry/home-agents.ts
+++ b/src/entry/home-agents.ts
@@ -10,7 +10,7 @@
 import { lowestOfEachZone } from '../systems/entry-topology.js';
 import type { OwnersRow } from '../systems/ownership.js';
 import type { AgentDirectory } from './agent-directory.js';
-import type { BurstDuty } from './burst-duty.js';
+import type { BurstCoordinators } from './burst-coordinators.js';
 import { type Configuration, TABLES } from './configuration.js';
 import type { EntryDirectory } from './entry-directory.js';
 import type { EntryMesh } from './entry-mesh.js';
@@ -30,7 +30,7 @@
   directory: AgentDirectory;
   entries: EntryDirectory;
   mesh: EntryMesh;
-  bursts: BurstDuty;
+  bursts: BurstCoordinators;
   objects: ObjectStore;
   timeline: Timeline;
 }
@@ -52,7 +52,7 @@
   constructor(components: HomeAgentsComponents) {
     this.#components = components;
     components.configuration.listen((rows) => {
-      if (rows.some(({ table }) => ASSIGNMENT_TABLES.has(table))) this.tellAll();
+      if (rows.some(({ table }) => ASSIGNMENT_TABLES.has(table))) this.notifyAll();
     });
     components.mesh.onChange = () => this.#onEntriesChanged();
   }
@@ -69,7 +69,7 @@
   }
 
   /** Sends every agent homed here its assignments if they have changed. */
-  tellAll(): void {
+  notifyAll(): void {
     this.#entries = undefined;
     for (const id of this.#connections.keys()) this.#sendAssignments(id);
   }
@@ -77,7 +77,7 @@
   #onEntriesChanged(): void {
     this.#entriesTimer ??= setTimeout(() => {
       this.#entriesTimer = undefined;
-      this.tellAll();
+      this.notifyAll();
     }, ENTRIES_UPDATE_DELAY);
   }
 
--- a/src/entry/machine-watch.ts
+++ b/src/entry/machine-watch.ts
@@ -23,7 +23,7 @@
   }
 
   /** Of `addresses`, none of which is connected to an entry, returns those whose machines are dead. */
-  async dead(addresses: readonly string[]): Promise<Set<string>> {
+  async findDead(addresses: readonly string[]): Promise<Set<string>> {
     if (addresses.length > 0 && performance.now() - this.#readAt >= READ_INTERVAL) await this.#read();
     for (const address of addresses) this.#startAbsence(address);
     const dead = addresses.filter((address) => this.#isDead(address, performance.now()));
--- a/src/entry/once-router.ts
+++ b/src/entry/non-repeatable-router.ts
@@ -22,7 +22,7 @@
 const CLOCK_DRIFT_SHARE = 0.01;
 
 /** A call with an idempotency key. */
-export interface OnceCallInput {
+export interface NonRepeatableCall {
   service: string;
   key: string;
   /** Number of the caller's attempt, from 1. */
@@ -40,14 +40,14 @@
 }
 
 /** Counts of non-repeatable calls, for metrics. */
-export interface OnceRouterCounters {
+export interface NonRepeatableRouterCounters {
   routed: number;
   answered: number;
   refusedNotRun: number;
   unknown: number;
 }
 
-export interface OnceRouterComponents {
+export interface NonRepeatableRouterComponents {
   configuration: Configuration;
   directory: AgentDirectory;
   links: CallLinks;
@@ -60,16 +60,20 @@
 }
 
 /** Routes non-repeatable calls to the owners of their keys. */
-export class OnceRouter {
-  readonly counters: OnceRouterCounters = { routed: 0, answered: 0, refusedNotRun: 0, unknown: 0 };
-  readonly #components: OnceRouterComponents;
+export class NonRepeatableRouter {
+  readonly counters: NonRepeatableRouterCounters = { routed: 0, answered: 0, refusedNotRun: 0, unknown: 0 };
+  readonly #components: NonRepeatableRouterComponents;
 
-  constructor(components: OnceRouterComponents) {
+  constructor(components: NonRepeatableRouterComponents) {
     this.#components = components;
   }
 
   /** Routes a call; resolves when the complete answer has been passed to `sink`, or with what is known about the key. */
-  async route(call: OnceCallInput, sink: AnswerSink, signal: AbortSignal): Promise<Result<void, CallError>> {
+  async route(
+    call: NonRepeatableCall,
+    sink: AnswerSink,
+    signal: AbortSignal,
+  ): Promise<Result<void, CallError>> {
     this.counters.routed++;
     const outcome = await this.#askOwnerUntilSettled(call, sink, signal);
     if (outcome.type === 'answered') {
@@ -84,7 +88,7 @@
 
   /** Sends the call to the key's owner. Repeats only if the owner could not be reached or refused as not being the owner. */
   async #askOwnerUntilSettled(
-    call: OnceCallInput,
+    call: NonRepeatableCall,
     sink: AnswerSink,
     signal: AbortSignal,
   ): Promise<AttemptOutcome> {
@@ -105,14 +109,14 @@
   }
 
   async #attempt(
-    call: OnceCallInput,
+    call: NonRepeatableCall,
     callId: string,
     attempt: number,
     owner: Owner,
     sink: AnswerSink,
     signal: AbortSignal,
   ): Promise<AttemptOutcome> {
-    const link = await this.#components.links.to(owner.row.status.info);
+    const link = await this.#components.links.getLink(owner.row.status.info);
     if (!link.ok) return unreachable(call);
     const { method, path, contentType, body, key, deadline, receivedAt } = call;
     const timeLeft = Math.ceil(deadline - (performance.now() - receivedAt));
@@ -136,7 +140,7 @@
   }
 
   /** The agent that owns the call's key under the owners' list known here, if the agent has adopted the same epoch. */
-  #ownerOf(call: OnceCallInput): Owner | undefined {
+  #ownerOf(call: NonRepeatableCall): Owner | undefined {
     const { configuration, directory } = this.#components;
     const owners = configuration.row(TABLES.owners, call.service)?.value as OwnersRow | undefined;
     const address = owners === undefined ? undefined : ownerOf(call.key, owners.owners);
@@ -153,7 +157,7 @@
    * The time of ownership is a lower bound: what the agent reported plus the time since the report arrived here.
    * Later delays of the message do not matter, since the connection leads only to that process.
    */
-  #isFresh(call: OnceCallInput, { row }: Owner): boolean {
+  #isFresh(call: NonRepeatableCall, { row }: Owner): boolean {
     const now = performance.now();
     const ownedFor = (row.status.ownership?.heldFor ?? 0) + (now - row.receivedAt);
     const triedFor = call.elapsed + (now - call.receivedAt);
@@ -162,7 +166,7 @@
 }
 
 /** A first attempt that was sent to no agent has not run; about an earlier attempt elsewhere this entry knows nothing. */
-function unreachable(call: OnceCallInput): AttemptOutcome {
+function unreachable(call: NonRepeatableCall): AttemptOutcome {
   return {
     type: 'refused',
     reason: 'unreachable',
--- a/src/entry/owners-duty.ts
+++ b/src/entry/owners-duty.ts
@@ -34,7 +34,7 @@
     const candidates = this.#candidates(service, places);
     const connected = new Set(candidates.map((candidate) => candidate.address));
     const disconnected = (owners?.owners ?? []).filter((address) => !connected.has(address));
-    const next = decideOwners(owners, candidates, await machines.dead(disconnected));
+    const next = decideOwners(owners, candidates, await machines.findDead(disconnected));
     if (next === undefined) return;
     const table = TABLES.owners;
     const key = service;
--- a/src/entry/placement-duty.ts
+++ b/src/entry/placement-duty.ts
@@ -63,7 +63,7 @@
     for (const address of this.#missingSince.keys()) {
       if (!unseen.includes(address)) this.#missingSince.delete(address);
     }
-    const dead = await this.#components.machines.dead(unseen);
+    const dead = await this.#components.machines.findDead(unseen);
     const now = performance.now();
     const missing = { awaited: new Set<string>(), substituted: new Set<string>() };
     for (const address of unseen.filter((candidate) => !dead.has(candidate))) {
--- a/test/entry/call-router.test.ts
+++ b/test/entry/call-router.test.ts
@@ -44,7 +44,7 @@
   const ran: string[] = [];
   const calls: Array<CallMessage & { type: 'call' }> = [];
   const links = {
-    to: async ({ id }: { id: string }) => {
+    getLink: async ({ id }: { id: string }) => {
       const script = scripts[id];
       await connected();
       if (script === 'unreachable') return { ok: false, error: { type: 'peerUnreachable' } };
--- a/test/entry/caller-api.test.ts
+++ b/test/entry/caller-api.test.ts
@@ -7,7 +7,7 @@
 import type { CallRouter } from '../../src/entry/call-router.js';
 import { CallerApi } from '../../src/entry/caller-api.js';
 import { Configuration } from '../../src/entry/configuration.js';
-import type { OnceRouter } from '../../src/entry/once-router.js';
+import type { NonRepeatableRouter } from '../../src/entry/non-repeatable-router.js';
 import { HybridClock } from '../../src/model/hybrid-clock.js';
 import { seededRandom } from '../../src/model/random.js';
 import type { Startable } from '../../src/model/startable.js';
@@ -50,12 +50,12 @@
   leaving = false;
   const timeline = new Timeline('e', new HybridClock());
   const configuration = new Configuration({ tables: {} as TableService, random: seededRandom(1), timeline });
-  if (rows.length > 0) configuration.take(0, rows, 1);
+  if (rows.length > 0) configuration.applyChanges(0, rows, 1);
   const limits = { inProgress: 1, queued: 0, queueTime: 0 };
   api = new CallerApi({
     configuration,
     router: {} as CallRouter,
-    onceRouter: {} as OnceRouter,
+    nonRepeatableRouter: {} as NonRepeatableRouter,
     self: () => ({ ...SELF, leaving }),
     entries: () => [SELF],
     addressLifetimeSeconds: 5,
--- a/test/entry/configuration.test.ts
+++ b/test/entry/configuration.test.ts
@@ -62,10 +62,10 @@
 
   it('takes out what the whole configuration of another entry does not hold any more', () => {
     const configuration = configurationReading([]);
-    configuration.take(0, [row('a', 1), row('b', 2)], 2);
+    configuration.applyChanges(0, [row('a', 1), row('b', 2)], 2);
     const told: Row[] = [];
     configuration.listen((rows) => told.push(...rows));
-    configuration.take(0, [row('b', 2), row('c', 5)], 5);
+    configuration.applyChanges(0, [row('b', 2), row('c', 5)], 5);
     expect(configuration.rows('resources').map(({ key }) => key)).toEqual(['b', 'c']);
     expect(told).toContainEqual(row('a', 5, null));
   });
@@ -99,8 +99,8 @@
       { revision: 6, rows: [] },
     ]);
     await configuration.poll();
-    configuration.hint(5);
-    configuration.hint(6);
+    configuration.pollIfBehind(5);
+    configuration.pollIfBehind(6);
     await configuration.poll();
     expect(configuration.revision).toBe(6);
     expect(configuration.counters.reads).toBeLessThanOrEqual(3);
--- a/test/entry/machine-watch.test.ts
+++ b/test/entry/machine-watch.test.ts
@@ -27,25 +27,25 @@
   ])('tells whether %s is gone', async (_, first, then, waited, gone) => {
     const watch = new MachineWatch(list);
     listed = first;
-    await watch.dead(['a']);
+    await watch.findDead(['a']);
     listed = then;
     for (let time = 0; time < waited; time += 500) {
       vi.advanceTimersByTime(500);
-      await watch.dead(['a']);
+      await watch.findDead(['a']);
     }
-    expect((await watch.dead(['a'])).has('a')).toBe(gone);
+    expect((await watch.findDead(['a'])).has('a')).toBe(gone);
   });
 
   it('counts the time of a machine, whoever asked when the list was read', async () => {
     const watch = new MachineWatch(list);
     listed = ['a', 'b'];
-    await watch.dead(['a', 'b']);
+    await watch.findDead(['a', 'b']);
     listed = [];
     for (let time = 0; time < 14_000; time += 500) {
       vi.advanceTimersByTime(500);
-      await watch.dead(['a']);
-      await watch.dead(['b']);
+      await watch.findDead(['a']);
+      await watch.findDead(['b']);
     }
-    expect(await watch.dead(['b'])).toEqual(new Set(['b']));
+    expect(await watch.findDead(['b'])).toEqual(new Set(['b']));
   });
 });
--- a/test/resources/watch.test.ts
+++ b/test/resources/watch.test.ts
@@ -45,8 +45,8 @@
 describe('a watch', () => {
   const timeline = new Timeline('e', new HybridClock());
   const configuration = new Configuration({ tables: {} as TableService, random: seededRandom(1), timeline });
-  configuration.take(0, [row('Tenant/a', 2), row('Tenant/b', 4)], 4);
-  configuration.take(4, [row('Tenant/b', 5, null), row('Tenant/c', 6)], 6);
+  configuration.applyChanges(0, [row('Tenant/a', 2), row('Tenant/b', 4)], 4);
+  configuration.applyChanges(4, [row('Tenant/b', 5, null), row('Tenant/c', 6)], 6);
 
   it('goes on from a revision with all changes and deletions in their order', async () => {
     expect(await watchFrom(configuration, 4)).toEqual([
