--- a/test/entry/agent-directory.test.ts
+++ b/test/entry/agent-directory.test.ts
@@ -19,17 +19,17 @@
   return { status, home, homeZone: 'zone' };
 }
 
-describe('the directory of agents', () => {
+describe('AgentDirectory', () => {
   beforeEach(() => vi.useFakeTimers({ toFake: ['performance'] }));
   afterEach(() => vi.useRealTimers());
 
   it.each([
-    ['the same again', told('a', 5), 0],
-    ['something earlier', told('a', 4), 0],
-    ['something later', told('a', 6), 1_000],
-    ['the same from another home', told('a', 5, 0, 'other'), 1_000],
+    ['the same status', told('a', 5), 0],
+    ['an earlier status', told('a', 4), 0],
+    ['a later status', told('a', 6), 1_000],
+    ['the same status from another home', told('a', 5, 0, 'other'), 1_000],
     ['another process', told('b', 1), 1_000],
-  ])('dates a row by when its news came here: %s', (_, next, receivedAt) => {
+  ])('sets the time of receipt only if the status is new: %s', (_, next, receivedAt) => {
     const directory = new AgentDirectory();
     const start = performance.now();
     directory.set('machine', told('a', 5));
@@ -39,7 +39,7 @@
     expect([...directory.rows.values()][0].receivedAt - start).toBe(receivedAt);
   });
 
-  it('keeps the load that a home told of, until the agent moves to another', () => {
+  it('keeps the last reported load until the agent moves to another home', () => {
     const directory = new AgentDirectory();
     directory.set('machine', told('a', 1));
     directory.updateLoads([{ id: 'a', active: 7, held: [] }]);
@@ -49,7 +49,7 @@
     expect(directory.rows.get('a')?.status.active).toBe(0);
   });
 
-  it('holds nobody at an address at which nobody stands any more', () => {
+  it('removes the agent when its address is cleared', () => {
     const directory = new AgentDirectory();
     directory.set('machine', told('a', 1));
     directory.set('machine', undefined);
--- a/test/entry/machine-watch.test.ts
+++ b/test/entry/machine-watch.test.ts
@@ -3,7 +3,7 @@
 import { MachineWatch } from '../../src/entry/machine-watch.js';
 import { failure, success } from '../../src/model/result.js';
 
-/** The platform's list as the tests set it; undefined while it does not answer. */
+/** The platform's machine list; undefined while it does not answer. */
 let listed: string[] | undefined;
 const list: MachineList = {
   machines: async () => {
@@ -16,15 +16,15 @@
 beforeEach(() => vi.useFakeTimers({ toFake: ['performance'] }));
 afterEach(() => vi.useRealTimers());
 
-describe('the watch over machines', () => {
+describe('MachineWatch', () => {
   it.each([
     ['a machine that is listed', ['a'], ['a'], 60_000, false],
-    ['a machine that was listed and has been missed briefly', ['a'], [], 9_000, false],
-    ['a machine that was listed and has been missed for long', ['a'], [], 12_500, true],
-    ['a machine that the lagging list may not name yet', [], [], 30_000, false],
+    ['a machine that was listed and has been missing briefly', ['a'], [], 9_000, false],
+    ['a machine that was listed and has been missing for long', ['a'], [], 12_500, true],
+    ['a machine that the lagging list may not contain yet', [], [], 30_000, false],
     ['a machine that was never listed', [], [], 63_000, true],
     ['a machine while the list does not answer', ['a'], undefined, 60_000, false],
-  ])('tells whether %s is gone', async (_, first, then, waited, gone) => {
+  ])('tells whether %s is dead', async (_, first, then, waited, gone) => {
     const watch = new MachineWatch(list);
     listed = first;
     await watch.findDead(['a']);
@@ -36,7 +36,7 @@
     expect((await watch.findDead(['a'])).has('a')).toBe(gone);
   });
 
-  it('counts the time of a machine, whoever asked when the list was read', async () => {
+  it('counts the absence of each machine from the read of the list, whichever query triggered the read', async () => {
     const watch = new MachineWatch(list);
     listed = ['a', 'b'];
     await watch.findDead(['a', 'b']);
