--- a/test/entry/call-router.test.ts
+++ b/test/entry/call-router.test.ts
@@ -8,7 +8,7 @@
 
 const VERSION = 'a'.repeat(64);
 
-/** What an agent answers to a call; `lost` breaks the connection, `unreachable` never had one. */
+/** Frames that an agent sends for a call; `lost` closes the connection, `unreachable` refuses it. */
 type Script = Array<Omit<CallMessage & { callId?: string }, 'callId' | 'attempt'> | 'lost'> | 'unreachable';
 
 const WHOLE: Script = [
@@ -34,7 +34,7 @@
   };
 }
 
-/** A router before agents that answer by script; the first agent listed is always tried first. */
+/** A router with agents that answer by script. Their loads ascend, so the first agent listed is tried first. */
 function routerBefore(scripts: Record<string, Script>, place = 'place-a', connected = async () => {}) {
   const directory = new AgentDirectory();
   for (const [index, name] of Object.keys(scripts).entries()) {
@@ -107,8 +107,8 @@
   return { outcome: await router.route(call, sink, signal), received };
 }
 
-describe('routing of calls', () => {
-  it('brings back the whole answer', async () => {
+describe('CallRouter', () => {
+  it('relays the complete answer', async () => {
     const { outcome, received } = await route(routerBefore({ a: WHOLE }).router);
     expect(outcome.ok).toBe(true);
     expect(received).toEqual(['one', 'two']);
@@ -117,20 +117,20 @@
   it.each([
     ['refused it', REFUSED],
     ['could not be reached', 'unreachable' as const],
-  ])('asks another back end when one %s', async (_, script) => {
+  ])('retries on another back end if the first %s', async (_, script) => {
     const { router, ran } = routerBefore({ a: script, b: WHOLE });
     expect((await route(router, { repeatable: false })).outcome.ok).toBe(true);
     expect(ran.at(-1)).toBe('b');
   });
 
-  it('never hands a call over a second time that may not be repeated and may have run', async () => {
+  it('never retries a non-repeatable call that may have run', async () => {
     const { router, ran } = routerBefore({ a: ['lost'], b: WHOLE });
     const { outcome } = await route(router, { repeatable: false });
     expect(outcome).toMatchObject({ ok: false, error: { type: 'backEndFailed', ran: 'unknown' } });
     expect(ran).toEqual(['a']);
   });
 
-  it('repeats a repeatable call once after a loss, and not through all back ends', async () => {
+  it('retries a repeatable call only once after a lost connection', async () => {
     const { router, ran } = routerBefore({ a: ['lost'], b: ['lost'], c: ['lost'], d: WHOLE });
     expect((await route(router)).outcome.ok).toBe(false);
     expect(ran).toEqual(['a', 'b']);
@@ -138,26 +138,26 @@
 
   it.each([
     ['a frame is missing', [WHOLE[0], WHOLE[2], WHOLE[3]]],
-    ['the end names more frames than came', [WHOLE[0], WHOLE[1], WHOLE[3]]],
-    ['a frame comes twice', [WHOLE[0], WHOLE[1], WHOLE[1], WHOLE[2], WHOLE[3]]],
-    ['the connection is lost in the middle', [WHOLE[0], WHOLE[1], 'lost']],
-  ])('takes no answer for whole when %s', async (_, script) => {
+    ['the end frame states more frames than were received', [WHOLE[0], WHOLE[1], WHOLE[3]]],
+    ['a frame is received twice', [WHOLE[0], WHOLE[1], WHOLE[1], WHOLE[2], WHOLE[3]]],
+    ['the connection is lost during the answer', [WHOLE[0], WHOLE[1], 'lost']],
+  ])('reports an answer as failed if %s', async (_, script) => {
     const { router, ran } = routerBefore({ a: script as Script, b: WHOLE });
     const { outcome } = await route(router);
     expect(outcome.ok).toBe(false);
     expect(ran).toEqual(['a']);
   });
 
-  it('stops repeating once its budget is spent', async () => {
+  it('stops retrying once the retry budget is spent', async () => {
     const { router } = routerBefore({ a: ['lost'], b: WHOLE });
     let answered = 0;
     for (let call = 0; call < 60; call++) answered += (await route(router)).outcome.ok ? 1 : 0;
-    // 20 saved up and one earned by every tenth request.
+    // The budget starts with 20 retries and earns one per ten requests.
     expect(answered).toBeGreaterThanOrEqual(20);
     expect(answered).toBeLessThanOrEqual(26);
   });
 
-  it('uses no back end in another place, and says at once when to come back', async () => {
+  it('uses no back end in another place, and returns a retry delay at once', async () => {
     const { router, ran } = routerBefore({ a: WHOLE }, 'place-b');
     const { outcome } = await route(router);
     expect(outcome).toMatchObject({ ok: false, error: { type: 'noCapacity', ran: 'no', retryAfter: 1_000 } });
@@ -170,21 +170,21 @@
     expect(ran).toEqual([]);
   });
 
-  describe('while the agent is connected', () => {
-    /** A router whose connection to its only agent is there once `until` is. */
+  describe('while the connection to the agent is being opened', () => {
+    /** A router whose connection to its only agent opens once `until` resolves. */
     function routerThatConnects(until: () => Promise<void>) {
       const { router, ran, calls } = routerBefore({ a: WHOLE }, 'place-a', until);
       return { router, ran, calls };
     }
 
-    it('hands over nothing for a caller that has gone meanwhile', async () => {
+    it('sends nothing if the caller disconnects', async () => {
       const gone = new AbortController();
       const { router, ran } = routerThatConnects(async () => gone.abort());
       expect((await route(router, {}, gone.signal)).outcome.ok).toBe(false);
       expect(ran).toEqual([]);
     });
 
-    it('tells the agent no more time than is left', async () => {
+    it('sends the agent only the remaining time', async () => {
       const connecting = 60;
       const { router, calls } = routerThatConnects(
         () => new Promise((resolve) => setTimeout(resolve, connecting)),
@@ -194,7 +194,7 @@
       expect(calls[0].timeLeft).toBeLessThanOrEqual(1_000 - connecting + 2);
     });
 
-    it('hands over nothing whose time is over meanwhile', async () => {
+    it('sends nothing if the deadline passes', async () => {
       const { router, ran } = routerThatConnects(() => new Promise((resolve) => setTimeout(resolve, 40)));
       expect((await route(router, { deadline: 20 })).outcome.ok).toBe(false);
       expect(ran).toEqual([]);
--- a/test/entry/caller-api.test.ts
+++ b/test/entry/caller-api.test.ts
@@ -40,12 +40,12 @@
 
 let server: Startable | undefined;
 let api: CallerApi;
-/** Whether the entry has withdrawn from discovery. */
+/** Whether the entry under test is leaving. */
 let leaving = false;
 
 afterEach(async () => server?.stop());
 
-/** An entry's interface with nothing behind it, over a configuration of these rows. */
+/** Serves the caller API with a configuration of these rows and without routers. */
 async function serve(rows: Row[]): Promise<string> {
   leaving = false;
   const timeline = new Timeline('e', new HybridClock());
@@ -70,9 +70,9 @@
   return `http://${address}`;
 }
 
-describe('the interface for callers', () => {
+describe('CallerApi', () => {
   it.each(['/v1/entries', '/v1/models', '/services/control/look'])(
-    'answers %s without a configuration by "not run" and when to come back, never by "not found"',
+    'answers %s without a configuration as not run with a retry delay, never as "not found"',
     async (path) => {
       const answer = await fetch(`${await serve([])}${path}`, { headers: { 'x-thistleway-tenant': 't' } });
       expect(answer.status).toBe(503);
@@ -84,7 +84,7 @@
   it.each([
     ['a service that is not declared', 'other', 404, 'unknownService'],
     ['a service of another tenant', 'control', 404, 'unknownService', 'stranger'],
-    ['a service whose answers may not travel here', 'control', 421, 'placeNotAllowed'],
+    ['a service whose answers may not be sent through this place', 'control', 421, 'placeNotAllowed'],
   ])('refuses %s as not run', async (_, name, status, type, tenant = 't') => {
     const base = await serve([SERVICE]);
     const answer = await fetch(`${base}/services/${name}/look`, {
@@ -94,7 +94,7 @@
     expect(await answer.json()).toMatchObject({ error: { type, notRun: true } });
   });
 
-  it('tells callers to leave their connections once the entry leaves', async () => {
+  it('asks callers to close their connections once the entry is leaving', async () => {
     const base = await serve([SERVICE]);
     const look = () => fetch(`${base}/services/control/look`, { headers: { 'x-thistleway-tenant': 't' } });
     expect((await look()).headers.get('connection')).toBe('keep-alive');
@@ -103,7 +103,7 @@
     expect((await fetch(`${base}/v1/entries`)).headers.get('connection')).toBe('close');
   });
 
-  it('counts a request as in progress from its arrival until its answer is out', async () => {
+  it('counts a request as in progress from its arrival until the end of its answer', async () => {
     const base = await serve([SERVICE]);
     const sent = httpRequest(`${base}/services/control/look`, {
       method: 'POST',
@@ -111,7 +111,7 @@
     });
     const answered = new Promise((resolve) => sent.once('response', (answer) => resolve(answer.resume())));
     sent.write('bo');
-    await until(() => api.inProgress === 1, 'the request whose body is coming');
+    await until(() => api.inProgress === 1, 'the request whose body is being sent');
     sent.end('dy');
     await answered;
     await until(() => api.inProgress === 0, 'the end of its answer');
