--- a/test/entry/configuration.test.ts
+++ b/test/entry/configuration.test.ts
@@ -6,7 +6,7 @@
 import { failure, success } from '../../src/model/result.js';
 import { Timeline } from '../../src/observability/timeline.js';
 
-/** A table service that answers each reading with the next of `answers`. */
+/** A configuration whose table service answers each read with the next of `answers`. */
 function configurationReading(answers: Array<Changes | 'down'>): Configuration {
   const down = { type: 'unavailable' as const, service: 'tableService', retryAfter: 1, reason: 'test' };
   const tables = {
@@ -23,8 +23,8 @@
   return { table: 'resources', key, value, revision };
 }
 
-describe('the configuration of an entry', () => {
-  it('takes in what changed', async () => {
+describe('Configuration', () => {
+  it('applies changes and deletions', async () => {
     const configuration = configurationReading([
       { revision: 2, rows: [row('a', 1), row('b', 2)] },
       { revision: 3, rows: [row('a', 3, null)] },
@@ -36,9 +36,9 @@
   });
 
   it.each([
-    ['a lagging reading', { revision: 1, rows: [row('a', 1)] }],
-    ['a reading of a store that was rolled back', { revision: 2, rows: [row('a', 2, 'other')] }],
-    ['an empty reading of an old revision', { revision: 0, rows: [] }],
+    ['a read of a lagging replica', { revision: 1, rows: [row('a', 1)] }],
+    ['a read of a store that was rolled back', { revision: 2, rows: [row('a', 2, 'other')] }],
+    ['an empty read of an old revision', { revision: 0, rows: [] }],
   ])('does not revert after %s', async (_, late) => {
     const configuration = configurationReading([{ revision: 5, rows: [row('a', 5)] }, late]);
     await configuration.poll();
@@ -48,9 +48,9 @@
   });
 
   it.each([
-    ['a lagging reading', { revision: 2, rows: [row('a', 1)] }],
-    ['a late reading that goes further', { revision: 6, rows: [row('a', 1), row('b', 6)] }],
-  ])('brings nothing deleted back after %s', async (_, late) => {
+    ['a read of a lagging replica', { revision: 2, rows: [row('a', 1)] }],
+    ['a late answer that includes a newer revision', { revision: 6, rows: [row('a', 1), row('b', 6)] }],
+  ])('does not restore a deleted row after %s', async (_, late) => {
     const configuration = configurationReading([
       { revision: 2, rows: [row('a', 1)] },
       { revision: 5, rows: [row('a', 5, null)] },
@@ -60,7 +60,7 @@
     expect(configuration.row('resources', 'a')).toBeUndefined();
   });
 
-  it('takes out what the whole configuration of another entry does not hold any more', () => {
+  it('deletes rows that are missing from a full snapshot of another entry', () => {
     const configuration = configurationReading([]);
     configuration.applyChanges(0, [row('a', 1), row('b', 2)], 2);
     const told: Row[] = [];
@@ -72,20 +72,23 @@
 
   it.each([
     ['nothing is known yet', 0, undefined],
-    ['the watcher was last told before this entry knew anything', 3, undefined],
-    ['the watcher was told of all but a deletion', 5, ['a']],
-    ['the watcher was told of everything', 6, []],
-  ])('tells what was deleted since a revision, or that it cannot: %s', async (_, since, deleted) => {
-    const configuration = configurationReading([
-      { revision: 4, rows: [row('a', 4)] },
-      { revision: 5, rows: [row('b', 5)] },
-      { revision: 6, rows: [row('a', 6, null)] },
-    ]);
-    for (let reading = 0; reading < 3; reading++) await configuration.poll();
-    expect(configuration.deletedSince(since)?.map(({ key }) => key)).toEqual(deleted);
-  });
+    ['the watcher is older than the first revision known here', 3, undefined],
+    ['the watcher has missed only a deletion', 5, ['a']],
+    ['the watcher has missed nothing', 6, []],
+  ])(
+    'returns the deletions since a revision, or undefined if they are not all known: %s',
+    async (_, since, deleted) => {
+      const configuration = configurationReading([
+        { revision: 4, rows: [row('a', 4)] },
+        { revision: 5, rows: [row('b', 5)] },
+        { revision: 6, rows: [row('a', 6, null)] },
+      ]);
+      for (let reading = 0; reading < 3; reading++) await configuration.poll();
+      expect(configuration.deletedSince(since)?.map(({ key }) => key)).toEqual(deleted);
+    },
+  );
 
-  it('keeps what is in force while the store is down', async () => {
+  it('keeps its rows while the store is down', async () => {
     const configuration = configurationReading([{ revision: 5, rows: [row('a', 5)] }, 'down']);
     await configuration.poll();
     await configuration.poll();
@@ -93,7 +96,7 @@
     expect(configuration.counters).toEqual({ reads: 2, failedReads: 1 });
   });
 
-  it('reads again at once when another process knows a later revision, and only then', async () => {
+  it('reads again at once only if another process reports a later revision', async () => {
     const configuration = configurationReading([
       { revision: 5, rows: [] },
       { revision: 6, rows: [] },
--- a/test/entry/entry-mesh.test.ts
+++ b/test/entry/entry-mesh.test.ts
@@ -14,7 +14,7 @@
 import type { ConfiguredEntry } from '../../src/systems/entry-topology.js';
 import { peer, until } from '../support.js';
 
-/** A store that every test entry reads; each reading is counted. */
+/** The store that all test entries read; counts the reads. */
 const store = { down: false, reads: 0, changes: { revision: 1, rows: [] } as Changes };
 const tables = {
   changes: async () => {
@@ -84,7 +84,7 @@
   return entry;
 }
 
-/** Two zones of two entries each, in the order of their addresses inside each zone. */
+/** Starts two zones of two entries each, ordered by address within each zone. */
 async function startZones(): Promise<{ all: ConfiguredEntry[]; started: TestEntry[] }> {
   const addresses = [await freeAddress(), await freeAddress(), await freeAddress(), await freeAddress()];
   const [a, b, c, d] = addresses.sort();
@@ -113,24 +113,24 @@
   };
 }
 
-/** An agent homed at `entry` tells its status. */
+/** Simulates a status from an agent homed at `entry`. */
 function tell(entry: TestEntry, told: AgentStatus): void {
   entry.mesh.agentChanged(told);
 }
 
-/** Whether an entry knows the agent at this home. */
+/** Whether an entry knows the agent as homed at `home`. */
 const isAgentAt = (home: TestEntry) => (entry: TestEntry) =>
   entry.directory.rows.get('agent')?.home === home.id;
 
 const knows = (entry: TestEntry, id: string) => entry.directory.rows.has(id);
 
-describe('the mesh of entries', () => {
-  it('has one first entry a zone', async () => {
+describe('EntryMesh', () => {
+  it('has exactly one first entry per zone', async () => {
     const { started } = await startZones();
     expect(started.map(({ mesh }) => mesh.isFirstOfZone)).toEqual([true, false, true, false]);
   });
 
-  it('brings an agent to all entries of all zones, and its load to those of its zone only', async () => {
+  it('publishes an agent to the entries of all zones, but its load only within its zone', async () => {
     const { started } = await startZones();
     tell(started[1], status('agent', 1));
     await until(() => started.every((entry) => knows(entry, 'agent')), 'the agent known to all');
@@ -146,7 +146,7 @@
     );
   });
 
-  it('tells no load that would stand for ever in another zone', async () => {
+  it('publishes no load to other zones, where it would never be updated', async () => {
     const { started } = await startZones();
     tell(started[1], status('agent', 1, { active: 4 }));
     await until(() => started.every((entry) => knows(entry, 'agent')), 'the agent known to all');
@@ -160,7 +160,7 @@
     ]);
   });
 
-  it('takes an agent that is gone out everywhere', async () => {
+  it('removes a lost agent from all entries', async () => {
     const { started } = await startZones();
     tell(started[1], status('agent', 1));
     await until(() => started.every((entry) => knows(entry, 'agent')), 'the agent known to all');
@@ -168,22 +168,19 @@
     await until(() => started.every((entry) => !knows(entry, 'agent')), 'the agent gone from all');
   });
 
-  it('does not take out an agent that has told something through another home meanwhile', async () => {
+  it('does not remove an agent that has meanwhile sent a status to another home', async () => {
     const { started } = await startZones();
     tell(started[1], status('agent', 1));
     await until(() => started.every((entry) => knows(entry, 'agent')), 'the agent known to all');
     tell(started[0], status('agent', 2));
     started[1].mesh.agentGone('agent');
     tell(started[1], status('marker', 1));
-    await until(
-      () => started.every((entry) => knows(entry, 'marker')),
-      'the marker, after the news of the loss',
-    );
-    // News of two homes come over different links, in either order.
+    await until(() => started.every((entry) => knows(entry, 'marker')), 'the marker, which follows the loss');
+    // Updates from two homes arrive over different links, in either order.
     await until(() => started.every(isAgentAt(started[0])), 'the agent at its next home');
   });
 
-  it('keeps an agent all the time that is known at another home when it is lost at the former one', async () => {
+  it('never drops an agent, even briefly, that is known at another home when its former home loses it', async () => {
     const { started } = await startZones();
     tell(started[1], status('agent', 1));
     await until(() => started.every((entry) => knows(entry, 'agent')), 'the agent known to all');
@@ -196,14 +193,11 @@
       });
     started[1].mesh.agentGone('agent');
     tell(started[1], status('marker', 1));
-    await until(
-      () => started.every((entry) => knows(entry, 'marker')),
-      'the marker, after the news of the loss',
-    );
+    await until(() => started.every((entry) => knows(entry, 'marker')), 'the marker, which follows the loss');
     expect(losses).toBe(0);
   });
 
-  it('goes on with other links when an entry dies', async () => {
+  it('replaces the links of an entry that stops', async () => {
     const { started } = await startZones();
     await started[0].stop();
     await until(() => started[1].mesh.isFirstOfZone, 'the next entry as the first of its zone');
@@ -218,7 +212,7 @@
     );
   });
 
-  it('brings rows that one entry read to all, without a reading of theirs', async () => {
+  it('distributes rows read by one entry to all entries without further reads', async () => {
     const { started } = await startZones();
     store.changes = { revision: 7, rows: [{ table: 'resources', key: 'k', value: 1, revision: 7 }] };
     await started[1].configuration.poll();
@@ -232,7 +226,7 @@
     expect(store.reads).toBe(1);
   });
 
-  it('gives a replaced entry the configuration in force and all agents while the store is down', async () => {
+  it('gives a restarted entry the configuration and all agents while the store is down', async () => {
     const { all, started } = await startZones();
     store.changes = { revision: 7, rows: [{ table: 'resources', key: 'k', value: 1, revision: 7 }] };
     await started[1].configuration.poll();
@@ -243,7 +237,7 @@
     const replaced = await startEntry(all[3], all, '2');
     await until(
       () => replaced.configuration.revision === 7 && knows(replaced, 'agent'),
-      'all that the old one knew',
+      'the configuration and agent at the restarted entry',
     );
     expect(replaced.configuration.row('resources', 'k')).toBeDefined();
   });
