--- a/test/cluster/cluster.test.ts
+++ b/test/cluster/cluster.test.ts
@@ -24,7 +24,7 @@
   return { place, region: place, zone: `${place}-a` };
 }
 
-/** Runs a command of the command line; returns its exit code and what it printed. */
+/** Runs the command-line tool; returns its exit code and output. */
 async function thistleway(...commandLine: string[]): Promise<{ code: number; output: string }> {
   try {
     const { stdout, stderr } = await promisify(execFile)(process.execPath, [BINARY, ...commandLine]);
@@ -97,8 +97,8 @@
   rmSync(folder, { recursive: true, force: true });
 });
 
-describe('a system of separate processes', () => {
-  it('brings a declared version to its machines, and serves it', async () => {
+describe('a cluster of separate processes', () => {
+  it('distributes a declared version to its machines and serves it', async () => {
     const file = declare('model', cluster.versions[0].version);
     const applied = await thistleway('apply', '--entry', cluster.entry.callers, '-f', file, '--wait');
     expect(applied).toMatchObject({ code: 0 });
@@ -111,7 +111,7 @@
     expect((await cluster.platformAudit()).originBytes).toBeGreaterThanOrEqual(MODEL_BYTES);
   });
 
-  it('tells what would change, and who was overtaken', async () => {
+  it('shows the difference that an apply would make, and none after it', async () => {
     const file = declare('model', cluster.versions[0].version, { priority: 7 });
     const entry = ['--entry', cluster.entry.callers];
     const diff = await thistleway('diff', ...entry, '-f', file);
@@ -121,7 +121,7 @@
     expect((await thistleway('diff', ...entry, '-f', file)).code).toBe(0);
   });
 
-  it('settles an apply whose answer the store lost, once and for all', async () => {
+  it('resolves an apply whose answer the store lost to a final outcome', async () => {
     const apply = (operationId: string) => {
       const resource = {
         apiVersion: 'thistleway/v1',
@@ -138,7 +138,7 @@
     };
     let lost: Response;
     do {
-      // The lease's renewals lose answers, too: until the apply itself has lost its own.
+      // The lost answer may be that of a lease renewal, so repeat until an apply has lost its own.
       await cluster.setFaults({ loseAnswers: 1 });
       lost = await apply(`lost-${operations++}`);
     } while (lost.status === 200);
@@ -169,7 +169,7 @@
     expect(await foreign.json()).toMatchObject({ error: { type: 'unknownService', notRun: true } });
   });
 
-  it('runs a call that may not be repeated once, whichever entry is asked, and gives the same answer again', async () => {
+  it('runs a non-repeatable call once, whichever entry receives it, and repeats the same answer', async () => {
     const answers: unknown[] = [];
     for (const [index, entry] of cluster.entries.entries()) {
       const answer = await callOnce(entry.callers, 'once-1', { attempt: index + 1, elapsed: 100 * index });
@@ -192,7 +192,7 @@
       { type: 'backEndFailed', notRun: false },
     ],
     [
-      'does not tell since when it is tried',
+      'does not state when its first attempt began',
       'once-3',
       2,
       undefined,
@@ -206,10 +206,10 @@
     expect(await runsOf(key)).toBe(0);
   });
 
-  /** What became of the requests that were sent during the change of version. */
+  /** Outcomes of the requests sent during the version change. */
   let duringChange: CallerCounts | undefined;
 
-  it('goes over to a new version without mixing versions', async () => {
+  it('switches to a new version without mixing versions', async () => {
     const caller = new Caller(
       cluster.entries.map((entry) => entry.callers),
       'model',
@@ -231,13 +231,13 @@
     }, 'the old version unloaded');
   });
 
-  it('loses no request while it goes over to a new version', () => {
+  it('loses no request during the switch to a new version', () => {
     const { byVersion: _, ...outcomes } = duringChange!;
     const { byVersion: _none, ...nothingElse } = noCounts();
     expect(outcomes).toEqual({ ...nothingElse, sent: outcomes.sent, answeredWhole: outcomes.sent });
   });
 
-  it('takes no new work at an agent that drains, and cuts nothing off', async () => {
+  it('sends no new requests to a draining agent and truncates no answer', async () => {
     const leaving = cluster.agents[0];
     const caller = new Caller(
       cluster.entries.map((entry) => entry.callers),
@@ -250,7 +250,7 @@
         `http://${cluster.entry.callers}/status`,
       );
       return agents?.agents.find(({ info }) => info.address === leaving.peers)?.leaving ?? false;
-    }, 'the news of the drain');
+    }, 'the entry to learn of the drain');
     const before = await runsAt(leaving.backEnd);
     for (let request = 0; request < 10; request++) await caller.call(4);
     await caller.stop();
@@ -258,7 +258,7 @@
     expect(caller.counts.answeredWhole).toBe(caller.counts.sent);
   });
 
-  it('serves and tells on while the platform is down, and places again when it is back', async () => {
+  it('serves requests and refuses an apply while the platform is down, and places again after it recovers', async () => {
     await cluster.setFaults({ tablesDown: true, objectsDown: true });
     const caller = new Caller(
       cluster.entries.map((entry) => entry.callers),
@@ -303,7 +303,7 @@
     expect(places).toEqual([...places].sort((a, b) => a - b));
   });
 
-  it('goes on when an entry dies', async () => {
+  it('continues to serve when an entry is killed', async () => {
     cluster.processes.kill('entry-1');
     const caller = new Caller(
       cluster.entries.map((entry) => entry.callers),
--- a/test/cluster/standstill.test.ts
+++ b/test/cluster/standstill.test.ts
@@ -1,4 +1,4 @@
-/** A machine that gives its processes no processor for a while, as beside heavy load. */
+/** All processes of the system are stopped for a while (SIGSTOP), as on a machine that is starved of CPU under heavy load. */
 import { resolve } from 'node:path';
 import { setTimeout as pause } from 'node:timers/promises';
 import { afterAll, beforeAll, expect, it } from 'vitest';
@@ -10,16 +10,16 @@
 
 const MODEL_BYTES = 2 ** 18;
 const LOCATION = { place: 'place-0', region: 'place-0', zone: 'place-0-a' };
-/** Longer than the silence after which a connection is ended, in milliseconds. */
+/** Duration of the stop, in milliseconds. Longer than the silence after which a connection is closed. */
 const STANDSTILL = 4_500;
-/** Tokens of an answer, and the time of each, in milliseconds: an answer takes 3 s. */
+/** Tokens per answer and the time per token, in milliseconds: an answer takes 3 s. */
 const TOKENS = 100;
 const TOKEN_TIME = 30;
 const STREAMS = 12;
 
 let cluster: Cluster;
 
-/** Processes of the system; the platform and the engines run on. */
+/** Entries and agents; the platform and the engines keep running. */
 function systemProcesses(): string[] {
   return [...cluster.entries, ...cluster.agents].map(({ name }) => name);
 }
@@ -34,7 +34,7 @@
   };
   const body = JSON.stringify({ operationId: 'declare', resources: [{ resource }], deletes: [] });
   await fetch(`http://${cluster.entry.callers}/apis/v1/apply`, { method: 'POST', body });
-  // Callers go to both entries, and each hears of the agents by itself: one that has not yet refuses as not run.
+  // Callers use both entries, and each learns of the agents independently; until then it refuses requests as not run.
   for (const { callers } of cluster.entries) {
     await until(() => isServing(callers, version), `the version on both machines, as ${callers} knows it`);
   }
@@ -45,7 +45,7 @@
   return status?.deployments[0]?.version === version && status.deployments[0].waitsFor === '';
 }
 
-/** Sends the streams; `startedBefore` later the system stands still, in milliseconds. */
+/** Starts the streams, stops the system after `startedBefore` milliseconds, and returns the outcomes. */
 async function outcomesOfStandstill(startedBefore: number) {
   const caller = new Caller(
     cluster.entries.map(({ callers }) => callers),
@@ -87,10 +87,10 @@
 const { byVersion: _, ...NOTHING } = noCounts();
 const ALL_WHOLE = { ...NOTHING, sent: STREAMS, answeredWhole: STREAMS };
 
-it('cuts no answer when all processes get no processor for a while', async () => {
+it('truncates no answer when all processes are stopped for a while', async () => {
   expect(await outcomesOfStandstill(1_000)).toEqual(ALL_WHOLE);
 });
 
-it('refuses no request that is being taken when all processes get no processor for a while', async () => {
+it('refuses no request that is being accepted when all processes are stopped for a while', async () => {
   expect(await outcomesOfStandstill(12)).toEqual(ALL_WHOLE);
 });
