--- a/test/cluster/cluster.test.ts
+++ b/test/cluster/cluster.test.ts
@@ -25,7 +25,7 @@
 }
 
 /** Runs the command-line tool; returns its exit code and output. */
-async function thistleway(...commandLine: string[]): Promise<{ code: number; output: string }> {
+async function runCommand(...commandLine: string[]): Promise<{ code: number; output: string }> {
   try {
     const { stdout, stderr } = await promisify(execFile)(process.execPath, [BINARY, ...commandLine]);
     return { code: 0, output: stdout + stderr };
@@ -100,7 +100,7 @@
 describe('a cluster of separate processes', () => {
   it('distributes a declared version to its machines and serves it', async () => {
     const file = declare('model', cluster.versions[0].version);
-    const applied = await thistleway('apply', '--entry', cluster.entry.callers, '-f', file, '--wait');
+    const applied = await runCommand('apply', '--entry', cluster.entry.callers, '-f', file, '--wait');
     expect(applied).toMatchObject({ code: 0 });
     const caller = new Caller(
       cluster.entries.map((entry) => entry.callers),
@@ -114,11 +114,11 @@
   it('shows the difference that an apply would make, and none after it', async () => {
     const file = declare('model', cluster.versions[0].version, { priority: 7 });
     const entry = ['--entry', cluster.entry.callers];
-    const diff = await thistleway('diff', ...entry, '-f', file);
+    const diff = await runCommand('diff', ...entry, '-f', file);
     expect(diff.code).toBe(1);
     expect(diff.output).toContain('spec.priority: 0 -> 7');
-    expect((await thistleway('apply', ...entry, '-f', file)).code).toBe(0);
-    expect((await thistleway('diff', ...entry, '-f', file)).code).toBe(0);
+    expect((await runCommand('apply', ...entry, '-f', file)).code).toBe(0);
+    expect((await runCommand('diff', ...entry, '-f', file)).code).toBe(0);
   });
 
   it('resolves an apply whose answer the store lost to a final outcome', async () => {
@@ -154,7 +154,7 @@
     const spec = { tenant: TENANT, places: PLACES };
     const resource = { apiVersion: 'thistleway/v1', kind: 'Service', metadata: { name: 'control' }, spec };
     writeFileSync(file, JSON.stringify(resource));
-    await thistleway('apply', '--entry', cluster.entry.callers, '-f', file);
+    await runCommand('apply', '--entry', cluster.entry.callers, '-f', file);
     const call = (tenant: string) =>
       fetch(`http://${cluster.entry.callers}/services/control/start`, {
         method: 'POST',
@@ -216,7 +216,7 @@
     );
     caller.start(20);
     const next = cluster.versions[1].version;
-    await thistleway('apply', '--entry', cluster.entry.callers, '-f', declare('model', next), '--wait');
+    await runCommand('apply', '--entry', cluster.entry.callers, '-f', declare('model', next), '--wait');
     await untilComplete(next);
     await caller.stop();
     duringChange = caller.counts;
@@ -244,7 +244,7 @@
       'model',
     );
     caller.start(20);
-    expect((await thistleway('drain', leaving.operators)).code).toBe(0);
+    expect((await runCommand('drain', leaving.operators)).code).toBe(0);
     await until(async () => {
       const agents = await getJson<{ agents: Array<{ info: { address: string }; leaving: boolean }> }>(
         `http://${cluster.entry.callers}/status`,
@@ -266,7 +266,7 @@
     );
     for (let request = 0; request < 6; request++) await caller.call(4);
     expect(caller.counts.answeredWhole).toBe(6);
-    const refused = await thistleway(
+    const refused = await runCommand(
       'apply',
       '--entry',
       cluster.entry.callers,
@@ -282,7 +282,7 @@
   });
 
   it('shows the events of all processes in causal order', async () => {
-    const shown = await thistleway('timeline', '--json', '--entry', cluster.entry.callers);
+    const shown = await runCommand('timeline', '--json', '--entry', cluster.entry.callers);
     const events = shown.output
       .split('\n')
       .filter((line) => line.startsWith('{'))
@@ -323,7 +323,7 @@
     [['entry'], '--config'],
     [['bench', 'burst', '--faults', 'unheard-of'], 'no fault "unheard-of"'],
   ])('refuses %j with exit code 2', async (commandLine, message) => {
-    const { code, output } = await thistleway(...commandLine);
+    const { code, output } = await runCommand(...commandLine);
     expect(code).toBe(2);
     expect(output).toContain(message);
   });
--- a/test/cluster/standstill.test.ts
+++ b/test/cluster/standstill.test.ts
@@ -84,13 +84,13 @@
   cluster.stop();
 });
 
-const { byVersion: _, ...NOTHING } = noCounts();
-const ALL_WHOLE = { ...NOTHING, sent: STREAMS, answeredWhole: STREAMS };
+const { byVersion: _, ...NO_OUTCOMES } = noCounts();
+const ALL_COMPLETE = { ...NO_OUTCOMES, sent: STREAMS, answeredWhole: STREAMS };
 
 it('truncates no answer when all processes are stopped for a while', async () => {
-  expect(await outcomesOfStandstill(1_000)).toEqual(ALL_WHOLE);
+  expect(await outcomesOfStandstill(1_000)).toEqual(ALL_COMPLETE);
 });
 
 it('refuses no request that is being accepted when all processes are stopped for a while', async () => {
-  expect(await outcomesOfStandstill(12)).toEqual(ALL_WHOLE);
+  expect(await outcomesOfStandstill(12)).toEqual(ALL_COMPLETE);
 });
--- a/test/entry/call-router.test.ts
+++ b/test/entry/call-router.test.ts
@@ -11,7 +11,7 @@
 /** Frames that an agent sends for a call; `lost` closes the connection, `unreachable` refuses it. */
 type Script = Array<Omit<CallMessage & { callId?: string }, 'callId' | 'attempt'> | 'lost'> | 'unreachable';
 
-const WHOLE: Script = [
+const COMPLETE: Script = [
   { type: 'callHead', status: 200, contentType: 'text/plain' },
   { type: 'callData', sequence: 0, data: Buffer.from('one') },
   { type: 'callData', sequence: 1, data: Buffer.from('two') },
@@ -35,11 +35,11 @@
 }
 
 /** A router with agents that answer by script. Their loads ascend, so the first agent listed is tried first. */
-function routerBefore(scripts: Record<string, Script>, place = 'place-a', connected = async () => {}) {
+function routerWithAgents(scripts: Record<string, Script>, place = 'place-a', connected = async () => {}) {
   const directory = new AgentDirectory();
   for (const [index, name] of Object.keys(scripts).entries()) {
-    const told = { ...status(name, place), active: index };
-    directory.set(told.info.address, { status: told, home: 'home', homeZone: 'zone' });
+    const agentStatus = { ...status(name, place), active: index };
+    directory.set(agentStatus.info.address, { status: agentStatus, home: 'home', homeZone: 'zone' });
   }
   const ran: string[] = [];
   const calls: Array<CallMessage & { type: 'call' }> = [];
@@ -109,7 +109,7 @@
 
 describe('CallRouter', () => {
   it('relays the complete answer', async () => {
-    const { outcome, received } = await route(routerBefore({ a: WHOLE }).router);
+    const { outcome, received } = await route(routerWithAgents({ a: COMPLETE }).router);
     expect(outcome.ok).toBe(true);
     expect(received).toEqual(['one', 'two']);
   });
@@ -118,38 +118,38 @@
     ['refused it', REFUSED],
     ['could not be reached', 'unreachable' as const],
   ])('retries on another back end if the first %s', async (_, script) => {
-    const { router, ran } = routerBefore({ a: script, b: WHOLE });
+    const { router, ran } = routerWithAgents({ a: script, b: COMPLETE });
     expect((await route(router, { repeatable: false })).outcome.ok).toBe(true);
     expect(ran.at(-1)).toBe('b');
   });
 
   it('never retries a non-repeatable call that may have run', async () => {
-    const { router, ran } = routerBefore({ a: ['lost'], b: WHOLE });
+    const { router, ran } = routerWithAgents({ a: ['lost'], b: COMPLETE });
     const { outcome } = await route(router, { repeatable: false });
     expect(outcome).toMatchObject({ ok: false, error: { type: 'backEndFailed', ran: 'unknown' } });
     expect(ran).toEqual(['a']);
   });
 
   it('retries a repeatable call only once after a lost connection', async () => {
-    const { router, ran } = routerBefore({ a: ['lost'], b: ['lost'], c: ['lost'], d: WHOLE });
+    const { router, ran } = routerWithAgents({ a: ['lost'], b: ['lost'], c: ['lost'], d: COMPLETE });
     expect((await route(router)).outcome.ok).toBe(false);
     expect(ran).toEqual(['a', 'b']);
   });
 
   it.each([
-    ['a frame is missing', [WHOLE[0], WHOLE[2], WHOLE[3]]],
-    ['the end frame states more frames than were received', [WHOLE[0], WHOLE[1], WHOLE[3]]],
-    ['a frame is received twice', [WHOLE[0], WHOLE[1], WHOLE[1], WHOLE[2], WHOLE[3]]],
-    ['the connection is lost during the answer', [WHOLE[0], WHOLE[1], 'lost']],
+    ['a frame is missing', [COMPLETE[0], COMPLETE[2], COMPLETE[3]]],
+    ['the end frame states more frames than were received', [COMPLETE[0], COMPLETE[1], COMPLETE[3]]],
+    ['a frame is received twice', [COMPLETE[0], COMPLETE[1], COMPLETE[1], COMPLETE[2], COMPLETE[3]]],
+    ['the connection is lost during the answer', [COMPLETE[0], COMPLETE[1], 'lost']],
   ])('reports an answer as failed if %s', async (_, script) => {
-    const { router, ran } = routerBefore({ a: script as Script, b: WHOLE });
+    const { router, ran } = routerWithAgents({ a: script as Script, b: COMPLETE });
     const { outcome } = await route(router);
     expect(outcome.ok).toBe(false);
     expect(ran).toEqual(['a']);
   });
 
   it('stops retrying once the retry budget is spent', async () => {
-    const { router } = routerBefore({ a: ['lost'], b: WHOLE });
+    const { router } = routerWithAgents({ a: ['lost'], b: COMPLETE });
     let answered = 0;
     for (let call = 0; call < 60; call++) answered += (await route(router)).outcome.ok ? 1 : 0;
     // The budget starts with 20 retries and earns one per ten requests.
@@ -158,14 +158,14 @@
   });
 
   it('uses no back end in another place, and returns a retry delay at once', async () => {
-    const { router, ran } = routerBefore({ a: WHOLE }, 'place-b');
+    const { router, ran } = routerWithAgents({ a: COMPLETE }, 'place-b');
     const { outcome } = await route(router);
     expect(outcome).toMatchObject({ ok: false, error: { type: 'noCapacity', ran: 'no', retryAfter: 1_000 } });
     expect(ran).toEqual([]);
   });
 
   it('uses no back end that has another version', async () => {
-    const { router, ran } = routerBefore({ a: WHOLE });
+    const { router, ran } = routerWithAgents({ a: COMPLETE });
     expect((await route(router, { versions: ['b'.repeat(64)] })).outcome.ok).toBe(false);
     expect(ran).toEqual([]);
   });
@@ -173,7 +173,7 @@
   describe('while the connection to the agent is being opened', () => {
     /** A router whose connection to its only agent opens once `until` resolves. */
     function routerThatConnects(until: () => Promise<void>) {
-      const { router, ran, calls } = routerBefore({ a: WHOLE }, 'place-a', until);
+      const { router, ran, calls } = routerWithAgents({ a: COMPLETE }, 'place-a', until);
       return { router, ran, calls };
     }
 
--- a/test/entry/caller-api.test.ts
+++ b/test/entry/caller-api.test.ts
@@ -46,7 +46,7 @@
 afterEach(async () => server?.stop());
 
 /** Serves the caller API with a configuration of these rows and without routers. */
-async function serve(rows: Row[]): Promise<string> {
+async function startApi(rows: Row[]): Promise<string> {
   leaving = false;
   const timeline = new Timeline('e', new HybridClock());
   const configuration = new Configuration({ tables: {} as TableService, random: seededRandom(1), timeline });
@@ -74,7 +74,7 @@
   it.each(['/v1/entries', '/v1/models', '/services/control/look'])(
     'answers %s without a configuration as not run with a retry delay, never as "not found"',
     async (path) => {
-      const answer = await fetch(`${await serve([])}${path}`, { headers: { 'x-thistleway-tenant': 't' } });
+      const answer = await fetch(`${await startApi([])}${path}`, { headers: { 'x-thistleway-tenant': 't' } });
       expect(answer.status).toBe(503);
       expect(answer.headers.get('retry-after')).toBe('1');
       expect(await answer.json()).toMatchObject({ error: { type: 'notConfigured', notRun: true } });
@@ -86,7 +86,7 @@
     ['a service of another tenant', 'control', 404, 'unknownService', 'stranger'],
     ['a service whose answers may not be sent through this place', 'control', 421, 'placeNotAllowed'],
   ])('refuses %s as not run', async (_, name, status, type, tenant = 't') => {
-    const base = await serve([SERVICE]);
+    const base = await startApi([SERVICE]);
     const answer = await fetch(`${base}/services/${name}/look`, {
       headers: { 'x-thistleway-tenant': tenant },
     });
@@ -95,16 +95,17 @@
   });
 
   it('asks callers to close their connections once the entry is leaving', async () => {
-    const base = await serve([SERVICE]);
-    const look = () => fetch(`${base}/services/control/look`, { headers: { 'x-thistleway-tenant': 't' } });
-    expect((await look()).headers.get('connection')).toBe('keep-alive');
+    const base = await startApi([SERVICE]);
+    const callService = () =>
+      fetch(`${base}/services/control/look`, { headers: { 'x-thistleway-tenant': 't' } });
+    expect((await callService()).headers.get('connection')).toBe('keep-alive');
     leaving = true;
-    expect((await look()).headers.get('connection')).toBe('close');
+    expect((await callService()).headers.get('connection')).toBe('close');
     expect((await fetch(`${base}/v1/entries`)).headers.get('connection')).toBe('close');
   });
 
   it('counts a request as in progress from its arrival until the end of its answer', async () => {
-    const base = await serve([SERVICE]);
+    const base = await startApi([SERVICE]);
     const sent = httpRequest(`${base}/services/control/look`, {
       method: 'POST',
       headers: { 'x-thistleway-tenant': 't', 'content-length': '4' },
--- a/test/entry/configuration.test.ts
+++ b/test/entry/configuration.test.ts
@@ -7,7 +7,7 @@
 import { Timeline } from '../../src/observability/timeline.js';
 
 /** A configuration whose table service answers each read with the next of `answers`. */
-function configurationReading(answers: Array<Changes | 'down'>): Configuration {
+function configurationWithAnswers(answers: Array<Changes | 'down'>): Configuration {
   const down = { type: 'unavailable' as const, service: 'tableService', retryAfter: 1, reason: 'test' };
   const tables = {
     changes: async () => {
@@ -25,7 +25,7 @@
 
 describe('Configuration', () => {
   it('applies changes and deletions', async () => {
-    const configuration = configurationReading([
+    const configuration = configurationWithAnswers([
       { revision: 2, rows: [row('a', 1), row('b', 2)] },
       { revision: 3, rows: [row('a', 3, null)] },
     ]);
@@ -40,7 +40,7 @@
     ['a read of a store that was rolled back', { revision: 2, rows: [row('a', 2, 'other')] }],
     ['an empty read of an old revision', { revision: 0, rows: [] }],
   ])('does not revert after %s', async (_, late) => {
-    const configuration = configurationReading([{ revision: 5, rows: [row('a', 5)] }, late]);
+    const configuration = configurationWithAnswers([{ revision: 5, rows: [row('a', 5)] }, late]);
     await configuration.poll();
     await configuration.poll();
     expect(configuration.revision).toBe(5);
@@ -51,7 +51,7 @@
     ['a read of a lagging replica', { revision: 2, rows: [row('a', 1)] }],
     ['a late answer that includes a newer revision', { revision: 6, rows: [row('a', 1), row('b', 6)] }],
   ])('does not restore a deleted row after %s', async (_, late) => {
-    const configuration = configurationReading([
+    const configuration = configurationWithAnswers([
       { revision: 2, rows: [row('a', 1)] },
       { revision: 5, rows: [row('a', 5, null)] },
       late,
@@ -61,13 +61,13 @@
   });
 
   it('deletes rows that are missing from a full snapshot of another entry', () => {
-    const configuration = configurationReading([]);
+    const configuration = configurationWithAnswers([]);
     configuration.applyChanges(0, [row('a', 1), row('b', 2)], 2);
-    const told: Row[] = [];
-    configuration.listen((rows) => told.push(...rows));
+    const notified: Row[] = [];
+    configuration.listen((rows) => notified.push(...rows));
     configuration.applyChanges(0, [row('b', 2), row('c', 5)], 5);
     expect(configuration.rows('resources').map(({ key }) => key)).toEqual(['b', 'c']);
-    expect(told).toContainEqual(row('a', 5, null));
+    expect(notified).toContainEqual(row('a', 5, null));
   });
 
   it.each([
@@ -78,7 +78,7 @@
   ])(
     'returns the deletions since a revision, or undefined if they are not all known: %s',
     async (_, since, deleted) => {
-      const configuration = configurationReading([
+      const configuration = configurationWithAnswers([
         { revision: 4, rows: [row('a', 4)] },
         { revision: 5, rows: [row('b', 5)] },
         { revision: 6, rows: [row('a', 6, null)] },
@@ -89,7 +89,7 @@
   );
 
   it('keeps its rows while the store is down', async () => {
-    const configuration = configurationReading([{ revision: 5, rows: [row('a', 5)] }, 'down']);
+    const configuration = configurationWithAnswers([{ revision: 5, rows: [row('a', 5)] }, 'down']);
     await configuration.poll();
     await configuration.poll();
     expect(configuration.row('resources', 'a')).toBeDefined();
@@ -97,7 +97,7 @@
   });
 
   it('reads again at once only if another process reports a later revision', async () => {
-    const configuration = configurationReading([
+    const configuration = configurationWithAnswers([
       { revision: 5, rows: [] },
       { revision: 6, rows: [] },
     ]);
--- a/test/entry/entry-mesh.test.ts
+++ b/test/entry/entry-mesh.test.ts
@@ -114,8 +114,8 @@
 }
 
 /** Simulates a status from an agent homed at `entry`. */
-function tell(entry: TestEntry, told: AgentStatus): void {
-  entry.mesh.agentChanged(told);
+function reportStatus(entry: TestEntry, agentStatus: AgentStatus): void {
+  entry.mesh.agentChanged(agentStatus);
 }
 
 /** Whether an entry knows the agent as homed at `home`. */
@@ -132,14 +132,14 @@
 
   it('publishes an agent to the entries of all zones, but its load only within its zone', async () => {
     const { started } = await startZones();
-    tell(started[1], status('agent', 1));
+    reportStatus(started[1], status('agent', 1));
     await until(() => started.every((entry) => knows(entry, 'agent')), 'the agent known to all');
-    tell(started[1], status('agent', 2, { active: 3 }));
+    reportStatus(started[1], status('agent', 2, { active: 3 }));
     await until(() => started[0].directory.rows.get('agent')?.status.active === 3, 'its load');
     expect(started.slice(2).map(({ directory }) => directory.rows.get('agent')?.status.active)).toEqual([
       0, 0,
     ]);
-    tell(started[1], status('agent', 3, { active: 3, leaving: true }));
+    reportStatus(started[1], status('agent', 3, { active: 3, leaving: true }));
     await until(
       () => started.every(({ directory }) => directory.rows.get('agent')?.status.leaving),
       'it is leaving',
@@ -148,9 +148,9 @@
 
   it('publishes no load to other zones, where it would never be updated', async () => {
     const { started } = await startZones();
-    tell(started[1], status('agent', 1, { active: 4 }));
+    reportStatus(started[1], status('agent', 1, { active: 4 }));
     await until(() => started.every((entry) => knows(entry, 'agent')), 'the agent known to all');
-    tell(started[1], status('agent', 2, { active: 5, leaving: true }));
+    reportStatus(started[1], status('agent', 2, { active: 5, leaving: true }));
     await until(
       () => started.every(({ directory }) => directory.rows.get('agent')?.status.leaving),
       'it is leaving',
@@ -162,7 +162,7 @@
 
   it('removes a lost agent from all entries', async () => {
     const { started } = await startZones();
-    tell(started[1], status('agent', 1));
+    reportStatus(started[1], status('agent', 1));
     await until(() => started.every((entry) => knows(entry, 'agent')), 'the agent known to all');
     started[1].mesh.agentGone('agent');
     await until(() => started.every((entry) => !knows(entry, 'agent')), 'the agent gone from all');
@@ -170,11 +170,11 @@
 
   it('does not remove an agent that has meanwhile sent a status to another home', async () => {
     const { started } = await startZones();
-    tell(started[1], status('agent', 1));
+    reportStatus(started[1], status('agent', 1));
     await until(() => started.every((entry) => knows(entry, 'agent')), 'the agent known to all');
-    tell(started[0], status('agent', 2));
+    reportStatus(started[0], status('agent', 2));
     started[1].mesh.agentGone('agent');
-    tell(started[1], status('marker', 1));
+    reportStatus(started[1], status('marker', 1));
     await until(() => started.every((entry) => knows(entry, 'marker')), 'the marker, which follows the loss');
     // Updates from two homes arrive over different links, in either order.
     await until(() => started.every(isAgentAt(started[0])), 'the agent at its next home');
@@ -182,9 +182,9 @@
 
   it('never drops an agent, even briefly, that is known at another home when its former home loses it', async () => {
     const { started } = await startZones();
-    tell(started[1], status('agent', 1));
+    reportStatus(started[1], status('agent', 1));
     await until(() => started.every((entry) => knows(entry, 'agent')), 'the agent known to all');
-    tell(started[0], status('agent', 2));
+    reportStatus(started[0], status('agent', 2));
     await until(() => started.every(isAgentAt(started[0])), 'the agent at its next home');
     let losses = 0;
     for (const entry of started)
@@ -192,7 +192,7 @@
         if (!knows(entry, 'agent')) losses++;
       });
     started[1].mesh.agentGone('agent');
-    tell(started[1], status('marker', 1));
+    reportStatus(started[1], status('marker', 1));
     await until(() => started.every((entry) => knows(entry, 'marker')), 'the marker, which follows the loss');
     expect(losses).toBe(0);
   });
@@ -201,7 +201,7 @@
     const { started } = await startZones();
     await started[0].stop();
     await until(() => started[1].mesh.isFirstOfZone, 'the next entry as the first of its zone');
-    tell(started[1], status('agent', 1));
+    reportStatus(started[1], status('agent', 1));
     await until(
       () => knows(started[2], 'agent') && knows(started[3], 'agent'),
       'the agent in the other zone',
@@ -230,7 +230,7 @@
     const { all, started } = await startZones();
     store.changes = { revision: 7, rows: [{ table: 'resources', key: 'k', value: 1, revision: 7 }] };
     await started[1].configuration.poll();
-    tell(started[1], status('agent', 1));
+    reportStatus(started[1], status('agent', 1));
     await until(() => started.every((entry) => knows(entry, 'agent')), 'the agent known to all');
     store.down = true;
     await started[3].stop();
