--- a/src/entry/entry-mesh.ts
+++ b/src/entry/entry-mesh.ts
@@ -1,6 +1,6 @@
 /**
- * What entries tell one another, over the links of {@link MeshLinks}: who they are and which agents they are home to
- * ({@link Membership}), the configuration in force, and, inside a zone, loads, which change fast.
+ * State exchanged between entries over {@link MeshLinks}: the entries and the agents homed at each ({@link Membership}),
+ * the configuration, and the agents' loads. Loads change fast and are sent only within a zone.
  */
 
 import type { Row } from '../clients/table-service.js';
@@ -15,43 +15,42 @@
 import type { EntryDirectory } from './entry-directory.js';
 import { type MeshLink, MeshLinks } from './mesh-links.js';
 
-/** Time in which changes of agents homed here are gathered, in milliseconds. */
-const NEWS_DELAY = 100;
-/** Time between two messages with loads, in milliseconds. */
+/** Delay for which changes of agents homed here are batched, in milliseconds. */
+const UPDATE_DELAY = 100;
+/** Interval between load messages, in milliseconds. */
 const LOADS_INTERVAL = 2_000;
-/** Longest wait of news that nobody waits for; shorter than the time after which an entry reads the store itself. */
-const PATIENT_NEWS_INTERVAL = 2_000;
-/** Time between two digests of what is offered on a link, in milliseconds. */
+/** Maximum delay of non-urgent configuration changes (ms); shorter than the time after which an entry reads the store itself. */
+const DEFERRED_CHANGES_INTERVAL = 2_000;
+/** Interval between membership digests on a link, in milliseconds. */
 const DIGEST_INTERVAL = 4_000;
-/** Time after the start from which an entry goes by the zones that it hears of, in milliseconds. */
+/** Time after the start, in milliseconds, after which an entry no longer waits to hear from every configured zone. */
 const SETTLING_LIMIT = 15_000;
 
-/** What the mesh works with. */
 export interface EntryMeshComponents {
   context: ConnectionContext;
   directory: AgentDirectory;
   entries: EntryDirectory;
   configuration: Configuration;
-  /** What this entry says of itself. */
+  /** This entry's own information. */
   self: () => EntryInfo;
 }
 
-/** The mesh as one entry sees it. */
+/** One entry's participation in the mesh. */
 export class EntryMesh implements Startable {
-  /** Called when an entry came, changed or went. */
+  /** Called when an entry was added, changed or removed. */
   onChange: () => void = () => {};
   readonly #components: EntryMeshComponents;
   readonly #links: MeshLinks;
   readonly #membership: Membership;
   readonly #zones: Set<string>;
-  /** What was last published of each agent homed here. */
+  /** Serialized status last published for each agent homed here. */
   readonly #published = new Map<string, string>();
-  #newsTimer: NodeJS.Timeout | undefined;
-  readonly #toldLoads = new Map<string, string>();
-  readonly #heldBackNear = new HeldBackNews(PATIENT_NEWS_INTERVAL);
-  readonly #heldBackFar = new HeldBackNews(Number.POSITIVE_INFINITY);
+  #updateTimer: NodeJS.Timeout | undefined;
+  readonly #sentLoads = new Map<string, string>();
+  readonly #deferredNear = new HeldBackNews(DEFERRED_CHANGES_INTERVAL);
+  readonly #deferredFar = new HeldBackNews(Number.POSITIVE_INFINITY);
   readonly #startedAt = performance.now();
-  #loadsToldAt = 0;
+  #loadsSentAt = 0;
   #digestsSentAt = 0;
 
   constructor(configured: readonly ConfiguredEntry[], components: EntryMeshComponents) {
@@ -59,7 +58,7 @@
     const { address, zone } = components.self();
     this.#zones = new Set(configured.map((entry) => entry.zone));
     this.#links = new MeshLinks({ address, zone }, configured, components.context, {
-      onOpen: (link) => this.#greet(link),
+      onOpen: (link) => this.#sendInitialState(link),
       onMessage: (link, message) => this.#onMessage(link, message),
       onLost: (link) => this.#membership.linkLost(link.id, performance.now()),
       onReview: () => this.#review(),
@@ -69,15 +68,15 @@
       onAgentsChanged: (addresses) => this.#updateAgents(addresses),
       onEntriesChanged: () => this.#updateEntries(),
     });
-    components.configuration.onRead = (base, revision, rows) => this.#tellRead({ base, revision, rows });
+    components.configuration.onRead = (base, revision, rows) => this.#forwardRead({ base, revision, rows });
   }
 
-  /** True when this entry reads the store for its zone, and may take duties over. */
+  /** Whether this entry reads the store for its zone and may take over duties. */
   get isFirstOfZone(): boolean {
     return this.#links.isFirstOfZone;
   }
 
-  /** True once this entry hears of every zone, or has waited long for those that it does not hear of. */
+  /** Whether this entry has heard from every configured zone, or has stopped waiting for the missing ones. */
   get isSettled(): boolean {
     const own = this.#components.self().zone;
     const missing = [...this.#zones].filter((zone) => zone !== own && !this.#membership.isZoneOffered(zone));
@@ -89,54 +88,54 @@
   }
 
   stop(): Promise<void> {
-    clearTimeout(this.#newsTimer);
+    clearTimeout(this.#updateTimer);
     return this.#links.stop();
   }
 
-  /** Takes over a connection that another entry opened. */
+  /** Accepts a connection that another entry opened. */
   accept(connection: Parameters<MeshLinks['accept']>[0]): void {
     this.#links.accept(connection);
   }
 
-  /** Notes that an agent homed here has told something. */
+  /** Handles a status received from an agent homed here. */
   agentChanged(status: AgentStatus): void {
     const { id } = status.info;
-    const lasting = lastingPartOf(status);
-    if (this.#published.get(id) !== lasting) {
-      this.#published.set(id, lasting);
+    const published = publishedPartOf(status);
+    if (this.#published.get(id) !== published) {
+      this.#published.set(id, published);
       this.#membership.publish([withoutLoad(status)], []);
-      this.#sendNewsSoon();
+      this.#scheduleUpdate();
     }
     this.#components.directory.refresh(status);
   }
 
-  /** Notes that an agent homed here is gone. */
+  /** Handles the loss of an agent homed here. */
   agentGone(id: string): void {
     this.#published.delete(id);
-    this.#toldLoads.delete(id);
+    this.#sentLoads.delete(id);
     this.#membership.publish([], [id]);
-    this.#sendNewsSoon();
+    this.#scheduleUpdate();
   }
 
-  /** Tells the others at once of a change of this entry itself. */
+  /** Sends a change of this entry's own information to the other entries at once. */
   announceSelf(): void {
     this.#membership.publishSelf(this.#components.self());
     this.#membership.sendOwnNews();
   }
 
-  #sendNewsSoon(): void {
-    this.#newsTimer ??= setTimeout(() => {
-      this.#newsTimer = undefined;
+  #scheduleUpdate(): void {
+    this.#updateTimer ??= setTimeout(() => {
+      this.#updateTimer = undefined;
       this.#membership.sendOwnNews();
-    }, NEWS_DELAY);
+    }, UPDATE_DELAY);
   }
 
   #review(): void {
     const now = performance.now();
     this.#membership.expire(now);
     this.#links.closeRedundant((zone, link) => this.#membership.isZoneOffered(zone, link.id));
-    if (now - this.#loadsToldAt >= LOADS_INTERVAL) {
-      this.#loadsToldAt = now;
+    if (now - this.#loadsSentAt >= LOADS_INTERVAL) {
+      this.#loadsSentAt = now;
       this.#sendLoads();
     }
     if (now - this.#digestsSentAt >= DIGEST_INTERVAL) {
@@ -145,12 +144,12 @@
     }
   }
 
-  /** Loads that have changed: what an entry sent there itself it knows at once. */
+  /** Sends the loads that have changed to the zone; each entry already counts the requests that it sent itself. */
   #sendLoads(): void {
     const changed = this.#ownLoads().filter(({ id, active, held }) => {
       const load = `${active} ${held.join()}`;
-      if ((this.#toldLoads.get(id) ?? '') === load) return false;
-      this.#toldLoads.set(id, load);
+      if ((this.#sentLoads.get(id) ?? '') === load) return false;
+      this.#sentLoads.set(id, load);
       return true;
     });
     if (changed.length > 0) this.#links.sendNear({ type: 'agentLoads', loads: changed });
@@ -163,7 +162,7 @@
     });
   }
 
-  #greet(link: MeshLink): void {
+  #sendInitialState(link: MeshLink): void {
     const { configuration } = this.#components;
     this.#membership.linkOpened(link.id, link.near ? 'near' : 'far');
     if (link.near) link.connection.send({ type: 'agentLoads', loads: this.#ownLoads() });
@@ -189,11 +188,11 @@
     }
   }
 
-  /** Tells what this entry read. Other zones read for themselves, so renewals of leases are never told there. */
-  #tellRead(news: ConfigurationNews): void {
+  /** Forwards changes read from the store. Other zones read it themselves, so lease renewals alone are not sent there. */
+  #forwardRead(news: ConfigurationNews): void {
     const now = performance.now();
-    const near = this.#heldBackNear.add(news, now);
-    const far = this.#heldBackFar.add(news, now);
+    const near = this.#deferredNear.add(news, now);
+    const far = this.#deferredFar.add(news, now);
     if (near !== undefined) this.#links.sendNear({ type: 'configuration', ...near });
     if (far !== undefined) this.#links.sendFar({ type: 'configuration', ...far });
   }
@@ -203,9 +202,9 @@
     const { base, revision, rows } = message;
     const known = configuration.revision;
     if (revision <= known) return;
-    // With a gap in between, the rows alone do not make the revision: the store is read.
-    if (base > known) return configuration.hint(revision);
-    configuration.take(base, rows, revision);
+    // Revisions are missing in between, so these rows do not give a complete state: read the store instead.
+    if (base > known) return configuration.pollIfBehind(revision);
+    configuration.applyChanges(base, rows, revision);
     const news: Message = { type: 'configuration', base: known, revision, rows };
     if (link.near) this.#links.sendFar(news);
     else this.#links.sendNear(news);
@@ -222,13 +221,13 @@
   }
 }
 
-/** A load that is told once and never again would stand for ever: entries elsewhere go by what they send themselves. */
+/** Removes the load, since other zones get no later updates of it and would keep it forever; they count their own requests. */
 function withoutLoad(status: AgentStatus): AgentStatus {
   return { ...status, active: 0 };
 }
 
-/** What of a status concerns all entries: not its load, and not how far a transfer is. */
-function lastingPartOf({ info, leaving, pool, capacity, versions, ownership }: AgentStatus): string {
+/** The part of a status that is published to all entries: without the load and the progress of transfers. */
+function publishedPartOf({ info, leaving, pool, capacity, versions, ownership }: AgentStatus): string {
   const ready = versions.map(({ version, ready, problem }) => [version, ready, problem]);
   return JSON.stringify([
     info,
--- a/src/entry/entry.ts
+++ b/src/entry/entry.ts
@@ -1,6 +1,6 @@
 /**
- * The role of an entry machine: callers' and operators' interfaces, the home of agents, the coordination of
- * bursts, and any duty whose lease this entry holds.
+ * The entry process: HTTP APIs for callers and operators, home of agents, coordinator of bursts, and worker for
+ * the duties whose lease it holds.
  */
 
 import { randomBytes } from 'node:crypto';
@@ -30,7 +30,7 @@
 import { DEFAULT_TENANT_LIMITS } from '../systems/admission.js';
 import { Admission } from './admission.js';
 import { AgentDirectory } from './agent-directory.js';
-import { BurstDuty } from './burst-duty.js';
+import { BurstCoordinators } from './burst-coordinators.js';
 import { CallLinks } from './call-links.js';
 import { CallRouter } from './call-router.js';
 import { CallerApi } from './caller-api.js';
@@ -40,12 +40,12 @@
 import { EntryMesh } from './entry-mesh.js';
 import { HomeAgents } from './home-agents.js';
 import { MachineWatch } from './machine-watch.js';
-import { OnceRouter } from './once-router.js';
+import { NonRepeatableRouter } from './non-repeatable-router.js';
 import { OperationsDuty } from './operations-duty.js';
 import { OwnersDuty } from './owners-duty.js';
 import { PlacementDuty } from './placement-duty.js';
 
-/** What an entry is composed of. */
+/** The components of an entry. */
 export interface EntryComponents {
   settings: EntrySettings;
   /** Identity of this process. */
@@ -62,16 +62,15 @@
   configuration: Configuration;
   directory: AgentDirectory;
   entries: EntryDirectory;
-  bursts: BurstDuty;
+  bursts: BurstCoordinators;
   entry: Entry;
 }
 
-/** Creates an entry from its settings. */
 export function createEntry(settings: EntrySettings): Entry {
   return composeEntry(settings).entry;
 }
 
-/** The parts of an entry; those that are not asked for are made when they are. */
+/** Creates the container of an entry's components; each is created when first accessed. */
 export function composeEntry(settings: EntrySettings): EntryComponents {
   const identity = `${settings.listen.peers}#${randomBytes(4).toString('hex')}`;
   const container = createContainer<EntryComponents>({ injectionMode: InjectionMode.PROXY, strict: true });
@@ -93,24 +92,24 @@
     directory: asFunction(() => new AgentDirectory()).singleton(),
     entries: asFunction(() => new EntryDirectory()).singleton(),
     bursts: asFunction(
-      ({ timeline }: EntryComponents) => new BurstDuty(timeline, settings.bursts.strategy),
+      ({ timeline }: EntryComponents) => new BurstCoordinators(timeline, settings.bursts.strategy),
     ).singleton(),
     entry: asFunction((components: EntryComponents) => new Entry(components)).singleton(),
   });
   return container.cradle;
 }
 
-/** A running entry. */
+/** An entry process. */
 export class Entry implements Startable {
   readonly #components: EntryComponents;
-  /** What does not change of this entry's word on itself. */
+  /** The constant part of this entry's own information. */
   readonly #self: Omit<EntryInfo, 'leaving' | 'sequence'>;
   readonly #context: ConnectionContext;
   readonly #mesh: EntryMesh;
   readonly #home: HomeAgents;
   readonly #links: CallLinks;
   readonly #router: CallRouter;
-  readonly #onceRouter: OnceRouter;
+  readonly #nonRepeatableRouter: NonRepeatableRouter;
   readonly #admission: Admission;
   readonly #callers: CallerApi;
   readonly #lease: DutyLease;
@@ -147,11 +146,11 @@
     this.#admission = new Admission(settings.calls, (tenant) => {
       return configuration.tenant(tenant)?.spec.limits ?? DEFAULT_TENANT_LIMITS;
     });
-    this.#onceRouter = new OnceRouter({ configuration, directory, links: this.#links });
+    this.#nonRepeatableRouter = new NonRepeatableRouter({ configuration, directory, links: this.#links });
     this.#callers = new CallerApi({
       configuration,
       router: this.#router,
-      onceRouter: this.#onceRouter,
+      nonRepeatableRouter: this.#nonRepeatableRouter,
       self,
       entries: () => [this.info(), ...entries.rows.values()],
       addressLifetimeSeconds: settings.discovery.addressLifetimeSeconds,
@@ -171,7 +170,7 @@
     const owners = new OwnersDuty({ configuration, directory, lease, machines });
     const operations = new OperationsDuty(configuration, lease);
     lease.onHeld = async () => {
-      // Machines that are not heard of yet must not be taken for gone.
+      // Until every zone has been heard from, machines that are merely unknown would be treated as gone.
       if (!this.#mesh.isSettled) return;
       await placement.review();
       await owners.review();
@@ -204,7 +203,7 @@
     await this.#links.stop();
   }
 
-  /** Withdraws from discovery; callers that hold the address are still served. */
+  /** Withdraws the entry from discovery. Callers that already hold its address are still served. */
   drain(): void {
     if (this.#leaving) return;
     this.#leaving = true;
@@ -212,15 +211,15 @@
     this.#components.timeline.record({ type: 'processLeaving' });
     this.#components.log.info('entry leaves');
     this.#mesh.announceSelf();
-    this.#home.tellAll();
+    this.#home.notifyAll();
   }
 
-  /** Requests in progress. */
+  /** Number of requests in progress. */
   get active(): number {
     return this.#callers.inProgress;
   }
 
-  /** What this entry says of itself. */
+  /** This entry's own information, as sent to entries and agents. */
   info(): EntryInfo {
     return { ...this.#self, leaving: this.#leaving, sequence: this.#sequence };
   }
@@ -288,7 +287,7 @@
         name: 'once_calls',
         help: 'Calls that may not be repeated, by outcome',
         label: 'outcome',
-        read: () => ({ ...this.#onceRouter.counters }),
+        read: () => ({ ...this.#nonRepeatableRouter.counters }),
       },
       {
         name: 'admission',
--- a/src/entry/home-agents.ts
+++ b/src/entry/home-agents.ts
@@ -1,4 +1,4 @@
-/** The agents that have chosen this entry as their home: their news in, their assignments out. */
+/** The agents that chose this entry as their home: receives their statuses and sends them their assignments. */
 
 import { manifestKey, type ObjectStore } from '../clients/object-store.js';
 import type { Manifest } from '../model/manifest.js';
@@ -10,50 +10,49 @@
 import { lowestOfEachZone } from '../systems/entry-topology.js';
 import type { OwnersRow } from '../systems/ownership.js';
 import type { AgentDirectory } from './agent-directory.js';
-import type { BurstDuty } from './burst-duty.js';
+import type { BurstCoordinators } from './burst-coordinators.js';
 import { type Configuration, TABLES } from './configuration.js';
 import type { EntryDirectory } from './entry-directory.js';
 import type { EntryMesh } from './entry-mesh.js';
 
 const OBJECT_TIMEOUT = 5_000;
-/** Manifests kept: one of a large model takes about a megabyte, and several versions come a day. */
+/** Number of cached manifests: one of a large model takes about 1 MB, and several versions are released a day. */
 const MANIFESTS_KEPT = 4;
-/** Time in which news of entries are gathered before agents are told, in milliseconds. */
-const ENTRIES_DELAY = 250;
+/** Delay for which changes of entries are batched before agents are notified, in milliseconds. */
+const ENTRIES_UPDATE_DELAY = 250;
 
-/** Tables of which agents are told. */
-const TOLD_TABLES: ReadonlySet<string> = new Set([TABLES.resources, TABLES.placements, TABLES.owners]);
+/** Tables whose changes affect the messages to agents. */
+const ASSIGNMENT_TABLES: ReadonlySet<string> = new Set([TABLES.resources, TABLES.placements, TABLES.owners]);
 
-/** What the home works with. */
 export interface HomeAgentsComponents {
   self: () => EntryInfo;
   configuration: Configuration;
   directory: AgentDirectory;
   entries: EntryDirectory;
   mesh: EntryMesh;
-  bursts: BurstDuty;
+  bursts: BurstCoordinators;
   objects: ObjectStore;
   timeline: Timeline;
 }
 
-/** The home that one entry gives to agents. */
+/** The agents homed at one entry. */
 export class HomeAgents {
   readonly #components: HomeAgentsComponents;
   readonly #connections = new Map<string, Connection>();
-  /** What each agent was last told, so that it is told only of changes. */
-  readonly #told = new Map<string, string>();
-  /** Agents whose owners' list was read from the store after they connected: only that may be told to them. */
-  readonly #vouched = new Set<string>();
-  /** What agents are told of entries, and the same as text; undefined after a change. */
+  /** Serialized message last sent to each agent, so that only changes are sent. */
+  readonly #lastSent = new Map<string, string>();
+  /** Agents for which the owners' list was read from the store after they connected; no older list may be sent to them. */
+  readonly #withFreshOwners = new Set<string>();
+  /** Cached entry list for agents and its serialized form; undefined after a change. */
   #entries: { infos: EntryInfo[]; text: string } | undefined;
   #entriesTimer: NodeJS.Timeout | undefined;
-  /** The manifests asked for last, by version; they never change. */
+  /** The latest requested manifests by version; a version's manifest never changes. */
   readonly #manifests = new Map<string, Promise<Result<Manifest, string>>>();
 
   constructor(components: HomeAgentsComponents) {
     this.#components = components;
     components.configuration.listen((rows) => {
-      if (rows.some(({ table }) => TOLD_TABLES.has(table))) this.tellAll();
+      if (rows.some(({ table }) => ASSIGNMENT_TABLES.has(table))) this.notifyAll();
     });
     components.mesh.onChange = () => this.#onEntriesChanged();
   }
@@ -63,23 +62,23 @@
     return this.#connections.size;
   }
 
-  /** Takes over a connection that an agent opened, as its home or to join a burst. */
+  /** Accepts a connection that an agent opened, to use this entry as its home or to join a burst. */
   accept(connection: Connection): void {
     connection.handleMessages((message) => this.#onMessage(connection, message));
     connection.onClose = () => this.#lost(connection);
   }
 
-  /** Tells every agent homed here what is news to it. */
-  tellAll(): void {
+  /** Sends every agent homed here its assignments if they have changed. */
+  notifyAll(): void {
     this.#entries = undefined;
-    for (const id of this.#connections.keys()) this.#tell(id);
+    for (const id of this.#connections.keys()) this.#sendAssignments(id);
   }
 
   #onEntriesChanged(): void {
     this.#entriesTimer ??= setTimeout(() => {
       this.#entriesTimer = undefined;
-      this.tellAll();
-    }, ENTRIES_DELAY);
+      this.notifyAll();
+    }, ENTRIES_UPDATE_DELAY);
   }
 
   #onMessage(connection: Connection, message: Message): void {
@@ -93,40 +92,41 @@
     const { id } = connection.remote.peer;
     if (this.#connections.get(id) !== connection) {
       this.#connections.set(id, connection);
-      this.#told.delete(id);
-      this.#vouched.delete(id);
+      this.#lastSent.delete(id);
+      this.#withFreshOwners.delete(id);
       timeline.record({ type: 'agentConnected', agent: id });
     }
     mesh.agentChanged(message.status);
-    if (!this.#told.has(id)) this.#tell(id);
-    if (message.status.backEnd === 'service' && !this.#vouched.has(id)) void this.#vouch(id, connection);
+    if (!this.#lastSent.has(id)) this.#sendAssignments(id);
+    if (message.status.backEnd === 'service' && !this.#withFreshOwners.has(id))
+      void this.#refreshOwners(id, connection);
   }
 
-  /** Reads the store once for a connected agent; while the store is down, its next status tries again. */
-  async #vouch(id: string, connection: Connection): Promise<void> {
+  /** Reads the store once after an agent connected. If the read fails, the agent's next status triggers another. */
+  async #refreshOwners(id: string, connection: Connection): Promise<void> {
     const read = await this.#components.configuration.poll();
     if (!read || this.#connections.get(id) !== connection) return;
-    this.#vouched.add(id);
-    this.#tell(id);
+    this.#withFreshOwners.add(id);
+    this.#sendAssignments(id);
   }
 
-  #tell(id: string): void {
+  #sendAssignments(id: string): void {
     const connection = this.#connections.get(id);
     const { configuration } = this.#components;
     const row = this.#components.directory.rows.get(id);
     if (connection === undefined || row === undefined || configuration.revision === 0) return;
     const assignments = this.#assignmentsOf(row.status.info);
-    this.#entries ??= this.#entriesFor();
+    this.#entries ??= this.#entriesForAgents();
     const { infos: entries, text } = this.#entries;
-    const owners = this.#vouched.has(id) ? this.#ownersOf(row.status.pool) : undefined;
+    const owners = this.#withFreshOwners.has(id) ? this.#ownersOf(row.status.pool) : undefined;
     const news = `${JSON.stringify([assignments, owners])}${text}`;
-    if (this.#told.get(id) === news) return;
-    this.#told.set(id, news);
+    if (this.#lastSent.get(id) === news) return;
+    this.#lastSent.set(id, news);
     connection.send({ type: 'assignments', revision: configuration.revision, assignments, entries, owners });
   }
 
-  /** The entries of this zone, for homes, and the lowest entry of each zone, for the coordination of bursts. */
-  #entriesFor(): { infos: EntryInfo[]; text: string } {
+  /** The entries of this zone, as possible homes, and the lowest entry of each zone, as possible burst coordinators. */
+  #entriesForAgents(): { infos: EntryInfo[]; text: string } {
     const { self, entries } = this.#components;
     const own = self();
     const known = [own, ...entries.rows.values()];
@@ -139,7 +139,7 @@
     return this.#components.configuration.row(TABLES.owners, service)?.value as OwnersRow | undefined;
   }
 
-  /** What an agent is to do; never in a place that the declaration does not allow, whatever an older placement says. */
+  /** An agent's assignments. An outdated placement never yields one in a place that the deployment does not allow. */
   #assignmentsOf({ address, place }: PeerInfo): Assignment[] {
     const { configuration } = this.#components;
     return configuration.deployments().flatMap(({ value, revision }) => {
@@ -147,7 +147,7 @@
       if (placement === undefined || !placement.machines.includes(address)) return [];
       const { tenant, model, places, priority, objective } = value.spec;
       if (!places.includes(place)) return [];
-      // Until the placement follows a new declaration, the version placed earlier stays assigned.
+      // Until a new placement is decided for a changed deployment, the version placed earlier stays assigned.
       const { version } = placement;
       const deployment = value.metadata.name;
       return [{ deployment, tenant, model, version, places, priority, objective, revision }];
@@ -188,8 +188,8 @@
     bursts.lost(connection);
     if (this.#connections.get(id) !== connection) return;
     this.#connections.delete(id);
-    this.#told.delete(id);
-    this.#vouched.delete(id);
+    this.#lastSent.delete(id);
+    this.#withFreshOwners.delete(id);
     mesh.agentGone(id);
     timeline.record({ type: 'agentLost', agent: id });
   }
--- a/src/entry/once-router.ts
+++ b/src/entry/non-repeatable-router.ts
@@ -1,6 +1,6 @@
 /**
- * Brings calls that may not be repeated to the owner of their key, and to nobody else. The entry never hands
- * such a call over a second time; where it cannot prove that the key has not run, it says so.
+ * Routes non-repeatable calls, each only to the agent that owns its idempotency key. A call that an owner may have
+ * accepted is never sent again; if the entry cannot prove that the key has not run, the error says so.
  */
 import { randomUUID } from 'node:crypto';
 import { setTimeout as pause } from 'node:timers/promises';
@@ -12,17 +12,17 @@
 import { type Configuration, TABLES } from './configuration.js';
 import type { CallError } from './errors.js';
 
-/** Time for which an entry waits for a key's owner to be settled, in milliseconds. */
+/** Maximum wait for a key to have a settled owner, in milliseconds. */
 const OWNER_WAIT = 1_500;
 const OWNER_CHECK_INTERVAL = 25;
-/** Time after which a caller may come back when the owner cannot be reached, in milliseconds. */
+/** Retry delay returned to callers when the owner cannot be reached, in milliseconds. */
 const OWNER_RETRY_AFTER = 1_000;
-/** By this much, and this share, an owner must have been one for longer than the caller has tried. */
+/** Absolute margin (ms) and relative margin by which the ownership must be older than the caller's first attempt. */
 const CLOCK_MARGIN = 100;
 const CLOCK_DRIFT_SHARE = 0.01;
 
-/** A call with a key. */
-export interface OnceCallInput {
+/** A call with an idempotency key. */
+export interface NonRepeatableCall {
   service: string;
   key: string;
   /** Number of the caller's attempt, from 1. */
@@ -35,44 +35,47 @@
   path: string;
   contentType: string;
   body: Buffer;
-  /** Time for the whole answer, in milliseconds. */
+  /** Time limit for the complete answer, in milliseconds. */
   deadline: number;
 }
 
-/** Counts of one router, for metrics. */
-export interface OnceRouterCounters {
+/** Counts of non-repeatable calls, for metrics. */
+export interface NonRepeatableRouterCounters {
   routed: number;
   answered: number;
   refusedNotRun: number;
   unknown: number;
 }
 
-/** What the router works with. */
-export interface OnceRouterComponents {
+export interface NonRepeatableRouterComponents {
   configuration: Configuration;
   directory: AgentDirectory;
   links: CallLinks;
 }
 
-/** The owner of a key and the list by which it is. */
+/** The agent that owns a key, and the epoch of the owners' list that says so. */
 interface Owner {
   row: AgentRow;
   epoch: number;
 }
 
-/** The router of one entry. */
-export class OnceRouter {
-  readonly counters: OnceRouterCounters = { routed: 0, answered: 0, refusedNotRun: 0, unknown: 0 };
-  readonly #components: OnceRouterComponents;
+/** Routes non-repeatable calls to the owners of their keys. */
+export class NonRepeatableRouter {
+  readonly counters: NonRepeatableRouterCounters = { routed: 0, answered: 0, refusedNotRun: 0, unknown: 0 };
+  readonly #components: NonRepeatableRouterComponents;
 
-  constructor(components: OnceRouterComponents) {
+  constructor(components: NonRepeatableRouterComponents) {
     this.#components = components;
   }
 
-  /** Routes a call; returns once the whole answer has gone to `sink`, or what is known of the key. */
-  async route(call: OnceCallInput, sink: AnswerSink, signal: AbortSignal): Promise<Result<void, CallError>> {
+  /** Routes a call; resolves when the complete answer has been passed to `sink`, or with what is known about the key. */
+  async route(
+    call: NonRepeatableCall,
+    sink: AnswerSink,
+    signal: AbortSignal,
+  ): Promise<Result<void, CallError>> {
     this.counters.routed++;
-    const outcome = await this.#tryUntilSettled(call, sink, signal);
+    const outcome = await this.#askOwnerUntilSettled(call, sink, signal);
     if (outcome.type === 'answered') {
       this.counters.answered++;
       return success(undefined);
@@ -83,9 +86,9 @@
     return failure(error);
   }
 
-  /** Asks the owner; while the owner is not settled, asks again. Only refusals as not the owner are repeated. */
-  async #tryUntilSettled(
-    call: OnceCallInput,
+  /** Sends the call to the key's owner. Repeats only if the owner could not be reached or refused as not being the owner. */
+  async #askOwnerUntilSettled(
+    call: NonRepeatableCall,
     sink: AnswerSink,
     signal: AbortSignal,
   ): Promise<AttemptOutcome> {
@@ -96,9 +99,9 @@
       const owner = this.#ownerOf(call);
       if (owner !== undefined) {
         last = await this.#attempt(call, callId, attempt, owner, sink, signal);
-        const mayAskAgain =
+        const mayRetry =
           last.type === 'refused' && (last.reason === 'notOwner' || last.reason === 'unreachable');
-        if (!mayAskAgain) return last;
+        if (!mayRetry) return last;
       }
       await pause(OWNER_CHECK_INTERVAL);
     }
@@ -106,14 +109,14 @@
   }
 
   async #attempt(
-    call: OnceCallInput,
+    call: NonRepeatableCall,
     callId: string,
     attempt: number,
     owner: Owner,
     sink: AnswerSink,
     signal: AbortSignal,
   ): Promise<AttemptOutcome> {
-    const link = await this.#components.links.to(owner.row.status.info);
+    const link = await this.#components.links.getLink(owner.row.status.info);
     if (!link.ok) return unreachable(call);
     const { method, path, contentType, body, key, deadline, receivedAt } = call;
     const timeLeft = Math.ceil(deadline - (performance.now() - receivedAt));
@@ -136,8 +139,8 @@
     return attemptCall(link.value, message, sink, signal);
   }
 
-  /** The process that owns the call's key under the list in force here, if it follows that list. */
-  #ownerOf(call: OnceCallInput): Owner | undefined {
+  /** The agent that owns the call's key under the owners' list known here, if the agent has adopted the same epoch. */
+  #ownerOf(call: NonRepeatableCall): Owner | undefined {
     const { configuration, directory } = this.#components;
     const owners = configuration.row(TABLES.owners, call.service)?.value as OwnersRow | undefined;
     const address = owners === undefined ? undefined : ownerOf(call.key, owners.owners);
@@ -150,11 +153,11 @@
   }
 
   /**
-   * Whether the owner has been the only one that could take the key since before the caller's first attempt.
-   * The owner's time is a lower bound: what it said, and the time since that came here. What happens to the
-   * message from now on does not matter, since the connection leads to that process alone.
+   * Whether the owner has been the only agent that could accept the key since before the caller's first attempt.
+   * The time of ownership is a lower bound: what the agent reported plus the time since the report arrived here.
+   * Later delays of the message do not matter, since the connection leads only to that process.
    */
-  #isFresh(call: OnceCallInput, { row }: Owner): boolean {
+  #isFresh(call: NonRepeatableCall, { row }: Owner): boolean {
     const now = performance.now();
     const ownedFor = (row.status.ownership?.heldFor ?? 0) + (now - row.receivedAt);
     const triedFor = call.elapsed + (now - call.receivedAt);
@@ -162,8 +165,8 @@
   }
 }
 
-/** A first attempt that nobody was asked about has not run; of a later one this entry knows nothing. */
-function unreachable(call: OnceCallInput): AttemptOutcome {
+/** A first attempt that was sent to no agent has not run; about an earlier attempt elsewhere this entry knows nothing. */
+function unreachable(call: NonRepeatableCall): AttemptOutcome {
   return {
     type: 'refused',
     reason: 'unreachable',
--- a/test/cluster/cluster.test.ts
+++ b/test/cluster/cluster.test.ts
@@ -24,8 +24,8 @@
   return { place, region: place, zone: `${place}-a` };
 }
 
-/** Runs a command of the command line; returns its exit code and what it printed. */
-async function thistleway(...commandLine: string[]): Promise<{ code: number; output: string }> {
+/** Runs the command-line tool; returns its exit code and output. */
+async function runCommand(...commandLine: string[]): Promise<{ code: number; output: string }> {
   try {
     const { stdout, stderr } = await promisify(execFile)(process.execPath, [BINARY, ...commandLine]);
     return { code: 0, output: stdout + stderr };
@@ -97,10 +97,10 @@
   rmSync(folder, { recursive: true, force: true });
 });
 
-describe('a system of separate processes', () => {
-  it('brings a declared version to its machines, and serves it', async () => {
+describe('a cluster of separate processes', () => {
+  it('distributes a declared version to its machines and serves it', async () => {
     const file = declare('model', cluster.versions[0].version);
-    const applied = await thistleway('apply', '--entry', cluster.entry.callers, '-f', file, '--wait');
+    const applied = await runCommand('apply', '--entry', cluster.entry.callers, '-f', file, '--wait');
     expect(applied).toMatchObject({ code: 0 });
     const caller = new Caller(
       cluster.entries.map((entry) => entry.callers),
@@ -111,17 +111,17 @@
     expect((await cluster.platformAudit()).originBytes).toBeGreaterThanOrEqual(MODEL_BYTES);
   });
 
-  it('tells what would change, and who was overtaken', async () => {
+  it('shows the difference that an apply would make, and none after it', async () => {
     const file = declare('model', cluster.versions[0].version, { priority: 7 });
     const entry = ['--entry', cluster.entry.callers];
-    const diff = await thistleway('diff', ...entry, '-f', file);
+    const diff = await runCommand('diff', ...entry, '-f', file);
     expect(diff.code).toBe(1);
     expect(diff.output).toContain('spec.priority: 0 -> 7');
-    expect((await thistleway('apply', ...entry, '-f', file)).code).toBe(0);
-    expect((await thistleway('diff', ...entry, '-f', file)).code).toBe(0);
+    expect((await runCommand('apply', ...entry, '-f', file)).code).toBe(0);
+    expect((await runCommand('diff', ...entry, '-f', file)).code).toBe(0);
   });
 
-  it('settles an apply whose answer the store lost, once and for all', async () => {
+  it('resolves an apply whose answer the store lost to a final outcome', async () => {
     const apply = (operationId: string) => {
       const resource = {
         apiVersion: 'thistleway/v1',
@@ -138,7 +138,7 @@
     };
     let lost: Response;
     do {
-      // The lease's renewals lose answers, too: until the apply itself has lost its own.
+      // The lost answer may be that of a lease renewal, so repeat until an apply has lost its own.
       await cluster.setFaults({ loseAnswers: 1 });
       lost = await apply(`lost-${operations++}`);
     } while (lost.status === 200);
@@ -154,7 +154,7 @@
     const spec = { tenant: TENANT, places: PLACES };
     const resource = { apiVersion: 'thistleway/v1', kind: 'Service', metadata: { name: 'control' }, spec };
     writeFileSync(file, JSON.stringify(resource));
-    await thistleway('apply', '--entry', cluster.entry.callers, '-f', file);
+    await runCommand('apply', '--entry', cluster.entry.callers, '-f', file);
     const call = (tenant: string) =>
       fetch(`http://${cluster.entry.callers}/services/control/start`, {
         method: 'POST',
@@ -169,7 +169,7 @@
     expect(await foreign.json()).toMatchObject({ error: { type: 'unknownService', notRun: true } });
   });
 
-  it('runs a call that may not be repeated once, whichever entry is asked, and gives the same answer again', async () => {
+  it('runs a non-repeatable call once, whichever entry receives it, and repeats the same answer', async () => {
     const answers: unknown[] = [];
     for (const [index, entry] of cluster.entries.entries()) {
       const answer = await callOnce(entry.callers, 'once-1', { attempt: index + 1, elapsed: 100 * index });
@@ -192,7 +192,7 @@
       { type: 'backEndFailed', notRun: false },
     ],
     [
-      'does not tell since when it is tried',
+      'does not state when its first attempt began',
       'once-3',
       2,
       undefined,
@@ -206,17 +206,17 @@
     expect(await runsOf(key)).toBe(0);
   });
 
-  /** What became of the requests that were sent during the change of version. */
+  /** Outcomes of the requests sent during the version change. */
   let duringChange: CallerCounts | undefined;
 
-  it('goes over to a new version without mixing versions', async () => {
+  it('switches to a new version without mixing versions', async () => {
     const caller = new Caller(
       cluster.entries.map((entry) => entry.callers),
       'model',
     );
     caller.start(20);
     const next = cluster.versions[1].version;
-    await thistleway('apply', '--entry', cluster.entry.callers, '-f', declare('model', next), '--wait');
+    await runCommand('apply', '--entry', cluster.entry.callers, '-f', declare('model', next), '--wait');
     await untilComplete(next);
     await caller.stop();
     duringChange = caller.counts;
@@ -231,26 +231,26 @@
     }, 'the old version unloaded');
   });
 
-  it('loses no request while it goes over to a new version', () => {
+  it('loses no request during the switch to a new version', () => {
     const { byVersion: _, ...outcomes } = duringChange!;
     const { byVersion: _none, ...nothingElse } = noCounts();
     expect(outcomes).toEqual({ ...nothingElse, sent: outcomes.sent, answeredWhole: outcomes.sent });
   });
 
-  it('takes no new work at an agent that drains, and cuts nothing off', async () => {
+  it('sends no new requests to a draining agent and truncates no answer', async () => {
     const leaving = cluster.agents[0];
     const caller = new Caller(
       cluster.entries.map((entry) => entry.callers),
       'model',
     );
     caller.start(20);
-    expect((await thistleway('drain', leaving.operators)).code).toBe(0);
+    expect((await runCommand('drain', leaving.operators)).code).toBe(0);
     await until(async () => {
       const agents = await getJson<{ agents: Array<{ info: { address: string }; leaving: boolean }> }>(
         `http://${cluster.entry.callers}/status`,
       );
       return agents?.agents.find(({ info }) => info.address === leaving.peers)?.leaving ?? false;
-    }, 'the news of the drain');
+    }, 'the entry to learn of the drain');
     const before = await runsAt(leaving.backEnd);
     for (let request = 0; request < 10; request++) await caller.call(4);
     await caller.stop();
@@ -258,7 +258,7 @@
     expect(caller.counts.answeredWhole).toBe(caller.counts.sent);
   });
 
-  it('serves and tells on while the platform is down, and places again when it is back', async () => {
+  it('serves requests and refuses an apply while the platform is down, and places again after it recovers', async () => {
     await cluster.setFaults({ tablesDown: true, objectsDown: true });
     const caller = new Caller(
       cluster.entries.map((entry) => entry.callers),
@@ -266,7 +266,7 @@
     );
     for (let request = 0; request < 6; request++) await caller.call(4);
     expect(caller.counts.answeredWhole).toBe(6);
-    const refused = await thistleway(
+    const refused = await runCommand(
       'apply',
       '--entry',
       cluster.entry.callers,
@@ -282,7 +282,7 @@
   });
 
   it('shows the events of all processes in causal order', async () => {
-    const shown = await thistleway('timeline', '--json', '--entry', cluster.entry.callers);
+    const shown = await runCommand('timeline', '--json', '--entry', cluster.entry.callers);
     const events = shown.output
       .split('\n')
       .filter((line) => line.startsWith('{'))
@@ -303,7 +303,7 @@
     expect(places).toEqual([...places].sort((a, b) => a - b));
   });
 
-  it('goes on when an entry dies', async () => {
+  it('continues to serve when an entry is killed', async () => {
     cluster.processes.kill('entry-1');
     const caller = new Caller(
       cluster.entries.map((entry) => entry.callers),
@@ -323,7 +323,7 @@
     [['entry'], '--config'],
     [['bench', 'burst', '--faults', 'unheard-of'], 'no fault "unheard-of"'],
   ])('refuses %j with exit code 2', async (commandLine, message) => {
-    const { code, output } = await thistleway(...commandLine);
+    const { code, output } = await runCommand(...commandLine);
     expect(code).toBe(2);
     expect(output).toContain(message);
   });
--- a/test/entry/caller-api.test.ts
+++ b/test/entry/caller-api.test.ts
@@ -7,7 +7,7 @@
 import type { CallRouter } from '../../src/entry/call-router.js';
 import { CallerApi } from '../../src/entry/caller-api.js';
 import { Configuration } from '../../src/entry/configuration.js';
-import type { OnceRouter } from '../../src/entry/once-router.js';
+import type { NonRepeatableRouter } from '../../src/entry/non-repeatable-router.js';
 import { HybridClock } from '../../src/model/hybrid-clock.js';
 import { seededRandom } from '../../src/model/random.js';
 import type { Startable } from '../../src/model/startable.js';
@@ -40,22 +40,22 @@
 
 let server: Startable | undefined;
 let api: CallerApi;
-/** Whether the entry has withdrawn from discovery. */
+/** Whether the entry under test is leaving. */
 let leaving = false;
 
 afterEach(async () => server?.stop());
 
-/** An entry's interface with nothing behind it, over a configuration of these rows. */
-async function serve(rows: Row[]): Promise<string> {
+/** Serves the caller API with a configuration of these rows and without routers. */
+async function startApi(rows: Row[]): Promise<string> {
   leaving = false;
   const timeline = new Timeline('e', new HybridClock());
   const configuration = new Configuration({ tables: {} as TableService, random: seededRandom(1), timeline });
-  if (rows.length > 0) configuration.take(0, rows, 1);
+  if (rows.length > 0) configuration.applyChanges(0, rows, 1);
   const limits = { inProgress: 1, queued: 0, queueTime: 0 };
   api = new CallerApi({
     configuration,
     router: {} as CallRouter,
-    onceRouter: {} as OnceRouter,
+    nonRepeatableRouter: {} as NonRepeatableRouter,
     self: () => ({ ...SELF, leaving }),
     entries: () => [SELF],
     addressLifetimeSeconds: 5,
@@ -70,11 +70,11 @@
   return `http://${address}`;
 }
 
-describe('the interface for callers', () => {
+describe('CallerApi', () => {
   it.each(['/v1/entries', '/v1/models', '/services/control/look'])(
-    'answers %s without a configuration by "not run" and when to come back, never by "not found"',
+    'answers %s without a configuration as not run with a retry delay, never as "not found"',
     async (path) => {
-      const answer = await fetch(`${await serve([])}${path}`, { headers: { 'x-thistleway-tenant': 't' } });
+      const answer = await fetch(`${await startApi([])}${path}`, { headers: { 'x-thistleway-tenant': 't' } });
       expect(answer.status).toBe(503);
       expect(answer.headers.get('retry-after')).toBe('1');
       expect(await answer.json()).toMatchObject({ error: { type: 'notConfigured', notRun: true } });
@@ -84,9 +84,9 @@
   it.each([
     ['a service that is not declared', 'other', 404, 'unknownService'],
     ['a service of another tenant', 'control', 404, 'unknownService', 'stranger'],
-    ['a service whose answers may not travel here', 'control', 421, 'placeNotAllowed'],
+    ['a service whose answers may not be sent through this place', 'control', 421, 'placeNotAllowed'],
   ])('refuses %s as not run', async (_, name, status, type, tenant = 't') => {
-    const base = await serve([SERVICE]);
+    const base = await startApi([SERVICE]);
     const answer = await fetch(`${base}/services/${name}/look`, {
       headers: { 'x-thistleway-tenant': tenant },
     });
@@ -94,24 +94,25 @@
     expect(await answer.json()).toMatchObject({ error: { type, notRun: true } });
   });
 
-  it('tells callers to leave their connections once the entry leaves', async () => {
-    const base = await serve([SERVICE]);
-    const look = () => fetch(`${base}/services/control/look`, { headers: { 'x-thistleway-tenant': 't' } });
-    expect((await look()).headers.get('connection')).toBe('keep-alive');
+  it('asks callers to close their connections once the entry is leaving', async () => {
+    const base = await startApi([SERVICE]);
+    const callService = () =>
+      fetch(`${base}/services/control/look`, { headers: { 'x-thistleway-tenant': 't' } });
+    expect((await callService()).headers.get('connection')).toBe('keep-alive');
     leaving = true;
-    expect((await look()).headers.get('connection')).toBe('close');
+    expect((await callService()).headers.get('connection')).toBe('close');
     expect((await fetch(`${base}/v1/entries`)).headers.get('connection')).toBe('close');
   });
 
-  it('counts a request as in progress from its arrival until its answer is out', async () => {
-    const base = await serve([SERVICE]);
+  it('counts a request as in progress from its arrival until the end of its answer', async () => {
+    const base = await startApi([SERVICE]);
     const sent = httpRequest(`${base}/services/control/look`, {
       method: 'POST',
       headers: { 'x-thistleway-tenant': 't', 'content-length': '4' },
     });
     const answered = new Promise((resolve) => sent.once('response', (answer) => resolve(answer.resume())));
     sent.write('bo');
-    await until(() => api.inProgress === 1, 'the request whose body is coming');
+    await until(() => api.inProgress === 1, 'the request whose body is being sent');
     sent.end('dy');
     await answered;
     await until(() => api.inProgress === 0, 'the end of its answer');
--- a/test/entry/configuration.test.ts
+++ b/test/entry/configuration.test.ts
@@ -6,8 +6,8 @@
 import { failure, success } from '../../src/model/result.js';
 import { Timeline } from '../../src/observability/timeline.js';
 
-/** A table service that answers each reading with the next of `answers`. */
-function configurationReading(answers: Array<Changes | 'down'>): Configuration {
+/** A configuration whose table service answers each read with the next of `answers`. */
+function configurationWithAnswers(answers: Array<Changes | 'down'>): Configuration {
   const down = { type: 'unavailable' as const, service: 'tableService', retryAfter: 1, reason: 'test' };
   const tables = {
     changes: async () => {
@@ -23,9 +23,9 @@
   return { table: 'resources', key, value, revision };
 }
 
-describe('the configuration of an entry', () => {
-  it('takes in what changed', async () => {
-    const configuration = configurationReading([
+describe('Configuration', () => {
+  it('applies changes and deletions', async () => {
+    const configuration = configurationWithAnswers([
       { revision: 2, rows: [row('a', 1), row('b', 2)] },
       { revision: 3, rows: [row('a', 3, null)] },
     ]);
@@ -36,11 +36,11 @@
   });
 
   it.each([
-    ['a lagging reading', { revision: 1, rows: [row('a', 1)] }],
-    ['a reading of a store that was rolled back', { revision: 2, rows: [row('a', 2, 'other')] }],
-    ['an empty reading of an old revision', { revision: 0, rows: [] }],
+    ['a read of a lagging replica', { revision: 1, rows: [row('a', 1)] }],
+    ['a read of a store that was rolled back', { revision: 2, rows: [row('a', 2, 'other')] }],
+    ['an empty read of an old revision', { revision: 0, rows: [] }],
   ])('does not revert after %s', async (_, late) => {
-    const configuration = configurationReading([{ revision: 5, rows: [row('a', 5)] }, late]);
+    const configuration = configurationWithAnswers([{ revision: 5, rows: [row('a', 5)] }, late]);
     await configuration.poll();
     await configuration.poll();
     expect(configuration.revision).toBe(5);
@@ -48,10 +48,10 @@
   });
 
   it.each([
-    ['a lagging reading', { revision: 2, rows: [row('a', 1)] }],
-    ['a late reading that goes further', { revision: 6, rows: [row('a', 1), row('b', 6)] }],
-  ])('brings nothing deleted back after %s', async (_, late) => {
-    const configuration = configurationReading([
+    ['a read of a lagging replica', { revision: 2, rows: [row('a', 1)] }],
+    ['a late answer that includes a newer revision', { revision: 6, rows: [row('a', 1), row('b', 6)] }],
+  ])('does not restore a deleted row after %s', async (_, late) => {
+    const configuration = configurationWithAnswers([
       { revision: 2, rows: [row('a', 1)] },
       { revision: 5, rows: [row('a', 5, null)] },
       late,
@@ -60,47 +60,50 @@
     expect(configuration.row('resources', 'a')).toBeUndefined();
   });
 
-  it('takes out what the whole configuration of another entry does not hold any more', () => {
-    const configuration = configurationReading([]);
-    configuration.take(0, [row('a', 1), row('b', 2)], 2);
-    const told: Row[] = [];
-    configuration.listen((rows) => told.push(...rows));
-    configuration.take(0, [row('b', 2), row('c', 5)], 5);
+  it('deletes rows that are missing from a full snapshot of another entry', () => {
+    const configuration = configurationWithAnswers([]);
+    configuration.applyChanges(0, [row('a', 1), row('b', 2)], 2);
+    const notified: Row[] = [];
+    configuration.listen((rows) => notified.push(...rows));
+    configuration.applyChanges(0, [row('b', 2), row('c', 5)], 5);
     expect(configuration.rows('resources').map(({ key }) => key)).toEqual(['b', 'c']);
-    expect(told).toContainEqual(row('a', 5, null));
+    expect(notified).toContainEqual(row('a', 5, null));
   });
 
   it.each([
     ['nothing is known yet', 0, undefined],
-    ['the watcher was last told before this entry knew anything', 3, undefined],
-    ['the watcher was told of all but a deletion', 5, ['a']],
-    ['the watcher was told of everything', 6, []],
-  ])('tells what was deleted since a revision, or that it cannot: %s', async (_, since, deleted) => {
-    const configuration = configurationReading([
-      { revision: 4, rows: [row('a', 4)] },
-      { revision: 5, rows: [row('b', 5)] },
-      { revision: 6, rows: [row('a', 6, null)] },
-    ]);
-    for (let reading = 0; reading < 3; reading++) await configuration.poll();
-    expect(configuration.deletedSince(since)?.map(({ key }) => key)).toEqual(deleted);
-  });
+    ['the watcher is older than the first revision known here', 3, undefined],
+    ['the watcher has missed only a deletion', 5, ['a']],
+    ['the watcher has missed nothing', 6, []],
+  ])(
+    'returns the deletions since a revision, or undefined if they are not all known: %s',
+    async (_, since, deleted) => {
+      const configuration = configurationWithAnswers([
+        { revision: 4, rows: [row('a', 4)] },
+        { revision: 5, rows: [row('b', 5)] },
+        { revision: 6, rows: [row('a', 6, null)] },
+      ]);
+      for (let reading = 0; reading < 3; reading++) await configuration.poll();
+      expect(configuration.deletedSince(since)?.map(({ key }) => key)).toEqual(deleted);
+    },
+  );
 
-  it('keeps what is in force while the store is down', async () => {
-    const configuration = configurationReading([{ revision: 5, rows: [row('a', 5)] }, 'down']);
+  it('keeps its rows while the store is down', async () => {
+    const configuration = configurationWithAnswers([{ revision: 5, rows: [row('a', 5)] }, 'down']);
     await configuration.poll();
     await configuration.poll();
     expect(configuration.row('resources', 'a')).toBeDefined();
     expect(configuration.counters).toEqual({ reads: 2, failedReads: 1 });
   });
 
-  it('reads again at once when another process knows a later revision, and only then', async () => {
-    const configuration = configurationReading([
+  it('reads again at once only if another process reports a later revision', async () => {
+    const configuration = configurationWithAnswers([
       { revision: 5, rows: [] },
       { revision: 6, rows: [] },
     ]);
     await configuration.poll();
-    configuration.hint(5);
-    configuration.hint(6);
+    configuration.pollIfBehind(5);
+    configuration.pollIfBehind(6);
     await configuration.poll();
     expect(configuration.revision).toBe(6);
     expect(configuration.counters.reads).toBeLessThanOrEqual(3);
--- a/test/entry/entry-mesh.test.ts
+++ b/test/entry/entry-mesh.test.ts
@@ -14,7 +14,7 @@
 import type { ConfiguredEntry } from '../../src/systems/entry-topology.js';
 import { peer, until } from '../support.js';
 
-/** A store that every test entry reads; each reading is counted. */
+/** The store that all test entries read; counts the reads. */
 const store = { down: false, reads: 0, changes: { revision: 1, rows: [] } as Changes };
 const tables = {
   changes: async () => {
@@ -84,7 +84,7 @@
   return entry;
 }
 
-/** Two zones of two entries each, in the order of their addresses inside each zone. */
+/** Starts two zones of two entries each, ordered by address within each zone. */
 async function startZones(): Promise<{ all: ConfiguredEntry[]; started: TestEntry[] }> {
   const addresses = [await freeAddress(), await freeAddress(), await freeAddress(), await freeAddress()];
   const [a, b, c, d] = addresses.sort();
@@ -113,44 +113,44 @@
   };
 }
 
-/** An agent homed at `entry` tells its status. */
-function tell(entry: TestEntry, told: AgentStatus): void {
-  entry.mesh.agentChanged(told);
+/** Simulates a status from an agent homed at `entry`. */
+function reportStatus(entry: TestEntry, agentStatus: AgentStatus): void {
+  entry.mesh.agentChanged(agentStatus);
 }
 
-/** Whether an entry knows the agent at this home. */
+/** Whether an entry knows the agent as homed at `home`. */
 const isAgentAt = (home: TestEntry) => (entry: TestEntry) =>
   entry.directory.rows.get('agent')?.home === home.id;
 
 const knows = (entry: TestEntry, id: string) => entry.directory.rows.has(id);
 
-describe('the mesh of entries', () => {
-  it('has one first entry a zone', async () => {
+describe('EntryMesh', () => {
+  it('has exactly one first entry per zone', async () => {
     const { started } = await startZones();
     expect(started.map(({ mesh }) => mesh.isFirstOfZone)).toEqual([true, false, true, false]);
   });
 
-  it('brings an agent to all entries of all zones, and its load to those of its zone only', async () => {
+  it('publishes an agent to the entries of all zones, but its load only within its zone', async () => {
     const { started } = await startZones();
-    tell(started[1], status('agent', 1));
+    reportStatus(started[1], status('agent', 1));
     await until(() => started.every((entry) => knows(entry, 'agent')), 'the agent known to all');
-    tell(started[1], status('agent', 2, { active: 3 }));
+    reportStatus(started[1], status('agent', 2, { active: 3 }));
     await until(() => started[0].directory.rows.get('agent')?.status.active === 3, 'its load');
     expect(started.slice(2).map(({ directory }) => directory.rows.get('agent')?.status.active)).toEqual([
       0, 0,
     ]);
-    tell(started[1], status('agent', 3, { active: 3, leaving: true }));
+    reportStatus(started[1], status('agent', 3, { active: 3, leaving: true }));
     await until(
       () => started.every(({ directory }) => directory.rows.get('agent')?.status.leaving),
       'it is leaving',
     );
   });
 
-  it('tells no load that would stand for ever in another zone', async () => {
+  it('publishes no load to other zones, where it would never be updated', async () => {
     const { started } = await startZones();
-    tell(started[1], status('agent', 1, { active: 4 }));
+    reportStatus(started[1], status('agent', 1, { active: 4 }));
     await until(() => started.every((entry) => knows(entry, 'agent')), 'the agent known to all');
-    tell(started[1], status('agent', 2, { active: 5, leaving: true }));
+    reportStatus(started[1], status('agent', 2, { active: 5, leaving: true }));
     await until(
       () => started.every(({ directory }) => directory.rows.get('agent')?.status.leaving),
       'it is leaving',
@@ -160,34 +160,31 @@
     ]);
   });
 
-  it('takes an agent that is gone out everywhere', async () => {
+  it('removes a lost agent from all entries', async () => {
     const { started } = await startZones();
-    tell(started[1], status('agent', 1));
+    reportStatus(started[1], status('agent', 1));
     await until(() => started.every((entry) => knows(entry, 'agent')), 'the agent known to all');
     started[1].mesh.agentGone('agent');
     await until(() => started.every((entry) => !knows(entry, 'agent')), 'the agent gone from all');
   });
 
-  it('does not take out an agent that has told something through another home meanwhile', async () => {
+  it('does not remove an agent that has meanwhile sent a status to another home', async () => {
     const { started } = await startZones();
-    tell(started[1], status('agent', 1));
+    reportStatus(started[1], status('agent', 1));
     await until(() => started.every((entry) => knows(entry, 'agent')), 'the agent known to all');
-    tell(started[0], status('agent', 2));
+    reportStatus(started[0], status('agent', 2));
     started[1].mesh.agentGone('agent');
-    tell(started[1], status('marker', 1));
-    await until(
-      () => started.every((entry) => knows(entry, 'marker')),
-      'the marker, after the news of the loss',
-    );
-    // News of two homes come over different links, in either order.
+    reportStatus(started[1], status('marker', 1));
+    await until(() => started.every((entry) => knows(entry, 'marker')), 'the marker, which follows the loss');
+    // Updates from two homes arrive over different links, in either order.
     await until(() => started.every(isAgentAt(started[0])), 'the agent at its next home');
   });
 
-  it('keeps an agent all the time that is known at another home when it is lost at the former one', async () => {
+  it('never drops an agent, even briefly, that is known at another home when its former home loses it', async () => {
     const { started } = await startZones();
-    tell(started[1], status('agent', 1));
+    reportStatus(started[1], status('agent', 1));
     await until(() => started.every((entry) => knows(entry, 'agent')), 'the agent known to all');
-    tell(started[0], status('agent', 2));
+    reportStatus(started[0], status('agent', 2));
     await until(() => started.every(isAgentAt(started[0])), 'the agent at its next home');
     let losses = 0;
     for (const entry of started)
@@ -195,19 +192,16 @@
         if (!knows(entry, 'agent')) losses++;
       });
     started[1].mesh.agentGone('agent');
-    tell(started[1], status('marker', 1));
-    await until(
-      () => started.every((entry) => knows(entry, 'marker')),
-      'the marker, after the news of the loss',
-    );
+    reportStatus(started[1], status('marker', 1));
+    await until(() => started.every((entry) => knows(entry, 'marker')), 'the marker, which follows the loss');
     expect(losses).toBe(0);
   });
 
-  it('goes on with other links when an entry dies', async () => {
+  it('replaces the links of an entry that stops', async () => {
     const { started } = await startZones();
     await started[0].stop();
     await until(() => started[1].mesh.isFirstOfZone, 'the next entry as the first of its zone');
-    tell(started[1], status('agent', 1));
+    reportStatus(started[1], status('agent', 1));
     await until(
       () => knows(started[2], 'agent') && knows(started[3], 'agent'),
       'the agent in the other zone',
@@ -218,7 +212,7 @@
     );
   });
 
-  it('brings rows that one entry read to all, without a reading of theirs', async () => {
+  it('distributes rows read by one entry to all entries without further reads', async () => {
     const { started } = await startZones();
     store.changes = { revision: 7, rows: [{ table: 'resources', key: 'k', value: 1, revision: 7 }] };
     await started[1].configuration.poll();
@@ -232,18 +226,18 @@
     expect(store.reads).toBe(1);
   });
 
-  it('gives a replaced entry the configuration in force and all agents while the store is down', async () => {
+  it('gives a restarted entry the configuration and all agents while the store is down', async () => {
     const { all, started } = await startZones();
     store.changes = { revision: 7, rows: [{ table: 'resources', key: 'k', value: 1, revision: 7 }] };
     await started[1].configuration.poll();
-    tell(started[1], status('agent', 1));
+    reportStatus(started[1], status('agent', 1));
     await until(() => started.every((entry) => knows(entry, 'agent')), 'the agent known to all');
     store.down = true;
     await started[3].stop();
     const replaced = await startEntry(all[3], all, '2');
     await until(
       () => replaced.configuration.revision === 7 && knows(replaced, 'agent'),
-      'all that the old one knew',
+      'the configuration and agent at the restarted entry',
     );
     expect(replaced.configuration.row('resources', 'k')).toBeDefined();
   });
