--- a/src/forwarding/back-end-connection.ts
+++ b/src/forwarding/back-end-connection.ts
@@ -56,7 +56,7 @@
     this.#client.on('connectionError', () => listener.onClosed(this));
   }
 
-  /** When the connection last became idle, in milliseconds of the steady clock. At that time it was still working. */
+  /** When the connection last became idle, in milliseconds of the monotonic clock. At that time it was still working. */
   get idleSince(): number {
     return this.#idleSince;
   }
--- a/src/forwarding/back-end-connections.ts
+++ b/src/forwarding/back-end-connections.ts
@@ -49,7 +49,7 @@
     return connection;
   }
 
-  /** Closes connections that have been idle since `time` or earlier, in milliseconds of the steady clock. */
+  /** Closes connections that have been idle since `time` or earlier, in milliseconds of the monotonic clock. */
   closeIdleSince(time: number): void {
     const suspect = this.#idle.filter(({ idleSince }) => idleSince <= time);
     this.#idle = this.#idle.filter(({ idleSince }) => idleSince > time);
--- a/src/forwarding/back-end-limits.ts
+++ b/src/forwarding/back-end-limits.ts
@@ -1,7 +1,7 @@
 /**
  * Tracks the rate limits that back ends name in their answers, per entry. A limit applies to one start of a back end. It is
  * lifted by an answer without a limit, if the request was sent after the limit was last named: answers can arrive out of
- * order. Times are in milliseconds of the steady clock.
+ * order. Times are in milliseconds of the monotonic clock.
  */
 import { type BackEndIdentity, isSameStart } from '../model/back-end-identity.js';
 import type { Log } from '../observability/log.js';
--- a/src/forwarding/back-end-selector.ts
+++ b/src/forwarding/back-end-selector.ts
@@ -63,13 +63,13 @@
 const SWITCH_TIME = 400;
 
 /**
- * Time after its start within which an entry receives the first reports on its engines, in milliseconds: 0.5 to 0.9 s
- * were measured.
+ * Time after its start within which an entry receives the first reports on its engines, in milliseconds: they arrive
+ * after 0.5 to 0.9 s.
  */
 const FIRST_REPORT_TIME = 1_500;
 /**
- * Until then, time in which an unreported engine without weights is expected to serve, in milliseconds: a copy takes
- * 3.5 to 4.3 s.
+ * Time in which an engine without weights is expected to serve if `FIRST_REPORT_TIME` has not passed and its agent has
+ * not reported on it yet, in milliseconds: fetching a copy of the weights takes 3.5 to 4.3 s.
  */
 const FIRST_WEIGHTS_TIME = 4_000;
 
--- a/src/forwarding/back-end-table.ts
+++ b/src/forwarding/back-end-table.ts
@@ -40,10 +40,10 @@
   slotAddress: string;
   /** Requests of all callers that ran or waited at the engine. */
   load: number;
-  /** When the report was received, in milliseconds of the steady clock. */
+  /** When the report was received, in milliseconds of the monotonic clock. */
   reportedAt: number;
   /**
-   * When the engine is to be ordered to switch, in milliseconds of the steady clock; infinite if no switch is
+   * When the engine is to be ordered to switch, in milliseconds of the monotonic clock; infinite if no switch is
    * scheduled.
    */
   switchAt: number;
@@ -60,7 +60,7 @@
   pendingPromptTokens: number;
   /** Requests in flight from all other entries according to their latest reports. */
   inFlightElsewhere: number;
-  /** When the first part of an answer was last received, in milliseconds of the steady clock. */
+  /** When the first part of an answer was last received, in milliseconds of the monotonic clock. */
   answeredAt: number;
   /** Moving average of the time to the first part of an answer, in milliseconds; 0 before the first. */
   firstAnswerTime: number;
@@ -71,7 +71,7 @@
    * first.
    */
   timePerToken: number;
-  /** When any part of an answer was last received, in milliseconds of the steady clock. */
+  /** When any part of an answer was last received, in milliseconds of the monotonic clock. */
   progressAt: number;
   /** When the latest answered request was sent, by urgency. */
   answeredSends: Map<number, number>;
--- a/src/forwarding/back-end-use.ts
+++ b/src/forwarding/back-end-use.ts
@@ -1,6 +1,6 @@
 /**
  * Accounts for one attempt in the row of its back end: requests in flight, prompt tokens that are not read yet, the
- * time of the last progress, and moving averages of answer times. Times are in milliseconds of the steady clock.
+ * time of the last progress, and moving averages of answer times. Times are in milliseconds of the monotonic clock.
  */
 import type { Attempt } from './attempt.js';
 import type { AttemptAnswer } from './attempt-answer.js';
--- a/src/forwarding/crash-detector.ts
+++ b/src/forwarding/crash-detector.ts
@@ -14,8 +14,8 @@
 /** Timeout of a probe, in milliseconds: longer than the retransmission of a lost packet. */
 const PROBE_TIMEOUT = 400;
 /**
- * Connections that break within this time of the first one belong to the same crash, in milliseconds: 15 ms were
- * measured.
+ * Connections that break within this time of the first one belong to the same crash, in milliseconds: the connections
+ * to a crashed back end break within 15 ms.
  */
 const SAME_CRASH_TIME = 500;
 
--- a/src/forwarding/direct-permits.ts
+++ b/src/forwarding/direct-permits.ts
@@ -60,7 +60,7 @@
   revision: number;
   /** Whether a write to the row is in progress. */
   isWriting: boolean;
-  /** Earliest time of the next claim, in milliseconds of the steady clock. */
+  /** Earliest time of the next claim, in milliseconds of the monotonic clock. */
   nextClaimAt: number;
 }
 
--- a/src/forwarding/quarantine-records.ts
+++ b/src/forwarding/quarantine-records.ts
@@ -50,7 +50,7 @@
   }),
 );
 
-/** The stored crashes and trials, with times converted to this process's steady clock. */
+/** The stored crashes and trials, with times converted to this process's monotonic clock. */
 export interface QuarantineState {
   crashes: BackEndCrash[];
   /** Number of trials run with each content. */
--- a/src/forwarding/silence.ts
+++ b/src/forwarding/silence.ts
@@ -1,6 +1,6 @@
 /**
  * Distinguishes an unresponsive back end from a dead connection to a back end that works. Pure functions; times are in
- * milliseconds of the steady clock.
+ * milliseconds of the monotonic clock.
  */
 import type { Route } from '../fleet/configuration.js';
 
--- a/src/forwarding/slot-agent.ts
+++ b/src/forwarding/slot-agent.ts
@@ -1,6 +1,6 @@
 /**
  * Tracks whether the agent that grants an engine's slots responds to this process. Times are in milliseconds of the
- * steady clock.
+ * monotonic clock.
  */
 
 /** Consecutive unanswered requests after which an agent is considered unresponsive: a single datagram may be lost. */
--- a/src/forwarding/slot-seeker.ts
+++ b/src/forwarding/slot-seeker.ts
@@ -21,9 +21,9 @@
   rateLimitOf: (row: BackEndRow) => number | undefined;
   /** Rank of the request in the queues of agents; 0 is first. */
   urgency: number;
-  /** When the request arrived, in milliseconds of the steady clock. */
+  /** When the request arrived, in milliseconds of the monotonic clock. */
   arrivedAt: number;
-  /** Until when the request waits for a slot, in milliseconds of the steady clock. */
+  /** Until when the request waits for a slot, in milliseconds of the monotonic clock. */
   endsAt: number;
   /** Called with the first slot granted; the receiver must release the claim. All other claims have been released. */
   onGranted: (row: BackEndRow, claim: SlotClaim, asked: number) => void;
--- a/src/systems/capacity-forecast.ts
+++ b/src/systems/capacity-forecast.ts
@@ -3,10 +3,11 @@
  *
  * It handles outages whose estimated end keeps moving. After a power loss, the estimate is accurate to a few tenths of a
  * second. If a version cannot be fetched from the origin, however, each new estimate is as far ahead as the one before,
- * and requests that wait for it would be held until their callers leave. Times are in milliseconds of the steady clock.
+ * and requests that wait for it would be held until their callers leave. Times are in milliseconds of the monotonic
+ * clock.
  */
 
-/** An estimate that has moved by more than this is unreliable. After a power loss it moved by 0.7 s at most (measured). */
+/** An estimate that has moved by more than this is unreliable. After a power loss it moves by 0.7 s at most. */
 const MAX_POSTPONEMENT = 1_000;
 /** If no estimate was queried for this long, the outage is over: requests arrive several times a second. */
 const OUTAGE_OVER_AFTER = 1_000;
--- a/src/systems/capacity-wait.ts
+++ b/src/systems/capacity-wait.ts
@@ -7,10 +7,10 @@
  * attempt; one that is held as long as its caller waits and refused then, 4.8 s. A request that cannot reach the expected
  * time by retrying now is therefore held before it is refused. A request that cannot reach it either way is refused
  * immediately. In simulation, at 133 requests per second, this serves 1.00 instead of 0.86 of the requests that arrive
- * during an outage of 4.3 s, and 0.88 instead of 0.75 at 4.9 s. Times are in milliseconds of the steady clock.
+ * during an outage of 4.3 s, and 0.88 instead of 0.75 at 4.9 s. Times are in milliseconds of the monotonic clock.
  */
 
-/** Time from the start of a request to the end of its answer, in milliseconds: 0.9 to 1.4 s were measured. */
+/** Time from the start of a request to the end of its answer, in milliseconds: it is 0.9 to 1.4 s. */
 const TIME_TO_SERVE = 1_200;
 /** Part of the caller's patience reserved for the time to the first event, in milliseconds; without an event, it leaves. */
 const TIME_TO_FIRST_EVENT = 700;
@@ -18,7 +18,10 @@
 const RETRY_DELAY_SHARE = 1 / 3;
 /** Maximum retry delay that callers are asked for, in milliseconds. */
 export const MAX_RETRY_DELAY = 2_000;
-/** Capacity may be available this much earlier than estimated, in milliseconds: 0.2 to 0.4 s were measured 1 to 4 s ahead. */
+/**
+ * Capacity may be available this much earlier than estimated, in milliseconds: estimates made 1 to 4 s ahead are 0.2 to
+ * 0.4 s too late.
+ */
 const ESTIMATE_ERROR = 300;
 
 /** Time constraints of a request. */
--- a/src/systems/distribution/limits.ts
+++ b/src/systems/distribution/limits.ts
@@ -8,7 +8,7 @@
   uploadQueue: number;
   /** Concurrent uploads of one machine. */
   uploadsActive: number;
-  /** Timeout of a request made under a grant, and of any request until a response time has been measured. */
+  /** Timeout of a request made under a grant, and of any request until the response time of the peer is known. */
   firstRequestTimeout: number;
   /** Lower bound of the request timeout. */
   requestTimeoutFloor: number;
--- a/src/systems/drain-schedule.ts
+++ b/src/systems/drain-schedule.ts
@@ -1,7 +1,7 @@
 /**
  * Schedule of a graceful shutdown, from the order to stop until the process must have exited. Callers that still use the
  * address of the process are served as long as their requests can complete in time. Requests that cannot are refused
- * immediately, so that another process can take them. Times are in milliseconds of the steady clock.
+ * immediately, so that another process can take them. Times are in milliseconds of the monotonic clock.
  */
 
 /** The process exits this long before it would be killed, to allow for late timers and for the exit itself. */
@@ -10,7 +10,7 @@
 const ADDRESS_OVERUSE_FACTOR = 3;
 /** After its lifetime, an address is considered unused once no request has arrived for this long. */
 const QUIET_PERIOD = 800;
-/** Time reserved for the last accepted requests: the longest streams measured under full load took this long. */
+/** Time reserved for the last accepted requests: the longest streams take this long under full load. */
 const LAST_REQUESTS_TIME = 3_100;
 /** Upper bound of the address lifetime; a longer one would save few look-ups. */
 const MAX_ADDRESS_LIFETIME = 2_000;
--- a/src/systems/poison-requests.ts
+++ b/src/systems/poison-requests.ts
@@ -17,7 +17,7 @@
  * may have coincided with others.
  *
  * Entries exchange crashes, trials and acquittals, and each decides by itself, independently of the order of messages.
- * Pure; times are in milliseconds of the steady clock.
+ * Pure; times are in milliseconds of the monotonic clock.
  *
  * ```ts
  * const quarantined = poison.noteCrash({ backEnd: 'b1', start: 7, at: now, suspects: ['f1', 'f2'] });
@@ -61,7 +61,7 @@
 const RETRY_WITHOUT_TRIAL = 600_000;
 /**
  * Crashes of different back ends within this time form a wave, in milliseconds. An entry detects a crash by the first
- * broken connection followed by a refused one (at most 20 ms, measured); a single request takes at least 150 ms from one
+ * broken connection followed by a refused one (within 20 ms); a single request takes at least 150 ms from one
  * crash to the next.
  */
 const WAVE_WINDOW = 60;
@@ -89,7 +89,7 @@
 /** The trials of one content. */
 interface Trials {
   count: number;
-  /** When the latest trial ends at the latest, in milliseconds of the steady clock. */
+  /** When the latest trial ends at the latest, in milliseconds of the monotonic clock. */
   endsAt: number;
 }
 
--- a/src/systems/slot-holders.ts
+++ b/src/systems/slot-holders.ts
@@ -1,7 +1,7 @@
 /**
  * Tracks, at an engine's agent, the entries that hold or request slots. It corrects the slot table by their statements and
  * releases the slots of processes that have ended. Only the agent's own clock is used. Times are in milliseconds of the
- * steady clock.
+ * monotonic clock.
  *
  * - A statement lists all open claims of a process. Other claims of that process in the table are released, lost grants
  *   are repeated, and claims that wait according to the statement but are not in the table are refused.
--- a/src/systems/slot-search.ts
+++ b/src/systems/slot-search.ts
@@ -4,7 +4,7 @@
  * As explained at the slot table, entries cannot know which requests the others have just sent. The search first asks two
  * agents, in its own zone unless their cost is higher, chosen at random among those of equal cost, and takes the first slot
  * granted. If none is free after a short time, the zone is busy, and more agents are asked, also in other zones: five in
- * total, as more brought no improvement in simulation. Times are in milliseconds of the steady clock.
+ * total, as more brought no improvement in simulation. Times are in milliseconds of the monotonic clock.
  */
 import type { Random } from '../model/random.js';
 
--- a/src/systems/slot-table.ts
+++ b/src/systems/slot-table.ts
@@ -6,7 +6,7 @@
  * queue would fill with requests that can no longer be reordered, refused or moved. Instead, a request waits at the agents
  * of a few engines and goes to the first one that grants it a slot, so that an engine never runs more requests than it has
  * slots. If the engine names a rate limit, each grant also takes a permit of a rate limiter. Times are in milliseconds of
- * the steady clock.
+ * the monotonic clock.
  *
  * ```ts
  * for (const decision of table.ask({ id, urgency: 0, waitsSince: now, endsAt: now + 300, slots: 8 }, now)) tell(decision);
--- a/src/systems/store-readers.ts
+++ b/src/systems/store-readers.ts
@@ -3,7 +3,7 @@
  * read it itself, the number of calls, which are billed, would grow with the number of entries. The first entry of a
  * zone, by rendezvous hash over the live ones, reads the store and forwards changes. The next ones take over one after
  * the other when nothing arrives from those before them, whatever the reason: crashed, frozen, disconnected, or rejected
- * by the store. Times are in milliseconds of the steady clock.
+ * by the store. Times are in milliseconds of the monotonic clock.
  */
 import { rendezvousOrder } from '../model/random.js';
 
--- a/src/weights/engine-loader.ts
+++ b/src/weights/engine-loader.ts
@@ -51,8 +51,7 @@
 const SLOW_LINK_PIECE_TIME = 250;
 const SLOW_LINK_FETCH_LIMITS: FetchLimits = { open: 1, batch: 1, share: 0.5 };
 /**
- * Expected duration of a fetch until this agent has completed one, in milliseconds: 3.5 to 4.3 s were
- * measured.
+ * Expected duration of a fetch until this agent has completed one, in milliseconds: a fetch takes 3.5 to 4.3 s.
  */
 const INITIAL_FETCH_TIME = 4_000;
 /**
