--- a/src/forwarding/attempt-watch.ts
+++ b/src/forwarding/attempt-watch.ts
@@ -61,7 +61,7 @@
     this.#noteSilence(use, silence, now, standstills);
   }
 
-  /** Called at the time-out of the request: records a back end that has not answered at all as silent. */
+  /** Called at the timeout of the request: records a back end that has not answered at all as silent. */
   noteTimeout(use: BackEndUse): void {
     const { backEnds } = this.#components;
     if (use.attempt.isOnSilentConnection) use.suspectIdleConnections(backEnds);
--- a/src/forwarding/back-end-limits.ts
+++ b/src/forwarding/back-end-limits.ts
@@ -37,7 +37,7 @@
 
 interface KnownLimit {
   start: BackEndIdentity['start'];
-  /** Requests a second from all entries together. */
+  /** Requests per second from all entries together. */
   rate: number;
   /** When the limit was last named. */
   namedAt: number;
@@ -84,8 +84,8 @@
   }
 
   /**
-   * Requests a second that a back end takes from all entries together; undefined if no limit is known. Removes a limit that
-   * has ended.
+   * Requests per second that a back end takes from all entries together; undefined if no limit is known. Removes a limit
+   * that has ended.
    */
   rateOf({ id, start }: BackEndIdentity, now = performance.now()): number | undefined {
     const known = this.#limits.get(id);
--- a/src/forwarding/back-end-search.ts
+++ b/src/forwarding/back-end-search.ts
@@ -35,7 +35,7 @@
   isResuming(): boolean;
   /** Whether the request can complete before this process exits if it is sent after `wait` milliseconds. */
   canComplete(wait?: number): boolean;
-  /** Whether the retry budget allows the next send; always true if that send is not a repetition. */
+  /** Whether the retry budget allows the next send; always true if that send is not a retry. */
   isAllowedByBudget(): boolean;
 }
 
@@ -63,7 +63,7 @@
   #claiming: Selection | undefined;
   /**
    * Time at which the request was first held for capacity, in milliseconds of the monotonic clock. A search for a slot in
-   * between does not reset it: otherwise agents that refused repeatedly held a first request for the whole time-out of its
+   * between does not reset it: otherwise agents that refused repeatedly held a first request for the whole timeout of its
    * route instead of 45 ms.
    */
   #heldSince: number | undefined;
--- a/src/forwarding/back-end-table.ts
+++ b/src/forwarding/back-end-table.ts
@@ -116,7 +116,7 @@
 
   /**
    * Whether another back end has since started at the address of `row`. The back end of `row` no longer exists then,
-   * although its record expires only after three missed heartbeats. After a power failure, nine entries sent 290
+   * although its record expires only after three missed heartbeats. After a power loss, nine entries sent 290
    * requests to such rows within the first second, which exhausted the retry budget.
    * @param isConfigured - whether the configuration declares a service; records of undeclared services supersede no
    * others
--- a/src/forwarding/forwarded-request.ts
+++ b/src/forwarding/forwarded-request.ts
@@ -302,7 +302,7 @@
     attempt.send(row.connections);
   }
 
-  /** Returns a function that gives up if the request may not be sent; otherwise spends the budget for a repetition. */
+  /** Returns a function that gives up if the request may not be sent; otherwise charges the retry budget for a retry. */
   #refusalBeforeSend(): (() => void) | undefined {
     if (!this.#canComplete()) return () => this.#refuseForStop();
     if (!this.#content.mayBeSent) return () => this.#giveUpQuarantined();
--- a/src/forwarding/forwarding-server.ts
+++ b/src/forwarding/forwarding-server.ts
@@ -33,7 +33,7 @@
 const CHECK_INTERVAL = 50;
 /** Maximum size of a request head in bytes; above the limits that a configuration may set. */
 const MAX_HEADER_BYTES = 65_536;
-/** Time for which connections stay open beyond the configured time-outs, in milliseconds. */
+/** Time for which connections stay open beyond the configured timeouts, in milliseconds. */
 const TIMEOUT_MARGIN = 1_000;
 const DEFAULT_IDLE_TIMEOUT = 30_000;
 /** Time that the last answers have to be written when the server stops, in milliseconds; bounded as callers may not read. */
@@ -264,7 +264,7 @@
     this.#timer = undefined;
   }
 
-  /** Logs and counts a stall of this process, which delays time-outs, withdrawals and answers. */
+  /** Logs and counts a stall of this process, which delays timeouts, withdrawals and answers. */
   #noteStandstill(milliseconds: number): void {
     this.#stalledTime += milliseconds;
     this.#components.log.warn('stood still', {
--- a/src/forwarding/hold-record.ts
+++ b/src/forwarding/hold-record.ts
@@ -47,7 +47,7 @@
 
   /**
    * Reserves a place for a request that waits until back ends serve again; returns false if as many requests wait as this
-   * process can expect slots. Requests beyond that would be held, and refused in the end: after a loss of power 816 of credit
+   * process can expect slots. Requests beyond that would be held, and refused in the end: after a power loss, 816 of credit
    * was held in vain on a site of 42 entries, 150 without such waits.
    * @param places - slots that become free at once, divided among all entries
    */
--- a/src/forwarding/rate-limit-notice.ts
+++ b/src/forwarding/rate-limit-notice.ts
@@ -2,13 +2,13 @@
 
 /** Result of parsing the rate limit header. */
 export type RateLimitNotice =
-  /** Requests a second that the back end takes from all entries together. */
+  /** Requests per second that the back end takes from all entries together. */
   | { type: 'named'; rate: number }
   | { type: 'absent' }
   /** The header is present but is not a valid rate. `text` is its value, truncated for the log. */
   | { type: 'malformed'; text: string };
 
-/** Highest accepted rate, in requests a second. */
+/** Highest accepted rate, in requests per second. */
 const MAX_RATE = 100_000;
 const DECIMAL_NUMBER = /^\d+(\.\d+)?$/;
 /** Malformed values are truncated to this many characters, to bound the size of log lines. */
--- a/src/forwarding/request-outcome.ts
+++ b/src/forwarding/request-outcome.ts
@@ -17,7 +17,7 @@
   | 'left';
 
 /**
- * Health outcome for a back end at the time-out of a request: it is silent if it has sent nothing, unless only its connection
+ * Health outcome for a back end at the timeout of a request: it is silent if it has sent nothing, unless only its connection
  * is silent.
  */
 export function healthOutcomeAtTimeout({
--- a/src/forwarding/send-policy.ts
+++ b/src/forwarding/send-policy.ts
@@ -72,7 +72,7 @@
     this.#sends++;
   }
 
-  /** The request has reached a back end, or may have: each further send counts as a repetition. */
+  /** The request has reached a back end, or may have: each further send counts as a retry. */
   noteRepetition(): void {
     this.#isRepetition = true;
   }
@@ -104,7 +104,7 @@
     return !this.#isRepetition || this.#mayRepeat();
   }
 
-  /** Charges the budget for the next send if it is a repetition; returns false if the budget is used up. */
+  /** Charges the budget for the next send if it is a retry; returns false if the budget is used up. */
   chargeBudget(): boolean {
     return !this.#isRepetition || this.#options.budget.spend(performance.now());
   }
--- a/src/peers/dialling.ts
+++ b/src/peers/dialling.ts
@@ -1,16 +1,16 @@
 /**
- * Time-outs and pauses of attempts to connect to an entry. A machine without power does not answer, and
+ * Timeouts and pauses of attempts to connect to an entry. A machine without power does not answer, and
  * packets sent to it before it is back are retransmitted only after a second, so a short attempt that is
  * repeated connects sooner. Later attempts are longer and less frequent, for entries that are slow and
  * machines that stay away. Times are in milliseconds.
  */
 
-/** Time-out of the first attempt: in all measurements a busy entry answered within 0.1 s. */
+/** Timeout of the first attempt: a busy entry answers within 0.1 s. */
 const INITIAL_TIMEOUT = 250;
 const MAX_TIMEOUT = 700;
 /** Pause after the first failed attempt. */
 const INITIAL_PAUSE = 100;
-/** Each failed attempt makes the next time-out and pause longer by this factor. */
+/** Each failed attempt makes the next timeout and pause longer by this factor. */
 const GROWTH_FACTOR = 1.5;
 
 /** Tracks the attempts to connect to one address, or rounds over several addresses. */
@@ -23,7 +23,7 @@
     this.#maxPause = maxPause;
   }
 
-  /** Time-out of the next attempt; an integer, as abort signals accept no other number. */
+  /** Timeout of the next attempt; an integer, as abort signals accept no other number. */
   get timeout(): number {
     return Math.round(Math.min(MAX_TIMEOUT, INITIAL_TIMEOUT * GROWTH_FACTOR ** this.#failures));
   }
--- a/src/peers/fleet-wish.ts
+++ b/src/peers/fleet-wish.ts
@@ -3,7 +3,7 @@
  * ends. Each is requested from one entry at a time, from the own zone first. All other entries report the
  * newer one at the same moment; when it was requested from all, a configuration of 2,100 routes (0.5 MB)
  * arrived once from each and was decoded as often, which delayed time-critical work on the links and the
- * event loop: withdrawals, time-outs, pings. If it is already on its way from the entry of the zone that
+ * event loop: withdrawals, timeouts, pings. If it is already on its way from the entry of the zone that
  * reads the store, it need not be requested at all.
  *
  * ```ts
--- a/src/peers/report-rate.ts
+++ b/src/peers/report-rate.ts
@@ -51,7 +51,7 @@
 /**
  * Time without a message after which one of `peerCount` other entries is sent a ping, in milliseconds. With
  * pings every 2 s whatever the report interval, 100 entries sent 9,900 of them per second, three times as
- * many as reports (calculated from the intervals).
+ * many as reports.
  */
 export function pingDelay(isNear: boolean, peerCount: number): number {
   return Math.max(MIN_PING_DELAY, PING_INTERVALS * reportInterval(isNear, peerCount));
--- a/src/systems/capacity-forecast.ts
+++ b/src/systems/capacity-forecast.ts
@@ -9,7 +9,7 @@
 
 /** An estimate that has moved by more than this is unreliable. After a power loss it moves by 0.7 s at most. */
 const MAX_POSTPONEMENT = 1_000;
-/** If no estimate was queried for this long, the outage is over: requests arrive several times a second. */
+/** If no estimate was queried for this long, the outage is over: requests arrive several times per second. */
 const OUTAGE_OVER_AFTER = 1_000;
 
 /** Tracks the estimated end of an outage of one service. */
--- a/src/systems/entry-retry-window.ts
+++ b/src/systems/entry-retry-window.ts
@@ -4,8 +4,8 @@
  *
  * - The retries earned by requests add up by themselves (see RetryWindow).
  * - The slack is divided among all known entries, whether they can be reached or not.
- * - Only an entry that has had contact with a majority of the seeds gets a share of the slack. In a partitioned system at
- *   most one partition has a majority, and the entries in it know each other.
+ * - Only an entry that has had contact with a majority of the seeds (the configured entry addresses) gets a share of the
+ *   slack. In a partitioned system at most one partition has a majority, and the entries in it know each other.
  * - An entry that has just started gets none, as its previous process may have used the share within the same span.
  */
 import { MAX_ARRIVAL_DELAY, RetryWindow } from './retry-window.js';
--- a/src/systems/origin-draw.ts
+++ b/src/systems/origin-draw.ts
@@ -3,9 +3,9 @@
  * each version. Each learns which pieces others hold or are drawing with a delay of some tens of milliseconds.
  *
  * It handles an origin that becomes unavailable before the first copy is complete. The origin's link carries one copy in
- * about three seconds. All entries that take over would fetch then, and again when the origin returns: in a run with 12
- * entries, 101 pieces were fetched after the return although 23 were missing, and 11 more were cancelled in transit (trace
- * of all pieces, one run), 2.9 copies in all. Therefore a piece in transit to any entry is left to that entry, and only the
+ * about three seconds. All entries that take over would fetch then, and again when the origin returns. In one such outage
+ * with 12 entries, 101 pieces were fetched after the return although 23 were missing, and 11 more were cancelled in flight,
+ * 2.9 copies in all. Therefore a piece in flight to any entry is left to that entry, and only the
  * first entry in the order fetches several pieces at a time. Pure; times are in milliseconds.
  */
 import { rendezvousOrder } from '../model/random.js';
@@ -19,7 +19,7 @@
 const DRAWN_ELSEWHERE_DELAY = 300;
 /** Extra delay if engines already hold the version. */
 const SERVED_DELAY = 10_000;
-/** Concurrent pieces of the first entry in the order: a piece in transit hides the latency of the next request. */
+/** Concurrent pieces of the first entry in the order: a piece in flight hides the latency of the next request. */
 const FIRST_PARALLEL = 5;
 /** Concurrent pieces of each other entry: even if all of them fetch, a piece arrives within its timeout of 1.5 s. */
 const TAKEOVER_PARALLEL = 1;
@@ -44,8 +44,8 @@
 /**
  * The order in which entries fetch the version `key`: by bandwidth, in classes of a factor of two, and by rendezvous hash
  * within a class. The first entry of a zone forwards pieces to the others there, and with a random order it could have 28
- * Mbit/s while another has 140. On three small sites, the first engine had the version 0.05 to 0.5 s sooner (one run
- * each, within the variation between runs).
+ * Mbit/s while another has 140. On three small sites, the first engine had the version 0.05 to 0.5 s sooner in one
+ * comparison each, which is within the variation between starts.
  */
 export function drawOrder(key: string, entries: readonly Drawer[]): string[] {
   const classOf = new Map(
--- a/src/systems/retry-window.ts
+++ b/src/systems/retry-window.ts
@@ -1,5 +1,5 @@
 /**
- * Limits the repetitions (retries) of an entry in any time span of a given length to half of a share of the requests of
+ * Limits the retries of an entry in any time span of a given length to half of a share of the requests of
  * two such spans, plus a slack. The total over many entries then never exceeds the share of all requests of the span or of the
  * span before it, whichever has more, however requests move between entries: half of the sum of two spans is at most the
  * larger one, and halves add up over entries. A limit based on the requests of one span would not add up: retries early
@@ -16,7 +16,7 @@
   slack: (now: number) => number;
 }
 
-/** Number of buckets into which the span is divided for counting. */
+/** Number of parts into which the span is divided for counting. */
 const PARTS = 20;
 /**
  * Longest time from the grant of a retry to its arrival at the back end, in milliseconds: a new connection is abandoned
--- a/src/systems/upload-limit.ts
+++ b/src/systems/upload-limit.ts
@@ -4,10 +4,10 @@
  * take longer than its timeout of 2 s, and none would be received. Therefore only as many batches are sent as the link can
  * carry soon, and the others are refused immediately; a refused entry asks one that has received a batch by then. In
  * simulation, ten entries with links of 28 Mbit/s have a version after 2.1 s; without the limit they do not have it within
- * 15 s, and 108 batches time out in transit.
+ * 15 s, and 108 batches time out in flight.
  */
 
-/** Maximum number of bytes of batches for entries in transit at the same time: 0.4 s of a link of 40 Mbit/s. */
+/** Maximum number of bytes of batches for entries in flight at the same time: 0.4 s of a link of 40 Mbit/s. */
 const MAX_BYTES = 2_000_000;
 /**
  * Largest batch, in pieces, that is never refused: agents request no more at a time. Agents' links are narrow, so the
@@ -19,7 +19,7 @@
 export class UploadLimit {
   #bytes = 0;
 
-  /** Bytes of large batches in transit. */
+  /** Bytes of large batches in flight. */
   get bytes(): number {
     return this.#bytes;
   }
--- a/src/weights/agent-sources.ts
+++ b/src/weights/agent-sources.ts
@@ -11,7 +11,7 @@
 import { holds, objectSource, originSource, partsOf, peerSource } from './piece-sources.js';
 
 /**
- * Time-out of a batch, in milliseconds. It is long, because requesting a piece again while it is in flight
+ * Timeout of a batch, in milliseconds. It is long, because requesting a piece again while it is in flight
  * would fill a slow link with duplicates.
  */
 export const BATCH_TIMEOUT = 4_000;
--- a/src/weights/entry-sources.ts
+++ b/src/weights/entry-sources.ts
@@ -12,9 +12,9 @@
 import type { PieceOrigin, PieceSource } from './piece-source.js';
 import { holds, objectSource, originSource, partsOf, peerSource } from './piece-sources.js';
 
-/** Time-out for one object, in milliseconds. */
+/** Timeout for one object, in milliseconds. */
 export const OBJECT_TIMEOUT = 3_000;
-/** Time-outs for a batch from another process and for a piece from the origin, in milliseconds. */
+/** Timeouts for a batch from another process and for a piece from the origin, in milliseconds. */
 const BATCH_TIMEOUT = 2_000;
 const ORIGIN_TIMEOUT = 1_500;
 /** Pieces per batch from an entry, and from an agent, whose link is slow. */
--- a/src/weights/manifest-search.ts
+++ b/src/weights/manifest-search.ts
@@ -6,11 +6,11 @@
 import type { PieceOrigin } from './piece-source.js';
 import { fetchManifest, fetchStoredManifest } from './piece-sources.js';
 
-/** Time-out for one call, in milliseconds: a manifest is a few kilobytes. */
+/** Timeout for one call, in milliseconds: a manifest is a few kilobytes. */
 const CALL_TIMEOUT = 1_000;
 /**
  * The next holder is queried if one has not answered within this time, in milliseconds: longer than an answer
- * takes over a busy link. If each were given the whole time-out, five holders on frozen machines would take 5
+ * takes over a busy link. If each were given the whole timeout, five holders on frozen machines would take 5
  * of the 8 s within which a version must be serving.
  */
 const HOLDER_STAGGER = 150;
--- a/src/weights/piece-fetcher.ts
+++ b/src/weights/piece-fetcher.ts
@@ -13,7 +13,7 @@
 
 /** Longest time between two checks of the sources, in milliseconds. */
 const MAX_WAIT = 60;
-/** Initial and longest back-off of a source that failed, in milliseconds. */
+/** Initial and longest backoff of a source that failed, in milliseconds. */
 const INITIAL_BACKOFF = 150;
 const MAX_BACKOFF = 500;
 
--- a/src/weights/piece-source.ts
+++ b/src/weights/piece-source.ts
@@ -19,7 +19,7 @@
   readonly patience: number;
   /** Concurrent batches. */
   readonly concurrency: number;
-  /** Time-out of one batch, in milliseconds. */
+  /** Timeout of one batch, in milliseconds. */
   readonly batchTimeout: number;
   /** The source is the origin, from which each piece should be fetched only once. */
   readonly isOrigin: boolean;
--- a/src/weights/request-moves.ts
+++ b/src/weights/request-moves.ts
@@ -12,7 +12,7 @@
 const QUEUE_CAPACITY_SHARE = 0.25;
 /**
  * Least time until the next switch of an engine that takes moved requests, in milliseconds; it would cut them
- * again otherwise. Streams took 0.75 to 1.2 s in the median, and are about half over when they move.
+ * again otherwise. Streams take 0.75 to 1.2 s in the median, and are about half over when they move.
  */
 const MIN_TIME_BEFORE_SWITCH = 700;
 
--- a/src/weights/version-collector.ts
+++ b/src/weights/version-collector.ts
@@ -38,7 +38,7 @@
 
 /** Interval at which collections are matched with the wanted versions, in milliseconds. */
 const RECONCILE_INTERVAL = 200;
-/** Time-out for a small call, in milliseconds. */
+/** Timeout for a small call, in milliseconds. */
 const CALL_TIMEOUT = 1_000;
 /**
  * Interval of retries after a failed listing, and of checks that a complete version is stored, in
--- a/test/forwarding/forwarding.test.ts
+++ b/test/forwarding/forwarding.test.ts
@@ -227,7 +227,7 @@
 });
 
 describe('at the time-out of its route', () => {
-  /** Sends `text`; resolves with what was received, and the time from the time-out to the end, in milliseconds. */
+  /** Sends `text`; resolves with what was received, and the time from the timeout to the end, in milliseconds. */
   async function sendUntilTimeout(text: string): Promise<{ late: number; got: string }> {
     const [host, port] = forwarding.address.split(':');
     const socket = connect({ host, port: Number(port) });
--- a/test/peers/dialling.test.ts
+++ b/test/peers/dialling.test.ts
@@ -1,4 +1,4 @@
-/** Time-outs and pauses of the attempts to connect to an entry. */
+/** Timeouts and pauses of the attempts to connect to an entry. */
 import { expect, it } from 'vitest';
 import { DialBackoff } from '../../src/peers/dialling.js';
 
--- a/test/peers/fleet-wish.test.ts
+++ b/test/peers/fleet-wish.test.ts
@@ -20,7 +20,7 @@
 
 const OTHERS = 6;
 const REVISION = 2;
-/** A time-out that exceeds the duration of a test on a machine of any speed, in milliseconds. */
+/** A timeout that exceeds the duration of a test on a machine of any speed, in milliseconds. */
 const LONG = 3_600_000;
 
 const started: Array<{ stop(): Promise<void> }> = [];
--- a/test/peers/report-rate.test.ts
+++ b/test/peers/report-rate.test.ts
@@ -46,7 +46,7 @@
   it.each([8, 42, 100, 400])(
     'of %i entries: an entry counts as silent only after a ping could have been answered',
     (entryCount) => {
-      // Whether a ping is due is checked once a second.
+      // Whether a ping is due is checked once per second.
       for (const isNear of [true, false])
         expect(silenceLimit(isNear, entryCount - 1)).toBeGreaterThan(
           pingDelay(isNear, entryCount - 1) + 1_300,
--- a/test/systems/membership.test.ts
+++ b/test/systems/membership.test.ts
@@ -4,7 +4,7 @@
 import { DEAD_ENTRY_GRACE, Membership, UNREACHABLE_GRACE } from '../../src/systems/membership/membership.js';
 import { peer } from '../support.js';
 
-/** A message in transit. */
+/** A message in flight. */
 interface InFlight {
   from: string;
   to: string;
@@ -52,7 +52,7 @@
     this.entries.get(id)!.sendOwnNews();
   }
 
-  /** Drops the messages in transit from one entry to another. */
+  /** Drops the messages in flight from one entry to another. */
   lose(from: string, to: string): void {
     this.#queues.set(`${from}>${to}`, []);
   }
@@ -67,7 +67,7 @@
     return true;
   }
 
-  /** Delivers messages until none is in transit; fails if that takes more than `limit` steps. */
+  /** Delivers messages until none is in flight; fails if that takes more than `limit` steps. */
   settle(limit = 20_000): void {
     for (let steps = 0; this.step(steps); steps++) {
       if (steps > limit) throw new Error('messages are still in transit after the step limit');
--- a/test/weights/manifest-search.test.ts
+++ b/test/weights/manifest-search.test.ts
@@ -94,7 +94,7 @@
       response.end(JSON.stringify(MANIFEST));
     });
     expect(await search({ processes: () => [...silent, holder] })).toEqual(MANIFEST);
-    // Queried one after another, each would have used up the time-out before the next was queried.
+    // Queried one after another, each would have used up the timeout before the next was queried.
     expect(waitingThen).toBeGreaterThan(0);
   });
 
