--- a/src/forwarding/back-end-selector.ts
+++ b/src/forwarding/back-end-selector.ts
@@ -38,7 +38,8 @@
 const EXPIRY_MARGIN_WAITS = 1.5;
 /**
  * Share of a back end's slots that requests which cannot meet their objective may use. The rest is reserved for
- * requests that can. Half this share did not help those and refused more of the others (docs/design/decisions.md).
+ * requests that can. With half this share, those fare no better and more of the others are refused
+ * (docs/design/decisions.md).
  */
 const LATE_REQUEST_SHARE = 0.75;
 /**
--- a/src/forwarding/forwarded-request.ts
+++ b/src/forwarding/forwarded-request.ts
@@ -302,7 +302,10 @@
     attempt.send(row.connections);
   }
 
-  /** Returns a function that gives up if the request may not be sent; otherwise charges the retry budget for a retry. */
+  /**
+   * If the request may not be sent, returns the function that ends it or its search. Otherwise charges the retry budget if
+   * this send is a retry, and returns undefined.
+   */
   #refusalBeforeSend(): (() => void) | undefined {
     if (!this.#canComplete()) return () => this.#refuseForStop();
     if (!this.#content.mayBeSent) return () => this.#giveUpQuarantined();
--- a/src/forwarding/forwarding-server.ts
+++ b/src/forwarding/forwarding-server.ts
@@ -40,8 +40,9 @@
 const FLUSH_TIMEOUT = 150;
 /**
  * Once no new connections are accepted, those whose callers have not been sent `Connection: close` stay open for this time,
- * in milliseconds. It is counted from the close, as the last ones have only just been opened then, and from the end of an
- * answer to a request that arrived before the order to stop. A busy caller sends its next request within a round trip, far less.
+ * in milliseconds. It is counted from the close, as the last connections may have been opened just before it, and anew from
+ * the end of each answer to a request that arrived before the order to stop. A busy caller sends its next request within a
+ * round trip, which is far shorter.
  */
 const LINGER_TIME = 300;
 /** Consecutive turns of the event loop without a new connection after which none is pending, and the limit of all turns. */
--- a/src/peers/entry-peers.ts
+++ b/src/peers/entry-peers.ts
@@ -106,8 +106,8 @@
   /** Called with what the entry `id` has read from the store. */
   onStoreNews: (news: StoreUpdate, id: string) => void;
   /**
-   * Called when the process that sent this latest report is no longer heard, or another has started at its
-   * address.
+   * Called when the process that sent this latest report has not reported for too long, or another has started
+   * at its address.
    */
   onExpired: (report: EntryReport) => void;
   log: Log;
@@ -123,7 +123,7 @@
   #stopped = new AbortController();
   #addressesSentAt = performance.now();
   #newcomerTimer: NodeJS.Timeout | undefined;
-  /** Entries that were heard and not yet announced to the others. */
+  /** Entries that have reported and are not yet announced to the others. */
   #newcomers: PeerRow[] = [];
 
   constructor(options: EntryPeersOptions) {
@@ -174,8 +174,8 @@
   }
 
   /**
-   * What this entry knows of the number of entries. None is forgotten: those that are not heard may still be
-   * running.
+   * What this entry knows of the number of entries. Entries that no longer report still count, as they may still
+   * be running.
    */
   known(): EntriesKnown {
     const { address, seeds } = this.#options;
@@ -268,7 +268,7 @@
       connection?.sendEncoded(message);
   }
 
-  /** Announces a newly heard entry after a short delay, together with those heard meanwhile. */
+  /** Announces an entry after its first report with a short delay, together with others that report meanwhile. */
   #scheduleNewcomerGossip(newcomer: PeerRow): void {
     this.#newcomers.push(newcomer);
     this.#newcomerTimer ??= setTimeout(() => {
@@ -375,8 +375,8 @@
       this.#options.log.info('entry heard', { entry: report.id, address: report.address, zone: report.zone });
       this.#scheduleNewcomerGossip(row);
     }
-    // A process that restarts before the report of the previous one expires is not a newcomer, but has no
-    // news.
+    // A process that restarts before the report of the previous one expires is not a newcomer, but lacks all
+    // news that were sent to the previous one.
     if (row.newsSentOn !== connection) this.#sendAllNews(row, connection);
     fleet.clock.addSample(report.storeTime, now);
     for (const named of report.versions) fleet.applyNamedVersion(named);
@@ -416,7 +416,7 @@
     if (configuration || backEnds) connection.send({ type: 'fleetWanted', configuration, backEnds });
   }
 
-  /** Index of this entry in the order of the entries of its zone that are reached. */
+  /** Index of this entry in the order of the connected entries of its zone. */
   #rankInZone(): number {
     const { address, zone } = this.#options;
     const near = this.reached().filter((report) => report.zone === zone);
--- a/src/peers/fleet-wish.ts
+++ b/src/peers/fleet-wish.ts
@@ -38,7 +38,7 @@
  * first one has the answer, the next ones ask it, and only one copy crosses the link between the zones.
  */
 const OTHER_ZONE_STAGGER = 700;
-/** From this place on all entries wait equally long. */
+/** Entries whose index is at least this all wait for the same time. */
 const MAX_STAGGER_STEPS = 2;
 
 /** A connection to an entry that may be asked. */
--- a/src/peers/report-rate.ts
+++ b/src/peers/report-rate.ts
@@ -41,8 +41,8 @@
 /**
  * A connection without messages for this long is replaced, in milliseconds: two answers to pings are missing.
  * Including the next tick and a new connection, this stays below the 3 s after which a process counts as in
- * touch again, and, for the other entries of the zone, which forward store changes, below the 5 s that the
- * users allow with a hundred entries.
+ * contact with the others again. For the other entries of the zone, which forward store changes, it stays
+ * below the 5 s allowed with a hundred entries.
  */
 const MIN_SILENCE_LIMIT = 2_300;
 /** The same in report intervals. */
--- a/src/protocol/messages.ts
+++ b/src/protocol/messages.ts
@@ -162,7 +162,7 @@
 /** Membership messages between entries. */
 export type MembershipMessage =
   | HomeUpdate
-  /** The sender no longer offers the records of these homes; `died` is true if their own zone has seen them go. */
+  /** The sender no longer offers the records of these homes; `died` is true if their own zone has found them dead. */
   | { type: 'homesGone'; homes: string[]; died: boolean }
   /** For each zone, a digest of the record versions that the sender offers on this link. */
   | { type: 'homesDigest'; digests: Array<[zone: string, digest: number]> }
--- a/src/protocol/store-update.ts
+++ b/src/protocol/store-update.ts
@@ -18,6 +18,6 @@
 /** Changes of one store table, as sent to other processes. */
 export interface StoreUpdate extends TableUpdate {
   table: FollowedTable;
-  /** Back ends that seem to be gone are kept for this long yet, in milliseconds. */
+  /** Time for which records of back ends that seem to have ended are still kept, in milliseconds. */
   holdsRemovalsFor: number;
 }
--- a/src/systems/capacity-wait.ts
+++ b/src/systems/capacity-wait.ts
@@ -14,7 +14,7 @@
 const TIME_TO_SERVE = 1_200;
 /** Part of the caller's patience reserved for the time to the first event, in milliseconds; without an event, it leaves. */
 const TIME_TO_FIRST_EVENT = 700;
-/** Callers honour a retry delay up to this share of their remaining time, as the users' callers do. */
+/** Callers honour a retry delay up to this share of their remaining time, as existing callers do. */
 const RETRY_DELAY_SHARE = 1 / 3;
 /** Maximum retry delay that callers are asked for, in milliseconds. */
 export const MAX_RETRY_DELAY = 2_000;
--- a/src/systems/longest-durations.ts
+++ b/src/systems/longest-durations.ts
@@ -5,7 +5,7 @@
 
 /** Durations older than one to two periods are dropped, so that back ends are not considered slow for ever. */
 const PERIOD = 10_000;
-/** A request may take longer than all previous ones by this factor: 2.3 s was followed by 3.1 s within 10 s. */
+/** A request may take longer than all previous ones by this factor: a maximum of 2.3 s can rise to 3.1 s within 10 s. */
 const SAFETY_FACTOR = 1.35;
 /** Minimum number of requests for an estimate: after this many, the next is longer than all with a probability of 1/17. */
 const MIN_REQUESTS = 16;
--- a/src/weights/engine-switch.ts
+++ b/src/weights/engine-switch.ts
@@ -11,7 +11,7 @@
 import type { EngineState, StagedEngine } from './staged-engine.js';
 
 /**
- * Time between the notice of a switch and the order, in milliseconds: entries hear of it and send no new
+ * Time between the notice of a switch and the order, in milliseconds: entries learn of it and send no new
  * requests.
  */
 const NOTICE_PERIOD = 60;
--- a/src/weights/entry-sources.ts
+++ b/src/weights/entry-sources.ts
@@ -48,8 +48,8 @@
  */
 const OTHER_ZONE_PATIENCE = 300;
 /**
- * Concurrent reads of parts from the object store. An entry that has heard no other entry of its zone uses 1,
- * as it may not be the only one: entries that start together would share the link between regions for a copy
+ * Concurrent reads of parts from the object store. An entry that has received no report
+ * from another entry of its zone uses 1, as it may not be the only one: entries that start together would share the link between regions for a copy
  * each.
  */
 const OBJECT_CONCURRENCY = 2;
@@ -77,7 +77,7 @@
   holders: readonly EntryHolding[];
   /** Agents connected to this entry. */
   agents: readonly EngineAgentRow[];
-  /** No other entry of the zone has been heard. */
+  /** No report of another entry of the zone has been received. */
   isOnlyEntryOfZone: boolean;
   objects: ObjectStore;
   /** Indexes of the parts known to be in the object store. */
--- a/src/weights/version-collector.ts
+++ b/src/weights/version-collector.ts
@@ -47,8 +47,8 @@
 const LISTING_INTERVAL = 2_000;
 /**
  * After the store has been restored from an older copy, what peers say of its contents is ignored for this
- * long, in milliseconds: entries that have not heard of the restoration still report lost objects, and hear
- * of it within two seconds.
+ * long, in milliseconds: entries that do not know of the restoration yet still report lost objects; they
+ * learn of it within two seconds.
  */
 const STALE_LISTING_TIME = 3_000;
 /**
--- a/test/forwarding/deadly-content-orders.test.ts
+++ b/test/forwarding/deadly-content-orders.test.ts
@@ -3,7 +3,7 @@
  * kill entries, cut them off, take the store down, restore it from an older copy, and make crashes undetectable by
  * probes.
  *
- * Once the contact time has passed since the third crash, entries that have run connected to the store for that time
+ * Once the contact time (3 s) has passed since the third crash, entries that have run connected to the store for that time
  * must send the content at most three more times in total, whatever state was lost. The guards and records are real;
  * time is virtual.
  */
@@ -24,7 +24,7 @@
 const THIRD_CRASH = 3;
 /** Total number of sends allowed after the contact time has passed since the third crash. */
 const MAX_RETRIES = 3;
-/** The contact time, in milliseconds. */
+/** The contact time: how long an entry must have run connected to the store for the bound to apply, in milliseconds. */
 const CONTACT_TIME = 3_000;
 /** Time within which a crash is detected and written to the store, in milliseconds. */
 const SETTLE_TIME = 60;
--- a/test/forwarding/last-send-expires.test.ts
+++ b/test/forwarding/last-send-expires.test.ts
@@ -2,9 +2,9 @@
  * Guards against requests that start on an expired version: two did, 194 and 232 ms after the expiry. Each had lost its first
  * engine, which closed the connection without an answer, and had waited 1.7 s in the queue of a second one.
  *
- * An entry withdraws requests that have not started 250 ms before the expiry. It used to check first whether the request may
- * be sent again. On a route with two attempts it may not, as the broken attempt counts, so the request was not withdrawn. Log
- * of such a request; first sends at the same time were withdrawn:
+ * An entry withdraws requests that have not started 250 ms before the expiry. The fault was to check first whether the
+ * request may be sent again. On a route with two attempts it may not, as the broken attempt counts, so the request was not
+ * withdrawn. Log of such a request; first sends at the same time were withdrawn:
  *
  *     attempt failed                type=broken reason=ECONNRESET ageMs=13
  *     sent again                    reason=ECONNRESET sends=1
--- a/test/systems/entry-retry-window.test.ts
+++ b/test/systems/entry-retry-window.test.ts
@@ -29,10 +29,10 @@
 
 describe('the budget that was reported (84f9ecc)', () => {
   it('let 42 entries together exceed the limit, each within its own', () => {
-    // The budget of that commit: 0.75 of the share earned by each request, and at most a 16th of the slack saved up.
+    // The budget that exceeded the limit: 0.75 of the share earned by each request, and at most a 16th of the slack saved up.
     const reported = () => new RetryBudget({ earnedPerRequest: 0.15, maxSaved: LIMITS.slack / 16 });
     const fleet = new RetryFleet(LIMITS, ENTRIES, 1, reported);
-    // The 4,013 requests in the reported span are 95.5 per entry; every fourth is refused by engines.
+    // The limit was exceeded in a span of 4,013 requests, which are 95.5 per entry; every fourth is refused by engines.
     for (let index = 0; index < 95; index++) {
       const now = LATER + index * 105;
       for (let entry = 0; entry < ENTRIES; entry++) {
