--- a/src/forwarding/retry-after.ts
+++ b/src/forwarding/retry-after.ts
@@ -6,7 +6,7 @@
 /**
  * Delay after which a caller retries a refused request, in milliseconds, times 1 to 2; longer if no back end is expected to
  * serve until then. With a delay as long as the overload has already lasted, no more callers are served during a version
- * switch under load, and it takes 2.4 s instead of 1.3 s until they are (99th percentile).
+ * switch under load, and they wait 2.4 s instead of 1.3 s (99th percentile).
  */
 const RETRY_DELAY = 400;
 /** Delay before a caller sends a request to another process as this one is stopping, in milliseconds, times 1 to 2. */
--- a/src/weights/entry-sources.ts
+++ b/src/weights/entry-sources.ts
@@ -48,9 +48,9 @@
  */
 const OTHER_ZONE_PATIENCE = 300;
 /**
- * Concurrent reads of parts from the object store. An entry that has received no report
- * from another entry of its zone uses 1, as it may not be the only one: entries that start together would share the link between regions for a copy
- * each.
+ * Concurrent reads of parts from the object store. An entry that has received no report from another entry of
+ * its zone uses 1, as it may not be the only one: entries that start together would share the link between
+ * regions for a copy each.
  */
 const OBJECT_CONCURRENCY = 2;
 
