--- a/src/systems/distribution/coordinator.ts
+++ b/src/systems/distribution/coordinator.ts
@@ -40,7 +40,7 @@
   originBackoffCeiling: number;
 }
 
-/** Defaults, measured with `thistleway bench burst`; see docs/design/distribution.md. */
+/** Defaults, with which `thistleway bench burst` simulates a burst; see docs/design/distribution.md. */
 export const DEFAULT_COORDINATOR_LIMITS: CoordinatorLimits = {
   neighbourDegree: 6,
   maxOriginFetches: 16,
--- a/src/systems/distribution/limits.ts
+++ b/src/systems/distribution/limits.ts
@@ -37,7 +37,7 @@
   starvationTime: number;
 }
 
-/** Defaults, measured with `thistleway bench burst`; see docs/design/distribution.md. */
+/** Defaults, with which `thistleway bench burst` simulates a burst; see docs/design/distribution.md. */
 export const DEFAULT_DISTRIBUTION_LIMITS: DistributionLimits = {
   requestsInFlight: 12,
   requestsPerPeer: 2,
