--- a/src/forwarding/forwarding-server.ts
+++ b/src/forwarding/forwarding-server.ts
@@ -33,15 +33,16 @@
 const CHECK_INTERVAL = 50;
 /** Maximum size of a request head in bytes; above the limits that a configuration may set. */
 const MAX_HEADER_BYTES = 65_536;
-/** Time for which connections stay open beyond the configured time-outs, in milliseconds. */
+/** Time for which connections stay open beyond the configured timeouts, in milliseconds. */
 const TIMEOUT_MARGIN = 1_000;
 const DEFAULT_IDLE_TIMEOUT = 30_000;
 /** Time that the last answers have to be written when the server stops, in milliseconds; bounded as callers may not read. */
 const FLUSH_TIMEOUT = 150;
 /**
  * Once no new connections are accepted, those whose callers have not been sent `Connection: close` stay open for this time,
- * in milliseconds. It is counted from the close, as the last ones have only just been opened then, and from the end of an
- * answer to a request that arrived before the order to stop. A busy caller sends its next request within a round trip, far less.
+ * in milliseconds. It is counted from the close, as the last connections may have been opened just before it, and anew from
+ * the end of each answer to a request that arrived before the order to stop. A busy caller sends its next request within a
+ * round trip, which is far shorter.
  */
 const LINGER_TIME = 300;
 /** Consecutive turns of the event loop without a new connection after which none is pending, and the limit of all turns. */
@@ -264,7 +265,7 @@
     this.#timer = undefined;
   }
 
-  /** Logs and counts a stall of this process, which delays time-outs, withdrawals and answers. */
+  /** Logs and counts a stall of this process, which delays timeouts, withdrawals and answers. */
   #noteStandstill(milliseconds: number): void {
     this.#stalledTime += milliseconds;
     this.#components.log.warn('stood still', {
--- a/src/peers/fleet-wish.ts
+++ b/src/peers/fleet-wish.ts
@@ -3,7 +3,7 @@
  * ends. Each is requested from one entry at a time, from the own zone first. All other entries report the
  * newer one at the same moment; when it was requested from all, a configuration of 2,100 routes (0.5 MB)
  * arrived once from each and was decoded as often, which delayed time-critical work on the links and the
- * event loop: withdrawals, time-outs, pings. If it is already on its way from the entry of the zone that
+ * event loop: withdrawals, timeouts, pings. If it is already on its way from the entry of the zone that
  * reads the store, it need not be requested at all.
  *
  * ```ts
@@ -38,7 +38,7 @@
  * first one has the answer, the next ones ask it, and only one copy crosses the link between the zones.
  */
 const OTHER_ZONE_STAGGER = 700;
-/** From this place on all entries wait equally long. */
+/** Entries whose index is at least this all wait for the same time. */
 const MAX_STAGGER_STEPS = 2;
 
 /** A connection to an entry that may be asked. */
--- a/src/systems/distribution/limits.ts
+++ b/src/systems/distribution/limits.ts
@@ -8,7 +8,7 @@
   uploadQueue: number;
   /** Concurrent uploads of one machine. */
   uploadsActive: number;
-  /** Timeout of a request made under a grant, and of any request until a response time has been measured. */
+  /** Timeout of a request made under a grant, and of any request until the response time of the peer is known. */
   firstRequestTimeout: number;
   /** Lower bound of the request timeout. */
   requestTimeoutFloor: number;
@@ -37,7 +37,7 @@
   starvationTime: number;
 }
 
-/** Defaults, measured with `thistleway bench burst`; see docs/design/distribution.md. */
+/** Defaults, with which `thistleway bench burst` simulates a burst; see docs/design/distribution.md. */
 export const DEFAULT_DISTRIBUTION_LIMITS: DistributionLimits = {
   requestsInFlight: 12,
   requestsPerPeer: 2,
--- a/src/weights/entry-sources.ts
+++ b/src/weights/entry-sources.ts
@@ -12,9 +12,9 @@
 import type { PieceOrigin, PieceSource } from './piece-source.js';
 import { holds, objectSource, originSource, partsOf, peerSource } from './piece-sources.js';
 
-/** Time-out for one object, in milliseconds. */
+/** Timeout for one object, in milliseconds. */
 export const OBJECT_TIMEOUT = 3_000;
-/** Time-outs for a batch from another process and for a piece from the origin, in milliseconds. */
+/** Timeouts for a batch from another process and for a piece from the origin, in milliseconds. */
 const BATCH_TIMEOUT = 2_000;
 const ORIGIN_TIMEOUT = 1_500;
 /** Pieces per batch from an entry, and from an agent, whose link is slow. */
@@ -48,9 +48,9 @@
  */
 const OTHER_ZONE_PATIENCE = 300;
 /**
- * Concurrent reads of parts from the object store. An entry that has heard no other entry of its zone uses 1,
- * as it may not be the only one: entries that start together would share the link between regions for a copy
- * each.
+ * Concurrent reads of parts from the object store. An entry that has received no report from another entry of
+ * its zone uses 1, as it may not be the only one: entries that start together would share the link between
+ * regions for a copy each.
  */
 const OBJECT_CONCURRENCY = 2;
 
@@ -77,7 +77,7 @@
   holders: readonly EntryHolding[];
   /** Agents connected to this entry. */
   agents: readonly EngineAgentRow[];
-  /** No other entry of the zone has been heard. */
+  /** No report of another entry of the zone has been received. */
   isOnlyEntryOfZone: boolean;
   objects: ObjectStore;
   /** Indexes of the parts known to be in the object store. */
