--- a/test/platform/soak/callers.ts
+++ b/test/platform/soak/callers.ts
@@ -1,4 +1,4 @@
-/** Callers of a soak: they look entries up, keep connections, send requests and judge every answer. */
+/** Callers of a soak: they resolve entry addresses, keep connections open, send requests and check every answer. */
 import { Agent, request as httpRequest, type IncomingMessage } from 'node:http';
 import type { Random } from '../../../src/model/random.js';
 import { eventData, streamShape } from './workers.js';
@@ -6,51 +6,52 @@
 
 /** Longest pause between two requests of a caller, in milliseconds. */
 const LONGEST_PAUSE = 60;
-/** Times an address lifetime for which callers hold an answer of the directory: most for one, some for up to three. */
+/** Each caller caches resolved addresses for one to this many times the address lifetime, drawn evenly. */
 const LONGEST_HOLD = 3;
-/** Streams of 5 s: events, and the time between two, in milliseconds. */
+/** Long streams take 5 s: their number of events, and the interval between two in milliseconds. */
 const LONG_EVENTS = 25;
 const LONG_INTERVAL = 200;
-/** Long streams of one caller at a time, beside its other requests. */
+/** Long streams that one caller may have open at a time, besides its other requests. */
 const MOST_LONG = 2;
-/** One in this many requests is left by its caller in the middle, after at most this, in milliseconds. */
+/** A caller abandons one in this many requests, after at most this time in milliseconds. */
 const LEFT_ONE_IN = 12;
 const LONGEST_STAY = 400;
+/** Statuses by which an entry guarantees that the request was not executed. */
 const PROMISES_NOT_RUN = new Set([429, 503, 408, 421]);
 
-/** A request that was sent, and how it ended. */
+/** A sent request and its outcome. */
 export interface SentRequest {
   id: string;
   kind: 'write' | 'long' | 'moved' | 'once' | 'again';
-  /** Address of the entry that it was sent to. */
+  /** Address of the entry to which it was sent. */
   entry: string;
   path: string;
   body: string;
-  /** Undefined where no whole head came. */
+  /** Undefined if no complete response head was received. */
   status: number | undefined;
   headers: IncomingMessage['headers'];
   answer: string;
-  /** True where the answer ended as HTTP says. */
+  /** Whether the response was complete according to HTTP framing. */
   isWhole: boolean;
   sentAt: number;
-  /** When its last byte went out; undefined where the connection never took it all. */
+  /** When its last byte was written; undefined if the connection never accepted all of it. */
   writtenAt: number | undefined;
   endedAt: number;
-  /** When its caller left before the answer was whole. */
+  /** When its caller abandoned it before the response was complete; undefined if it did not. */
   leftAt: number | undefined;
 }
 
-/** What is sent. */
+/** A request to send. */
 export interface RequestToSend {
   id: string;
   kind: SentRequest['kind'];
   path: string;
   body: string;
-  /** The caller leaves after this, in milliseconds. */
+  /** The caller abandons the request after this time, in milliseconds. */
   leaveAfter?: number;
 }
 
-/** Sends one request to an entry and returns how it ended. */
+/** Sends one request to an entry and resolves with its outcome. */
 export function sendRequest(
   entry: string,
   agent: Agent | undefined,
@@ -106,20 +107,20 @@
   });
 }
 
-/** Time that a caller gives a request, in milliseconds. */
+/** Deadline that a caller sets for a request of this kind, in milliseconds. */
 export function timeOf(kind: SentRequest['kind']): number {
   return kind === 'long' || kind === 'moved' ? LONG_TIMEOUT : ROUTE_TIMEOUT;
 }
 
 const isStream = (kind: SentRequest['kind']) => kind === 'write' || kind === 'long' || kind === 'moved';
 
-/** The promises that an answer breaks, from what its caller sees. */
+/** Violations that a caller can see in the response to its own request. */
 export function judgeAnswer(sent: SentRequest): string[] {
   const { id, kind, path, status, headers, answer, isWhole } = sent;
   if (status === 200 && !isWhole && isStream(kind)) return judgeBegunEvents(id, path, answer);
   if (status === undefined || !isWhole) return [];
   const broken: string[] = [];
-  // The moved route may be missing: see `judgeMissing`.
+  // A configuration may lack the moved route: `judgeMissing` checks its 404 responses.
   const isDenied = status === 401 || status === 403 || (status === 404 && kind !== 'moved');
   if (isDenied) broken.push(`DENIED: ${id} got ${status}`);
   if (status !== 200) return broken;
@@ -139,7 +140,7 @@
   return events;
 }
 
-/** What came of a stream that was cut or left is how it begins. */
+/** Checks that what was received of an incomplete stream is a prefix of the expected events. */
 function judgeBegunEvents(id: string, path: string, answer: string): string[] {
   return eventsOf(path).startsWith(answer)
     ? []
@@ -153,7 +154,7 @@
     : [`ORDER: ${id} got ${answer.length} of ${expected.length} bytes as whole`];
 }
 
-/** The promises that are broken by what ran, over all requests. */
+/** Violations in what workers executed, over all requests. */
 export function judgeRuns(world: SoakWorld, sent: readonly SentRequest[]): string[] {
   const broken: string[] = [];
   const byId = new Map(sent.map((request) => [request.id, request]));
@@ -176,7 +177,7 @@
   return broken;
 }
 
-/** Denials of the moved route while every configuration that can be in force names it. */
+/** Reports 404 responses on the moved route while every configuration that may be in force has that route. */
 export function judgeMissing(world: SoakWorld, sent: readonly SentRequest[]): string[] {
   return sent
     .filter(({ kind, status }) => kind === 'moved' && status === 404)
@@ -187,7 +188,7 @@
 const USUAL_KINDS = ['write', 'write', 'long', 'once', 'again'] as const;
 const KINDS_WITH_MOVED = ['write', 'long', 'moved', 'moved', 'once', 'again'] as const;
 
-/** A caller that goes on until it is stopped. */
+/** A caller that sends requests until it is stopped. */
 export class SoakCaller {
   readonly sent: SentRequest[] = [];
   readonly violations: string[] = [];
@@ -196,9 +197,9 @@
   readonly #name: string;
   readonly #agent = new Agent({ keepAlive: true, maxSockets: 4 });
   readonly #long = new Set<Promise<void>>();
-  /** Time for which it holds an answer of the directory, in milliseconds. */
+  /** How long it caches resolved addresses, in milliseconds. */
   readonly #hold: number;
-  /** True where it goes on with the entry that it has as long as a connection there is open. */
+  /** Whether it keeps using its current entry while a connection to it is open. */
   readonly #isLoyal: boolean;
   readonly #kinds: readonly SentRequest['kind'][];
   #entry: string | undefined;
@@ -232,7 +233,7 @@
     this.#running = false;
   }
 
-  /** An answer is held for its time, and for longer where there is no new one. */
+  /** Resolves the entry addresses anew once the cached ones expire; keeps these if that fails. */
   async #lookUp(): Promise<void> {
     if (performance.now() - this.#askedAt < this.#hold && this.#addresses.length > 0) return;
     const entries = this.#world.entryAddresses();
@@ -245,7 +246,7 @@
       this.#addresses = told.addresses;
       this.#askedAt = performance.now();
     } catch {
-      // The next look-up asks another.
+      // The next attempt asks an entry drawn anew.
     }
   }
 
--- a/test/platform/soak/judges.ts
+++ b/test/platform/soak/judges.ts
@@ -1,22 +1,25 @@
-/** Promises over time that are judged once a soak has ended: planned stops, repetitions, callers that left, and rate limits. */
+/** Checks made over the whole record of a soak once it has ended: planned stops, retries, departed callers and rate limits. */
 import { allowedInWindow, mostInWindow } from '../../forwarding/rate-limit-audit.js';
 import { type SentRequest, timeOf } from './callers.js';
 import type { PlannedStop } from './disruptions.js';
 import type { Arrival, Run } from './workers.js';
 import { GRACE_TIME, RETRIES, type SoakWorld } from './world.js';
 
-/** A request that is closed sooner after its last byte, and ran nowhere, crossed the close of its connection, in milliseconds. */
+/**
+ * A request that ran nowhere and whose connection closed within this time of its last byte, in milliseconds, is taken to have
+ * been sent while the entry was closing the connection.
+ */
 const CROSSING = 200;
-/** No disruption from this long before a request, in milliseconds: what it did to the system lasts on. */
+/** Disruptions up to this long before a request, in milliseconds, excuse it, because their effects outlast them. */
 const CALM_BEFORE = 4_000;
-/** A request sent up to this long after the order to stop may be cut in the last part of the time of grace, in milliseconds. */
+/** A request sent up to this long after SIGTERM, in milliseconds, may be cut in the last part of the grace period. */
 const TAKEN_EARLY = 3_000;
 const LAST_PART = GRACE_TIME / 6;
-/** Time in which the news that a caller has left must reach its worker, in milliseconds. */
+/** Time within which a caller's departure must reach the worker of its request, in milliseconds. */
 const LEAVING_TIME = 500;
-/** Time after a worker starts to name a rate limit before its arrivals are counted, in milliseconds: entries must learn it. */
+/** Arrivals count against a new rate limit only after this time, in milliseconds, since entries must learn of it first. */
 const LIMIT_LEARNING_TIME = 3_000;
-/** Arrivals for callers that left which are too few to count, and the share of runs that may go on. */
+/** Late arrivals or continuing runs for departed callers that are tolerated, and the share of runs that may continue. */
 const FEW = 3;
 const MOST_LEFT_RUNNING = 0.25;
 const SERVICE_OF: Partial<Record<SentRequest['kind'], string>> = {
@@ -26,7 +29,7 @@
   again: 'plain',
 };
 
-/** Answers that a planned stop cut though nothing else went wrong around them. */
+/** Reports requests that a planned stop cut or left unanswered, though no unplanned disruption excuses that. */
 export function judgePlannedStops(world: SoakWorld, sent: readonly SentRequest[]): string[] {
   const runs = runsById(world);
   return sent.flatMap((request) => {
@@ -48,14 +51,14 @@
   return mayBeCut(request, stop) || !isCalm ? undefined : stop;
 }
 
-/** Least time that a request may have had, by its caller and by the configurations as it was sent. */
+/** The shortest timeout that may have applied to a request: its caller's, or that of a configuration in force when it was sent. */
 function timeoutOf({ disruptions }: SoakWorld, { kind, sentAt }: SentRequest): number {
   return Math.min(timeOf(kind), ...disruptions.timeoutsOf(kind, sentAt));
 }
 
 /**
- * Answers that were cut, and requests that were read and got none, at any time, with nothing unplanned at their entry and
- * workers: around signals, configurations and versions, and beside none. Those of `judgePlannedStops` are left to it.
+ * Reports cut answers, and requests that were read but not answered, that no unplanned disruption of their entry or workers
+ * excuses, whether or not planned work was under way. Requests that `judgePlannedStops` reports are left out.
  */
 export function judgeCuts(world: SoakWorld, sent: readonly SentRequest[]): string[] {
   const runs = runsById(world);
@@ -69,7 +72,7 @@
 function isCutWithoutReason(world: SoakWorld, request: SentRequest, runs: readonly Run[]): boolean {
   const { entry, sentAt, endedAt, isWhole, leftAt } = request;
   if (isWhole || leftAt !== undefined || endedAt - sentAt >= timeoutOf(world, request)) return false;
-  // One that failed to go on with a stream is no reason: the stream has another worker, which at most pauses.
+  // A worker that fails to continue a stream is no excuse: another worker can take over with at most a pause.
   if (!wasRead(request, runs) || runs.some(({ isBrokenOff }) => isBrokenOff)) return false;
   const name = world.entryAt(entry);
   const stop = world.disruptions.stopDuring(name, sentAt, endedAt, GRACE_TIME);
@@ -121,13 +124,13 @@
   return `LOST: ${id} (${kind}) at ${stop.process}, ${times}: ${answer}, ${runs.length} runs`;
 }
 
-/** Windows in which a service got more repetitions than all entries together may send. */
+/** Reports, for each service, the window that most exceeds the retry budget of all entries together. */
 export function judgeRepetitions(world: SoakWorld, sent: readonly SentRequest[]): string[] {
   return ['engines', 'plain'].flatMap((service) => {
     const reached = new Set(
       world.log.arrivals.filter((each) => each.service === service).map(({ requestId }) => requestId),
     );
-    // The service of the moved route is the one that got the request.
+    // The moved route changes its service, so its requests are counted for each service that received them.
     const requests = sent
       .filter(({ id, kind }) => (SERVICE_OF[kind] ?? (reached.has(id) ? service : undefined)) === service)
       .map(({ sentAt }) => sentAt);
@@ -136,7 +139,7 @@
   });
 }
 
-/** When a service got a request that it, or another worker of it, had got before. */
+/** Times at which a service received a request that one of its workers had received before. */
 function repetitionsOf(service: string, arrivals: readonly Arrival[]): number[] {
   const seen = new Set<string>();
   const repetitions: number[] = [];
@@ -164,7 +167,7 @@
   return worst?.text;
 }
 
-/** What workers still got and did for callers that had left. */
+/** Reports requests that reached workers, and runs that continued, too long after their callers had left. */
 export function judgeDepartures(world: SoakWorld, sent: readonly SentRequest[]): string[] {
   const left = sent.filter((request) => request.leftAt !== undefined && isCalmAround(world, request));
   const leftAt = new Map(left.map((request) => [request.id, request.leftAt! + LEAVING_TIME]));
@@ -179,7 +182,7 @@
   return broken;
 }
 
-/** Workers that got more than their rate limit allows, counting only requests from entries without a recent disruption. */
+/** Reports workers that received more than their rate limit allows, counting only requests from entries without a recent disruption. */
 export function judgeLimits(world: SoakWorld, sent: readonly SentRequest[]): string[] {
   const entryOf = new Map(sent.map(({ id, entry }) => [id, world.entryAt(entry)]));
   return world.log.limits.flatMap(({ worker, rate, from, to }) => {
@@ -208,7 +211,7 @@
   return world.disruptions.areCalm(parts, sentAt - CALM_BEFORE, leftAt! + LEAVING_TIME);
 }
 
-/** Only long streams last longer than the news of a departure may take. */
+/** Whether a run would outlast the propagation of its caller's departure: only long streams do. */
 function wouldLast(run: Run, until: number | undefined): boolean {
   const isLong = run.path.startsWith('/long/') || run.path.startsWith('/moved/');
   return until !== undefined && isLong && run.at < until;
