--- a/test/platform/soak-grace.test.ts
+++ b/test/platform/soak-grace.test.ts
@@ -1,4 +1,4 @@
-/** Guards against blaming a process that has ended in its time of grace, where the soak itself stood still meanwhile. */
+/** Guards against reporting a process that exited within its grace period, when the soak's own event loop was blocked meanwhile. */
 import { type ChildProcess, spawn } from 'node:child_process';
 import { once } from 'node:events';
 import { expect, it } from 'vitest';
@@ -7,7 +7,7 @@
 
 const GRACE = 800;
 
-/** Starts a process that does `onStop` at SIGTERM, and resolves once it does. */
+/** Starts a process that runs `onStop` on SIGTERM, and resolves once its handler is installed. */
 async function startChild(onStop: string): Promise<ChildProcess> {
   const program = `process.on('SIGTERM', () => { ${onStop} }); setInterval(() => {}, 1000); process.stdout.write('.');`;
   const child = spawn(process.execPath, ['-e', program], { stdio: ['ignore', 'pipe', 'ignore'] });
@@ -15,24 +15,24 @@
   return child;
 }
 
-/** Whether the child is said to have outlived its time of grace, of which this process is away for `standstill` milliseconds. */
-async function outlives(child: ChildProcess, standstill: number): Promise<boolean> {
+/** Whether the child is reported to have outlived its grace period when this process is blocked for `blockedFor` milliseconds. */
+async function isReportedAsOutlived(child: ChildProcess, blockedFor: number): Promise<boolean> {
   let hasOutlived = false;
   child.kill('SIGTERM');
   endAfterGrace(child, GRACE, () => {
     hasOutlived = true;
   });
   const exit = once(child, 'exit');
-  if (standstill > 0) standStill(standstill);
+  if (blockedFor > 0) standStill(blockedFor);
   await exit;
   return hasOutlived;
 }
 
-it('a process that ends in its time of grace is not blamed, though its exit is handled later', async () => {
-  expect(await outlives(await startChild('process.exit(0)'), 4 * GRACE)).toBe(false);
+it('does not report a process that exits within its grace period, though its exit is handled later', async () => {
+  expect(await isReportedAsOutlived(await startChild('process.exit(0)'), 4 * GRACE)).toBe(false);
 });
 
-it('a process that has to be killed is blamed', async () => {
-  expect(await outlives(await startChild(''), 0)).toBe(true);
-  expect(await outlives(await startChild(''), 4 * GRACE)).toBe(true);
+it('reports a process that has to be killed', async () => {
+  expect(await isReportedAsOutlived(await startChild(''), 0)).toBe(true);
+  expect(await isReportedAsOutlived(await startChild(''), 4 * GRACE)).toBe(true);
 });
--- a/test/platform/soak-judges.test.ts
+++ b/test/platform/soak-judges.test.ts
@@ -1,6 +1,6 @@
 /** The judges of the soak find what they are for, and leave alone what is allowed. */
 import { beforeEach, describe, expect, it } from 'vitest';
-import { judgeAnswer, judgeMissing, type SentRequest } from './soak/callers.js';
+import { judgeAnswer, judgeMissingRoute, type SentRequest } from './soak/callers.js';
 import { Disruptions } from './soak/disruptions.js';
 import {
   judgeCuts,
@@ -106,7 +106,7 @@
     const now = performance.now();
     stopAt(now);
     log.runs.push(run('one', { at: now }));
-    disruptions.note(['i-1'], 100);
+    disruptions.record(['i-1'], 100);
     const request = sent('one', { ...cut, sentAt: now - 100, writtenAt: now - 100, endedAt: now + 100 });
     expect(judgePlannedStops(world, [request])).toEqual([]);
   });
@@ -180,7 +180,7 @@
   it('is nothing where its worker was struck', () => {
     const now = performance.now();
     log.runs.push(run('one', { at: now }));
-    disruptions.note(['i-1'], 100);
+    disruptions.record(['i-1'], 100);
     const request = sent('one', { ...cut, sentAt: now - 100, writtenAt: now - 100, endedAt: now + 100 });
     expect(judgeCuts(world, [request])).toEqual([]);
   });
@@ -202,7 +202,7 @@
 });
 
 describe('DENIED', () => {
-  const denied = () => judgeMissing(world, [sent('one', { kind: 'moved', status: 404 })]);
+  const denied = () => judgeMissingRoute(world, [sent('one', { kind: 'moved', status: 404 })]);
 
   it('is broken by 404 for the moved route while all configurations name it', () => {
     disruptions.configurations.push({ at: START - 60_000, timeouts: {}, missing: [] });
@@ -294,7 +294,7 @@
   });
 
   it('is not broken by requests from disrupted entries', () => {
-    disruptions.note(['entry-1'], Number.POSITIVE_INFINITY);
+    disruptions.record(['entry-1'], Number.POSITIVE_INFINITY);
     log.arrivals.length = 0;
     const firstAt = performance.now() + 1_000;
     const requests = recordArrivals(ALLOWED + 1, START + 3_000);
--- a/test/platform/soak/callers.ts
+++ b/test/platform/soak/callers.ts
@@ -5,19 +5,19 @@
 import { ADDRESS_LIFETIME, HOST, KEY, LONG_TIMEOUT, ROUTE_TIMEOUT, type SoakWorld, TENANT } from './world.js';
 
 /** Longest pause between two requests of a caller, in milliseconds. */
-const LONGEST_PAUSE = 60;
+const MAX_PAUSE = 60;
 /** Each caller caches resolved addresses for one to this many times the address lifetime, drawn evenly. */
-const LONGEST_HOLD = 3;
+const MAX_CACHE_LIFETIMES = 3;
 /** Long streams take 5 s: their number of events, and the interval between two in milliseconds. */
 const LONG_EVENTS = 25;
 const LONG_INTERVAL = 200;
 /** Long streams that one caller may have open at a time, besides its other requests. */
-const MOST_LONG = 2;
+const MAX_LONG_STREAMS = 2;
 /** A caller abandons one in this many requests, after at most this time in milliseconds. */
-const LEFT_ONE_IN = 12;
-const LONGEST_STAY = 400;
+const ABANDONED_ONE_IN = 12;
+const MAX_ABANDON_DELAY = 400;
 /** Statuses by which an entry guarantees that the request was not executed. */
-const PROMISES_NOT_RUN = new Set([429, 503, 408, 421]);
+const NOT_EXECUTED_STATUSES = new Set([429, 503, 408, 421]);
 
 /** A sent request and its outcome. */
 export interface SentRequest {
@@ -48,17 +48,17 @@
   path: string;
   body: string;
   /** The caller abandons the request after this time, in milliseconds. */
-  leaveAfter?: number;
+  abandonAfter?: number;
 }
 
 /** Sends one request to an entry and resolves with its outcome. */
 export function sendRequest(
   entry: string,
   agent: Agent | undefined,
-  { id, kind, path, body, leaveAfter }: RequestToSend,
+  { id, kind, path, body, abandonAfter }: RequestToSend,
 ): Promise<SentRequest> {
   const [host, port] = entry.split(':');
-  const timeout = timeOf(kind);
+  const timeout = deadlineOf(kind);
   const sentAt = performance.now();
   let writtenAt: number | undefined;
   let leftAt: number | undefined;
@@ -97,7 +97,7 @@
       leftAt = performance.now();
       sent.destroy();
     };
-    const limit = setTimeout(leave, leaveAfter ?? timeout * 2);
+    const limit = setTimeout(leave, abandonAfter ?? timeout * 2);
     sent.on('finish', () => {
       writtenAt = performance.now();
     });
@@ -108,7 +108,7 @@
 }
 
 /** Deadline that a caller sets for a request of this kind, in milliseconds. */
-export function timeOf(kind: SentRequest['kind']): number {
+export function deadlineOf(kind: SentRequest['kind']): number {
   return kind === 'long' || kind === 'moved' ? LONG_TIMEOUT : ROUTE_TIMEOUT;
 }
 
@@ -117,18 +117,18 @@
 /** Violations that a caller can see in the response to its own request. */
 export function judgeAnswer(sent: SentRequest): string[] {
   const { id, kind, path, status, headers, answer, isWhole } = sent;
-  if (status === 200 && !isWhole && isStream(kind)) return judgeBegunEvents(id, path, answer);
+  if (status === 200 && !isWhole && isStream(kind)) return judgePartialEvents(id, path, answer);
   if (status === undefined || !isWhole) return [];
   const broken: string[] = [];
-  // A configuration may lack the moved route: `judgeMissing` checks its 404 responses.
+  // A configuration may lack the moved route: `judgeMissingRoute` checks its 404 responses.
   const isDenied = status === 401 || status === 403 || (status === 404 && kind !== 'moved');
   if (isDenied) broken.push(`DENIED: ${id} got ${status}`);
   if (status !== 200) return broken;
   if (headers['attempt-id'] !== id) broken.push(`MIXED: ${id} got the answer of ${headers['attempt-id']}`);
   if (headers['server-seal'] === undefined) broken.push(`MIXED: ${id} got no signature`);
   if (isStream(kind)) return [...broken, ...judgeEvents(id, path, answer)];
-  const told = parse(answer);
-  if (told?.id !== id || told?.seal !== headers['server-seal'])
+  const parsed = parse(answer);
+  if (parsed?.id !== id || parsed?.seal !== headers['server-seal'])
     broken.push(`MIXED: ${id} got ${answer.slice(0, 80)}`);
   return broken;
 }
@@ -141,7 +141,7 @@
 }
 
 /** Checks that what was received of an incomplete stream is a prefix of the expected events. */
-function judgeBegunEvents(id: string, path: string, answer: string): string[] {
+function judgePartialEvents(id: string, path: string, answer: string): string[] {
   return eventsOf(path).startsWith(answer)
     ? []
     : [`ORDER: ${id} got ${answer.length} bytes with which its stream does not begin, and no end`];
@@ -171,17 +171,17 @@
     const count = runs.get(id) ?? 0;
     if (kind !== 'once') continue;
     if (count > 1) broken.push(`TWICE: ${id} ran ${count} times`);
-    if (status !== undefined && PROMISES_NOT_RUN.has(status) && count > 0)
+    if (status !== undefined && NOT_EXECUTED_STATUSES.has(status) && count > 0)
       broken.push(`REFUSED: ${id} got ${status} and ran`);
   }
   return broken;
 }
 
 /** Reports 404 responses on the moved route while every configuration that may be in force has that route. */
-export function judgeMissing(world: SoakWorld, sent: readonly SentRequest[]): string[] {
+export function judgeMissingRoute(world: SoakWorld, sent: readonly SentRequest[]): string[] {
   return sent
     .filter(({ kind, status }) => kind === 'moved' && status === 404)
-    .filter(({ sentAt, endedAt }) => !world.disruptions.mayLack('moved', sentAt, endedAt))
+    .filter(({ sentAt, endedAt }) => !world.disruptions.mayLackRoute('moved', sentAt, endedAt))
     .map(({ id }) => `DENIED: ${id} got 404`);
 }
 
@@ -198,13 +198,13 @@
   readonly #agent = new Agent({ keepAlive: true, maxSockets: 4 });
   readonly #long = new Set<Promise<void>>();
   /** How long it caches resolved addresses, in milliseconds. */
-  readonly #hold: number;
+  readonly #cacheTime: number;
   /** Whether it keeps using its current entry while a connection to it is open. */
-  readonly #isLoyal: boolean;
+  readonly #isSticky: boolean;
   readonly #kinds: readonly SentRequest['kind'][];
   #entry: string | undefined;
   #addresses: string[] = [];
-  #askedAt = Number.NEGATIVE_INFINITY;
+  #resolvedAt = Number.NEGATIVE_INFINITY;
   #running = true;
 
   constructor(name: string, world: SoakWorld, random: Random, usesMovedRoute = false) {
@@ -212,18 +212,18 @@
     this.#name = name;
     this.#world = world;
     this.#random = random;
-    this.#hold = ADDRESS_LIFETIME * 1_000 * (1 + random.below(LONGEST_HOLD));
-    this.#isLoyal = random.below(2) === 0;
+    this.#cacheTime = ADDRESS_LIFETIME * 1_000 * (1 + random.below(MAX_CACHE_LIFETIMES));
+    this.#isSticky = random.below(2) === 0;
   }
 
   async run(): Promise<void> {
     for (let count = 0; this.#running; count++) {
-      await this.#lookUp();
+      await this.#resolveAddresses();
       const kind = this.#kinds[this.#random.below(this.#kinds.length)];
       const id = `${this.#name}-${count}`;
       if (kind !== 'long' && kind !== 'moved') await this.#sendOne(id, kind);
-      else if (this.#long.size < MOST_LONG) this.#startLong(id, kind);
-      await new Promise((resolve) => setTimeout(resolve, this.#random.below(LONGEST_PAUSE)));
+      else if (this.#long.size < MAX_LONG_STREAMS) this.#startLong(id, kind);
+      await new Promise((resolve) => setTimeout(resolve, this.#random.below(MAX_PAUSE)));
     }
     await Promise.all(this.#long);
     this.#agent.destroy();
@@ -234,17 +234,17 @@
   }
 
   /** Resolves the entry addresses anew once the cached ones expire; keeps these if that fails. */
-  async #lookUp(): Promise<void> {
-    if (performance.now() - this.#askedAt < this.#hold && this.#addresses.length > 0) return;
+  async #resolveAddresses(): Promise<void> {
+    if (performance.now() - this.#resolvedAt < this.#cacheTime && this.#addresses.length > 0) return;
     const entries = this.#world.entryAddresses();
     const { directory } = entries[this.#random.below(entries.length)];
     const url = `http://${directory}/v1/resolve?name=${HOST}&region=zone-a&zone=zone-a`;
     try {
       const answer = await fetch(url, { signal: AbortSignal.timeout(500) });
-      const told = (await answer.json()) as { addresses?: string[] };
-      if (told.addresses === undefined || told.addresses.length === 0) return;
-      this.#addresses = told.addresses;
-      this.#askedAt = performance.now();
+      const resolved = (await answer.json()) as { addresses?: string[] };
+      if (resolved.addresses === undefined || resolved.addresses.length === 0) return;
+      this.#addresses = resolved.addresses;
+      this.#resolvedAt = performance.now();
     } catch {
       // The next attempt asks an entry drawn anew.
     }
@@ -261,9 +261,9 @@
     const isLong = kind === 'long' || kind === 'moved';
     const shape = isLong ? `&events=${LONG_EVENTS}&interval=${LONG_INTERVAL}` : '';
     const path = `/${kind}/${this.#random.below(1_000)}?of=${this.#name}${shape}`;
-    const isLeft = this.#random.below(LEFT_ONE_IN) === 0;
-    const leaveAfter = isLeft ? 1 + this.#random.below(LONGEST_STAY) : undefined;
-    const toSend = { id, kind, path, body: `body of ${id}`, leaveAfter };
+    const isLeft = this.#random.below(ABANDONED_ONE_IN) === 0;
+    const abandonAfter = isLeft ? 1 + this.#random.below(MAX_ABANDON_DELAY) : undefined;
+    const toSend = { id, kind, path, body: `body of ${id}`, abandonAfter };
     const sent = await sendRequest(this.#chooseEntry(), this.#agent, toSend);
     this.sent.push(sent);
     this.violations.push(...judgeAnswer(sent));
@@ -271,7 +271,7 @@
 
   #chooseEntry(): string {
     const chosen = this.#addresses[this.#random.below(this.#addresses.length)];
-    if (!this.#isLoyal) return chosen;
+    if (!this.#isSticky) return chosen;
     if (this.#entry === undefined || !this.#isConnectedTo(this.#entry)) this.#entry = chosen;
     return this.#entry;
   }
--- a/test/platform/soak/deadly-content.ts
+++ b/test/platform/soak/deadly-content.ts
@@ -1,4 +1,4 @@
-/** A content in a soak that ends every worker which runs it, and its callers, who repeat it under another identity at any entry. */
+/** Request content that crashes every worker that runs it, sent again and again to any entry under new request ids. */
 import type { Random } from '../../../src/model/random.js';
 import { type SentRequest, sendRequest } from './callers.js';
 import type { Run } from './workers.js';
@@ -6,16 +6,16 @@
 
 const PATH = '/again/deadly';
 const BODY = 'deadly';
-/** Time from its run to the end of its worker, in milliseconds. */
-const TIME_TO_END = 20;
-/** Pause between two sends, in milliseconds. */
+/** Time from the start of its run to the crash of the worker, in milliseconds. */
+const CRASH_DELAY = 20;
+/** Pause between two requests, in milliseconds. */
 const PAUSE = 150;
-/** Its worker and what is beside it count as struck for this long, in milliseconds. */
-const AFTERMATH = 4_000;
-/** Ends of workers by one content that are allowed: three, and three more sends. */
-const MOST_ENDS = 6;
+/** A crash counts as a disruption of its worker for this long, in milliseconds. */
+const DISRUPTION_TIME = 4_000;
+/** Crashed workers that are allowed for one content: three, and three more by further requests. */
+const MAX_CRASHES = 6;
 
-/** One such content. */
+/** One content that crashes workers. */
 export class DeadlyContent {
   readonly sent: SentRequest[] = [];
   readonly #world: SoakWorld;
@@ -29,7 +29,7 @@
     world.log.onRun = (run) => this.#onRun(run);
   }
 
-  /** Sends it again and again until it is stopped. */
+  /** Sends the content repeatedly until stopped. */
   async run(): Promise<void> {
     while (!this.#isStopped) {
       const entries = this.#world.entryAddresses();
@@ -44,16 +44,16 @@
     this.#isStopped = true;
   }
 
-  /** The promise that it breaks, if any. */
+  /** Reports a violation if the content crashed too many workers. */
   judge(): string[] {
-    return this.#ended.size > MOST_ENDS ? [`BUDGET: one content ended ${this.#ended.size} workers`] : [];
+    return this.#ended.size > MAX_CRASHES ? [`BUDGET: one content ended ${this.#ended.size} workers`] : [];
   }
 
   #onRun({ body, worker }: Run): void {
     const place = this.#world.workers.findIndex((one) => one.worker.id === worker);
     if (body !== BODY || place < 0) return;
     this.#ended.add(worker);
-    this.#world.disruptions.note([worker], AFTERMATH);
-    setTimeout(() => void this.#world.replaceWorker(place), TIME_TO_END);
+    this.#world.disruptions.record([worker], DISRUPTION_TIME);
+    setTimeout(() => void this.#world.replaceWorker(place), CRASH_DELAY);
   }
 }
--- a/test/platform/soak/faults.ts
+++ b/test/platform/soak/faults.ts
@@ -676,7 +676,7 @@
     // A place whose worker is being replaced is left alone until it is there.
     if (fault.name === 'worker replaced' && replaced.size > 0) continue;
     const { lasts, end, about, strikes = [] } = fault.begin(world, random);
-    world.disruptions.note(strikes, lasts + AFTERMATH);
+    world.disruptions.record(strikes, lasts + AFTERMATH);
     if (fault.isSeries === true) seriesEndAt = Math.max(seriesEndAt, performance.now() + lasts);
     const at = Math.round(performance.now() - startedAt);
     timeline.push(`${at} ms ${fault.name}: ${about}${lasts > 0 ? ` for ${lasts} ms` : ''}`);
--- a/test/platform/soak/grace.ts
+++ b/test/platform/soak/grace.ts
@@ -1,10 +1,10 @@
-/** The time of grace of a process that was told to stop, as the platform keeps it. */
+/** Grace period of a process that was sent SIGTERM, enforced as the platform does. */
 import type { ChildProcess } from 'node:child_process';
 
 /**
- * Ends `child` with SIGKILL after `milliseconds`, and calls `onOutlived` if that is what ended it. Only the exit tells: a
- * child may have ended long before, with its exit still to be handled by this process.
- * @returns a function that cancels it
+ * Ends `child` with SIGKILL after `milliseconds`, and calls `onOutlived` if that is what ended it. Only the exit signal shows
+ * this: the child may have exited within its grace period, with the event still queued because this process was blocked.
+ * @returns a function that cancels the kill
  */
 export function endAfterGrace(child: ChildProcess, milliseconds: number, onOutlived: () => void): () => void {
   let isKilled = false;
--- a/test/platform/soak/judges.ts
+++ b/test/platform/soak/judges.ts
@@ -1,6 +1,6 @@
 /** Checks made over the whole record of a soak once it has ended: planned stops, retries, departed callers and rate limits. */
 import { allowedInWindow, mostInWindow } from '../../forwarding/rate-limit-audit.js';
-import { type SentRequest, timeOf } from './callers.js';
+import { deadlineOf, type SentRequest } from './callers.js';
 import type { PlannedStop } from './disruptions.js';
 import type { Arrival, Run } from './workers.js';
 import { GRACE_TIME, RETRIES, type SoakWorld } from './world.js';
@@ -9,19 +9,19 @@
  * A request that ran nowhere and whose connection closed within this time of its last byte, in milliseconds, is taken to have
  * been sent while the entry was closing the connection.
  */
-const CROSSING = 200;
+const CLOSE_RACE_TIME = 200;
 /** Disruptions up to this long before a request, in milliseconds, excuse it, because their effects outlast them. */
-const CALM_BEFORE = 4_000;
+const DISRUPTION_LOOKBACK = 4_000;
 /** A request sent up to this long after SIGTERM, in milliseconds, may be cut in the last part of the grace period. */
-const TAKEN_EARLY = 3_000;
-const LAST_PART = GRACE_TIME / 6;
+const EARLY_REQUEST_TIME = 3_000;
+const GRACE_LAST_PART = GRACE_TIME / 6;
 /** Time within which a caller's departure must reach the worker of its request, in milliseconds. */
-const LEAVING_TIME = 500;
+const CANCELLATION_TIME = 500;
 /** Arrivals count against a new rate limit only after this time, in milliseconds, since entries must learn of it first. */
 const LIMIT_LEARNING_TIME = 3_000;
 /** Late arrivals or continuing runs for departed callers that are tolerated, and the share of runs that may continue. */
-const FEW = 3;
-const MOST_LEFT_RUNNING = 0.25;
+const TOLERATED_COUNT = 3;
+const MAX_CONTINUING_SHARE = 0.25;
 const SERVICE_OF: Partial<Record<SentRequest['kind'], string>> = {
   write: 'engines',
   long: 'engines',
@@ -34,26 +34,31 @@
   const runs = runsById(world);
   return sent.flatMap((request) => {
     const own = runs.get(request.id) ?? [];
-    const stop = stopThatCut(world, request, own);
+    const stop = findResponsibleStop(world, request, own);
     return stop === undefined ? [] : [describeLoss(world, request, stop, own)];
   });
 }
 
-function stopThatCut(world: SoakWorld, request: SentRequest, runs: readonly Run[]): PlannedStop | undefined {
+function findResponsibleStop(
+  world: SoakWorld,
+  request: SentRequest,
+  runs: readonly Run[],
+): PlannedStop | undefined {
   const { entry, sentAt, endedAt, isWhole, leftAt } = request;
-  if (isWhole || leftAt !== undefined || endedAt - sentAt >= timeoutOf(world, request)) return undefined;
+  if (isWhole || leftAt !== undefined || endedAt - sentAt >= shortestTimeout(world, request))
+    return undefined;
   if (!wasRead(request, runs) || runs.some(({ isBrokenOff }) => isBrokenOff)) return undefined;
   const name = world.entryAt(entry);
   const stop = world.disruptions.stopDuring(name, sentAt, endedAt, GRACE_TIME);
   if (stop === undefined) return undefined;
   const parts = [name, ...runs.map(({ worker }) => worker)];
-  const isCalm = world.disruptions.areCalm(parts, sentAt - CALM_BEFORE, endedAt);
-  return mayBeCut(request, stop) || !isCalm ? undefined : stop;
+  const isUndisturbed = world.disruptions.areUndisturbed(parts, sentAt - DISRUPTION_LOOKBACK, endedAt);
+  return isCutAllowed(request, stop) || !isUndisturbed ? undefined : stop;
 }
 
 /** The shortest timeout that may have applied to a request: its caller's, or that of a configuration in force when it was sent. */
-function timeoutOf({ disruptions }: SoakWorld, { kind, sentAt }: SentRequest): number {
-  return Math.min(timeOf(kind), ...disruptions.timeoutsOf(kind, sentAt));
+function shortestTimeout({ disruptions }: SoakWorld, { kind, sentAt }: SentRequest): number {
+  return Math.min(deadlineOf(kind), ...disruptions.timeoutsOf(kind, sentAt));
 }
 
 /**
@@ -65,24 +70,24 @@
   return sent.flatMap((request) => {
     const own = runs.get(request.id) ?? [];
     if (!isCutWithoutReason(world, request, own)) return [];
-    return stopThatCut(world, request, own) === undefined ? [describeCut(world, request, own)] : [];
+    return findResponsibleStop(world, request, own) === undefined ? [describeCut(world, request, own)] : [];
   });
 }
 
 function isCutWithoutReason(world: SoakWorld, request: SentRequest, runs: readonly Run[]): boolean {
   const { entry, sentAt, endedAt, isWhole, leftAt } = request;
-  if (isWhole || leftAt !== undefined || endedAt - sentAt >= timeoutOf(world, request)) return false;
+  if (isWhole || leftAt !== undefined || endedAt - sentAt >= shortestTimeout(world, request)) return false;
   // A worker that fails to continue a stream is no excuse: another worker can take over with at most a pause.
   if (!wasRead(request, runs) || runs.some(({ isBrokenOff }) => isBrokenOff)) return false;
   const name = world.entryAt(entry);
   const stop = world.disruptions.stopDuring(name, sentAt, endedAt, GRACE_TIME);
-  if (stop !== undefined && mayBeCut(request, stop)) return false;
+  if (stop !== undefined && isCutAllowed(request, stop)) return false;
   const parts = [name, ...runs.map(({ worker }) => worker)];
-  return world.disruptions.areCalm(parts, sentAt - CALM_BEFORE, endedAt);
+  return world.disruptions.areUndisturbed(parts, sentAt - DISRUPTION_LOOKBACK, endedAt);
 }
 
-function mayBeCut({ sentAt, endedAt }: SentRequest, stop: PlannedStop): boolean {
-  return sentAt <= stop.at + TAKEN_EARLY && endedAt >= stop.at + GRACE_TIME - LAST_PART;
+function isCutAllowed({ sentAt, endedAt }: SentRequest, stop: PlannedStop): boolean {
+  return sentAt <= stop.at + EARLY_REQUEST_TIME && endedAt >= stop.at + GRACE_TIME - GRACE_LAST_PART;
 }
 
 function describeCut(world: SoakWorld, request: SentRequest, runs: readonly Run[]): string {
@@ -95,7 +100,7 @@
     const end = isContinuationBroken ? 'failed to go on' : ended === undefined ? 'at work' : since(ended);
     return `${worker} from ${since(at)} after event ${after} (${end})`;
   });
-  const work = world.disruptions.nearestWork(process, endedAt);
+  const work = world.disruptions.nearestPlannedWork(process, endedAt);
   const away = Math.round(Math.abs((work?.at ?? 0) - endedAt));
   const side = work !== undefined && work.at > endedAt ? 'before' : 'after';
   const beside = work === undefined ? 'no planned work' : `${away} ms ${side} ${work.kind} ${work.about}`;
@@ -106,7 +111,7 @@
 }
 
 function wasRead({ status, writtenAt, endedAt }: SentRequest, runs: readonly Run[]): boolean {
-  const isLate = writtenAt !== undefined && endedAt - writtenAt > CROSSING;
+  const isLate = writtenAt !== undefined && endedAt - writtenAt > CLOSE_RACE_TIME;
   return status !== undefined || runs.length > 0 || isLate;
 }
 
@@ -169,16 +174,18 @@
 
 /** Reports requests that reached workers, and runs that continued, too long after their callers had left. */
 export function judgeDepartures(world: SoakWorld, sent: readonly SentRequest[]): string[] {
-  const left = sent.filter((request) => request.leftAt !== undefined && isCalmAround(world, request));
-  const leftAt = new Map(left.map((request) => [request.id, request.leftAt! + LEAVING_TIME]));
+  const left = sent.filter((request) => request.leftAt !== undefined && isRequestUndisturbed(world, request));
+  const leftAt = new Map(left.map((request) => [request.id, request.leftAt! + CANCELLATION_TIME]));
   const late = world.log.arrivals.filter(({ requestId, at }) => at > (leftAt.get(requestId) ?? Infinity));
-  const lasting = world.log.runs.filter((run) => wouldLast(run, leftAt.get(run.requestId)));
-  const goingOn = lasting.filter((run) => (run.endedAt ?? Infinity) > leftAt.get(run.requestId)!);
+  const longRuns = world.log.runs.filter((run) => wouldOutlastCancellation(run, leftAt.get(run.requestId)));
+  const continuing = longRuns.filter((run) => (run.endedAt ?? Infinity) > leftAt.get(run.requestId)!);
   const broken: string[] = [];
-  if (late.length > FEW)
+  if (late.length > TOLERATED_COUNT)
     broken.push(`GONE: ${late.length} arrivals later than 500 ms, as of ${late[0].requestId}`);
-  if (goingOn.length > FEW && goingOn.length > lasting.length * MOST_LEFT_RUNNING)
-    broken.push(`GONE: ${goingOn.length} of ${lasting.length} runs go on, as of ${goingOn[0].requestId}`);
+  if (continuing.length > TOLERATED_COUNT && continuing.length > longRuns.length * MAX_CONTINUING_SHARE)
+    broken.push(
+      `GONE: ${continuing.length} of ${longRuns.length} runs go on, as of ${continuing[0].requestId}`,
+    );
   return broken;
 }
 
@@ -191,7 +198,7 @@
         (arrival) =>
           arrival.worker === worker && arrival.at >= from + LIMIT_LEARNING_TIME && arrival.at <= to,
       )
-      .filter(({ requestId, at }) => isEntryCalm(world, entryOf.get(requestId), at))
+      .filter(({ requestId, at }) => isEntryUndisturbed(world, entryOf.get(requestId), at))
       .map(({ at }) => at);
     const most = mostInWindow(times);
     const allowed = allowedInWindow(rate);
@@ -201,18 +208,18 @@
   });
 }
 
-function isEntryCalm(world: SoakWorld, entry: string | undefined, at: number): boolean {
-  return entry !== undefined && world.disruptions.areCalm([entry], at - CALM_BEFORE, at);
+function isEntryUndisturbed(world: SoakWorld, entry: string | undefined, at: number): boolean {
+  return entry !== undefined && world.disruptions.areUndisturbed([entry], at - DISRUPTION_LOOKBACK, at);
 }
 
-function isCalmAround(world: SoakWorld, { entry, sentAt, leftAt, id }: SentRequest): boolean {
+function isRequestUndisturbed(world: SoakWorld, { entry, sentAt, leftAt, id }: SentRequest): boolean {
   const workers = world.log.of(id).map(({ worker }) => worker);
   const parts = [world.entryAt(entry), ...workers];
-  return world.disruptions.areCalm(parts, sentAt - CALM_BEFORE, leftAt! + LEAVING_TIME);
+  return world.disruptions.areUndisturbed(parts, sentAt - DISRUPTION_LOOKBACK, leftAt! + CANCELLATION_TIME);
 }
 
 /** Whether a run would outlast the propagation of its caller's departure: only long streams do. */
-function wouldLast(run: Run, until: number | undefined): boolean {
+function wouldOutlastCancellation(run: Run, until: number | undefined): boolean {
   const isLong = run.path.startsWith('/long/') || run.path.startsWith('/moved/');
   return until !== undefined && isLong && run.at < until;
 }
--- a/test/platform/soak/main.ts
+++ b/test/platform/soak/main.ts
@@ -12,7 +12,7 @@
 import { hash32, seededRandom } from '../../../src/model/random.js';
 import {
   judgeAnswer,
-  judgeMissing,
+  judgeMissingRoute,
   judgeRuns,
   type SentRequest,
   SoakCaller,
@@ -131,7 +131,7 @@
       ...callers.flatMap((caller) => caller.violations),
       ...probes.filter(({ path }) => !path.startsWith('/added-')).flatMap(judgeAnswer),
       ...judgeRuns(world, sent),
-      ...judgeMissing(world, sent),
+      ...judgeMissingRoute(world, sent),
       ...judgePlannedStops(world, sent),
       ...judgeCuts(world, sent),
       ...judgeRepetitions(world, sent),
--- a/test/platform/soak/world.ts
+++ b/test/platform/soak/world.ts
@@ -224,7 +224,7 @@
     const version = ++this.#configurationVersion;
     this.#shape = { ...this.#shape, ...changes };
     const { idleTimeout, timeouts, movedTo, lacksMovedRoute, dropped, moreRoutes } = this.#shape;
-    this.disruptions.notePlanned('configuration', String(version));
+    this.disruptions.recordPlanned('configuration', String(version));
     this.disruptions.configurations.push({
       at: performance.now(),
       timeouts,
@@ -283,7 +283,7 @@
   /** Names new weights. */
   bumpVersion(): void {
     const version = ++this.#weightsVersion;
-    this.disruptions.notePlanned('version', String(version));
+    this.disruptions.recordPlanned('version', String(version));
     this.#writeAsOperator('version/m', { model: 'm', version });
   }
 
@@ -318,13 +318,13 @@
     if (child === undefined) return;
     child.kill('SIGTERM');
     const at = performance.now();
-    this.disruptions.notePlanned('SIGTERM', name);
+    this.disruptions.recordPlanned('SIGTERM', name);
     this.disruptions.stops.push({ process: name, at, endedAt: Number.POSITIVE_INFINITY });
     // A process that is told again keeps the time of grace that it has.
     if (this.#isStopping.has(child)) return;
     this.#isStopping.add(child);
     const cancel = endAfterGrace(child, GRACE_TIME, () => {
-      if (this.disruptions.areCalm([name], at, performance.now()))
+      if (this.disruptions.areUndisturbed([name], at, performance.now()))
         this.violations.push(`GRACE: ${name} outlived its time of grace`);
     });
     this.#graceTimes.add(cancel);
@@ -334,7 +334,7 @@
   /** Tells a process that its settings have changed. */
   reload({ child, name }: SystemProcess): void {
     if (child === undefined) return;
-    this.disruptions.notePlanned('SIGHUP', name);
+    this.disruptions.recordPlanned('SIGHUP', name);
     child.kill('SIGHUP');
   }
 
