--- a/test/platform/soak/disruptions.ts
+++ b/test/platform/soak/disruptions.ts
@@ -51,9 +51,9 @@
   readonly configurations: DeclaredConfiguration[] = [];
   readonly #disruptions: Disruption[] = [];
 
-  record(parts: readonly string[], lasts: number): void {
+  record(parts: readonly string[], duration: number): void {
     const from = performance.now();
-    for (const part of parts) this.#disruptions.push({ part, from, to: from + lasts });
+    for (const part of parts) this.#disruptions.push({ part, from, to: from + duration });
   }
 
   /** Whether no unplanned disruption affected any of these parts in a period. */
--- a/test/platform/soak/faults.ts
+++ b/test/platform/soak/faults.ts
@@ -1,4 +1,4 @@
-/** Faults of a soak, drawn by its seed: what is done to processes, links, workers and the store, and when it ends. */
+/** Faults of a soak, drawn from its seed: what is done to processes, links, workers and the store, and when it ends. */
 import { type Random, seededRandom } from '../../../src/model/random.js';
 import { EVERYTHING } from './disruptions.js';
 import type { Stalls } from './stalls.js';
@@ -12,30 +12,30 @@
   type SystemProcess,
 } from './world.js';
 
-/** A fault that has begun. */
-interface BegunFault {
-  /** How long it lasts, in milliseconds. */
-  lasts: number;
+/** A fault in progress. */
+interface StartedFault {
+  /** In milliseconds. */
+  duration: number;
   end: () => void;
   about: string;
-  /** Parts that it strikes without being planned. */
-  strikes?: string[];
+  /** Parts that it disrupts; absent for planned work and for faults that must harm no request. */
+  disrupts?: string[];
 }
 
-/** One fault. */
+/** A kind of fault. */
 interface Fault {
   name: string;
-  /** True where it goes on by itself and is waited for. */
-  isSeries?: boolean;
-  begin(world: SoakWorld, random: Random): BegunFault;
+  /** Whether the soak waits until its duration is over before it ends the phase of faults. */
+  mustFinish?: boolean;
+  begin(world: SoakWorld, random: Random): StartedFault;
 }
 
-/** After a fault its parts count as struck for this long, in milliseconds: processes start and connections are made. */
-const AFTERMATH = 2_000;
+/** After a fault its parts count as disrupted for this long, in milliseconds, while processes restart and connections reopen. */
+const RECOVERY_TIME = 2_000;
 
-const nothing = () => {};
+const noEnd = () => {};
 
-function one<T>(items: readonly T[], random: Random): T {
+function pick<T>(items: readonly T[], random: Random): T {
   return items[random.below(items.length)];
 }
 
@@ -47,111 +47,111 @@
 
 const entriesOf = (world: SoakWorld) => world.processes.filter(({ role }) => role === 'entry');
 
-/** Does something to parts one after the other, `gap` milliseconds apart; returns how long that takes. */
-function inTurn<T>(parts: readonly T[], gap: number, act: (part: T) => void): number {
+/** Applies `act` to each part, `gap` milliseconds apart; returns how long that takes. */
+function staggered<T>(parts: readonly T[], gap: number, act: (part: T) => void): number {
   for (const [place, part] of parts.entries()) setTimeout(() => act(part), place * gap);
   return parts.length * gap;
 }
 
-/** What operators do in planned work: signals, configurations and versions, alone and in series. */
+/** Planned work by operators: signals, configurations and versions, alone and in series. */
 const PLANNED: Fault[] = [
   {
-    name: 'process told to stop',
+    name: 'SIGTERM to a process',
     begin(world, random) {
-      const struck = one(world.processes, random);
-      world.terminate(struck);
-      return { lasts: 0, end: nothing, about: struck.name };
+      const chosen = pick(world.processes, random);
+      world.terminate(chosen);
+      return { duration: 0, end: noEnd, about: chosen.name };
     },
   },
   {
-    name: 'settings told to have changed',
+    name: 'SIGHUP to a process',
     begin(world, random) {
-      const struck = one(world.processes, random);
-      world.reload(struck);
-      return { lasts: 0, end: nothing, about: struck.name };
+      const chosen = pick(world.processes, random);
+      world.reload(chosen);
+      return { duration: 0, end: noEnd, about: chosen.name };
     },
   },
   {
-    name: 'entries told to stop in turn',
-    isSeries: true,
+    name: 'SIGTERM to each entry in turn',
+    mustFinish: true,
     begin(world, random) {
       const gap = between(random, 200, 1_500);
-      const lasts = inTurn(entriesOf(world), gap, (entry) => world.terminate(entry));
-      return { lasts, end: nothing, about: `every ${gap} ms` };
+      const duration = staggered(entriesOf(world), gap, (entry) => world.terminate(entry));
+      return { duration, end: noEnd, about: `every ${gap} ms` };
     },
   },
   {
-    name: 'entries told to stop in turn, with changed settings between',
-    isSeries: true,
+    name: 'SIGTERM to each entry in turn, with SIGHUP before and after',
+    mustFinish: true,
     begin(world, random) {
       const gap = between(random, 400, 1_500);
       const entries = entriesOf(world);
-      const lasts = inTurn(entries, gap, (entry) => {
+      const duration = staggered(entries, gap, (entry) => {
         world.reload(entry);
         setTimeout(() => world.terminate(entry), gap / 4);
         setTimeout(() => world.reload(entry), gap / 2);
       });
-      return { lasts, end: nothing, about: `every ${gap} ms` };
+      return { duration, end: noEnd, about: `every ${gap} ms` };
     },
   },
   {
-    name: 'process told to stop twice',
-    isSeries: true,
+    name: 'SIGTERM twice to a process',
+    mustFinish: true,
     begin(world, random) {
-      const struck = one(world.processes, random);
+      const chosen = pick(world.processes, random);
       const gap = between(random, 20, 2_500);
-      world.terminate(struck);
-      const { child } = struck;
+      world.terminate(chosen);
+      const { child } = chosen;
       setTimeout(() => {
-        if (struck.child === child) world.terminate(struck);
+        if (chosen.child === child) world.terminate(chosen);
       }, gap);
-      return { lasts: gap, end: nothing, about: `${struck.name} after ${gap} ms` };
+      return { duration: gap, end: noEnd, about: `${chosen.name} after ${gap} ms` };
     },
   },
   {
     name: 'configuration changed',
     begin(world) {
       world.configure();
-      return { lasts: 0, end: nothing, about: `revision ${world.configurationVersion}` };
+      return { duration: 0, end: noEnd, about: `revision ${world.configurationVersion}` };
     },
   },
   {
-    name: 'version named',
+    name: 'weights version changed',
     begin(world) {
       world.bumpVersion();
-      return { lasts: 0, end: nothing, about: `version ${world.weightsVersion}` };
+      return { duration: 0, end: noEnd, about: `version ${world.weightsVersion}` };
     },
   },
 ];
 
-/** What goes wrong. */
+/** Faults that are not planned work. */
 const UNPLANNED: Fault[] = [
   {
     name: 'process killed',
     begin(world, random) {
-      const struck = one(world.processes, random);
-      signal(struck, 'SIGKILL');
-      return { lasts: 0, end: nothing, about: struck.name, strikes: [struck.name] };
+      const chosen = pick(world.processes, random);
+      signal(chosen, 'SIGKILL');
+      return { duration: 0, end: noEnd, about: chosen.name, disrupts: [chosen.name] };
     },
   },
   {
-    name: 'process told to stop while it starts',
-    isSeries: true,
+    name: 'SIGTERM to a process while it starts',
+    mustFinish: true,
     begin(world, random) {
-      const struck = one(world.processes, random);
-      const lasts = RESTART_DELAY + between(random, 0, 500);
-      signal(struck, 'SIGKILL');
-      setTimeout(() => world.terminate(struck), lasts);
-      return { lasts, end: nothing, about: `${struck.name} after ${lasts} ms`, strikes: [struck.name] };
+      const chosen = pick(world.processes, random);
+      const duration = RESTART_DELAY + between(random, 0, 500);
+      signal(chosen, 'SIGKILL');
+      setTimeout(() => world.terminate(chosen), duration);
+      return { duration, end: noEnd, about: `${chosen.name} after ${duration} ms`, disrupts: [chosen.name] };
     },
   },
   {
-    name: 'worker sheds though it is healthy',
+    name: 'healthy worker sheds requests',
     begin(world, random) {
-      const { worker } = one(world.workers, random);
+      const { worker } = pick(world.workers, random);
       worker.shedShare = between(random, 3, 11) / 10;
       return {
-        lasts: between(random, 500, 4_000),
+        duration: between(random, 500, 4_000),
         end: () => {
           worker.shedShare = 0;
         },
@@ -160,12 +160,12 @@
     },
   },
   {
-    name: 'all workers shed though they are healthy',
+    name: 'all healthy workers shed requests',
     begin(world, random) {
       const share = between(random, 3, 11) / 10;
       for (const { worker } of world.workers) worker.shedShare = share;
       return {
-        lasts: between(random, 1_000, 6_000),
+        duration: between(random, 1_000, 6_000),
         end: () => {
           for (const { worker } of world.workers) worker.shedShare = 0;
         },
@@ -174,116 +174,116 @@
     },
   },
   {
-    name: 'connections to the store silent for good',
+    name: 'connections to the store silenced permanently',
     begin(world, random) {
-      const { storeLink, name } = one(world.processes, random);
+      const { storeLink, name } = pick(world.processes, random);
       storeLink.silence();
-      return { lasts: 0, end: nothing, about: name, strikes: [name] };
+      return { duration: 0, end: noEnd, about: name, disrupts: [name] };
     },
   },
   {
-    name: 'connections to a worker silent for good',
+    name: 'connections to a worker silenced permanently',
     begin(world, random) {
-      const { link, worker } = one(world.workers, random);
+      const { link, worker } = pick(world.workers, random);
       link.silence();
-      return { lasts: 0, end: nothing, about: worker.id, strikes: [worker.id] };
+      return { duration: 0, end: noEnd, about: worker.id, disrupts: [worker.id] };
     },
   },
   {
-    name: 'connections of agents to an entry silent for good',
+    name: 'connections of agents to an entry silenced permanently',
     begin(world, random) {
-      const link = one(world.seedLinks, random);
+      const link = pick(world.seedLinks, random);
       link.silence();
       const agents = world.processes.filter(({ role }) => role === 'agent').map(({ name }) => name);
-      return { lasts: 0, end: nothing, about: link.target, strikes: agents };
+      return { duration: 0, end: noEnd, about: link.target, disrupts: agents };
     },
   },
   {
-    name: 'all open connections silent for good',
+    name: 'all open connections silenced permanently',
     begin(world) {
       for (const link of world.seedLinks) link.silence();
       for (const { storeLink } of world.processes) storeLink.silence();
       for (const { link } of world.workers) link.silence();
-      return { lasts: 0, end: nothing, about: 'all', strikes: [EVERYTHING] };
+      return { duration: 0, end: noEnd, about: 'all', disrupts: [EVERYTHING] };
     },
   },
   {
     name: 'process paused',
     begin(world, random) {
-      const struck = one(world.processes, random);
-      signal(struck, 'SIGSTOP');
+      const chosen = pick(world.processes, random);
+      signal(chosen, 'SIGSTOP');
       return {
-        lasts: between(random, 200, 2_500),
-        end: () => signal(struck, 'SIGCONT'),
-        about: struck.name,
-        strikes: [struck.name],
+        duration: between(random, 200, 2_500),
+        end: () => signal(chosen, 'SIGCONT'),
+        about: chosen.name,
+        disrupts: [chosen.name],
       };
     },
   },
   {
     name: 'all processes killed',
     begin(world) {
-      for (const struck of world.processes) signal(struck, 'SIGKILL');
-      return { lasts: 0, end: nothing, about: 'all', strikes: [EVERYTHING] };
+      for (const chosen of world.processes) signal(chosen, 'SIGKILL');
+      return { duration: 0, end: noEnd, about: 'all', disrupts: [EVERYTHING] };
     },
   },
   {
-    name: 'way to the store cut',
+    name: 'link to the store cut',
     begin(world, random) {
-      const { storeLink, name } = one(world.processes, random);
-      const how = one(['toTarget', 'fromTarget', 'both'] as const, random);
+      const { storeLink, name } = pick(world.processes, random);
+      const how = pick(['toTarget', 'fromTarget', 'both'] as const, random);
       storeLink.cut(how);
       return {
-        lasts: between(random, 300, 3_000),
+        duration: between(random, 300, 3_000),
         end: () => storeLink.cut('none'),
         about: `${name} ${how}`,
-        strikes: [name],
+        disrupts: [name],
       };
     },
   },
   {
-    name: 'way to the store reset',
+    name: 'link to the store reset',
     begin(world, random) {
-      const { storeLink, name } = one(world.processes, random);
+      const { storeLink, name } = pick(world.processes, random);
       storeLink.reset();
-      return { lasts: 0, end: nothing, about: name, strikes: [name] };
+      return { duration: 0, end: noEnd, about: name, disrupts: [name] };
     },
   },
   {
-    name: 'way to the store slow',
+    name: 'link to the store slow',
     begin(world, random) {
-      const { storeLink, name } = one(world.processes, random);
+      const { storeLink, name } = pick(world.processes, random);
       storeLink.delay = between(random, 50, 400);
       return {
-        lasts: between(random, 500, 3_000),
+        duration: between(random, 500, 3_000),
         end: () => {
           storeLink.delay = 0;
         },
         about: name,
-        strikes: [name],
+        disrupts: [name],
       };
     },
   },
   {
-    name: 'way to a worker cut',
+    name: 'link to a worker cut',
     begin(world, random) {
-      const { link, worker } = one(world.workers, random);
-      const how = one(['toTarget', 'fromTarget', 'both'] as const, random);
+      const { link, worker } = pick(world.workers, random);
+      const how = pick(['toTarget', 'fromTarget', 'both'] as const, random);
       link.cut(how);
       return {
-        lasts: between(random, 300, 2_000),
+        duration: between(random, 300, 2_000),
         end: () => link.cut('none'),
         about: `${worker.id} ${how}`,
-        strikes: [worker.id],
+        disrupts: [worker.id],
       };
     },
   },
   {
-    name: 'way to a worker reset',
+    name: 'link to a worker reset',
     begin(world, random) {
-      const { link, worker } = one(world.workers, random);
+      const { link, worker } = pick(world.workers, random);
       link.reset();
-      return { lasts: 0, end: nothing, about: worker.id, strikes: [worker.id] };
+      return { duration: 0, end: noEnd, about: worker.id, disrupts: [worker.id] };
     },
   },
   {
@@ -292,230 +292,230 @@
       const place = random.below(world.workers.length);
       const { id } = world.workers[place].worker;
       void world.replaceWorker(place);
-      return { lasts: 1_500, end: nothing, about: id, strikes: [id] };
+      return { duration: 1_500, end: noEnd, about: id, disrupts: [id] };
     },
   },
   {
-    name: 'staged piece turned bad',
+    name: 'staged piece corrupted',
     begin(world, random) {
       const engines = world.workers.map(({ worker }) => worker).filter((one) => one instanceof StandInEngine);
-      const struck = one(engines, random);
-      struck.rot(random.below(PIECES));
-      return { lasts: 0, end: nothing, about: struck.id };
+      const chosen = pick(engines, random);
+      chosen.corruptPiece(random.below(PIECES));
+      return { duration: 0, end: noEnd, about: chosen.id };
     },
   },
   {
-    name: 'store away',
+    name: 'store unavailable',
     begin({ store }, random) {
-      const how = one(['down', 'silent', 'losesAnswers'] as const, random);
+      const how = pick(['down', 'silent', 'losesAnswers'] as const, random);
       store.faults[how] = true;
       return {
-        lasts: between(random, 300, 3_000),
+        duration: between(random, 300, 3_000),
         end: () => {
           store.faults[how] = false;
         },
         about: how,
-        strikes: [EVERYTHING],
+        disrupts: [EVERYTHING],
       };
     },
   },
   {
-    name: 'history forgotten',
+    name: 'store history discarded',
     begin({ store }) {
       store.forgetHistory();
-      return { lasts: 0, end: nothing, about: 'store', strikes: [EVERYTHING] };
+      return { duration: 0, end: noEnd, about: 'store', disrupts: [EVERYTHING] };
     },
   },
 ];
 
-/** Longest time for which a moment to start an engine again is looked for, in milliseconds, and between two looks. */
-const MOMENT_LIMIT = 6_000;
-const MOMENT_INTERVAL = 5;
-/** Some clocks are an hour behind after a restart, in milliseconds. */
+/** How long to wait for an engine to reach a state in which to restart it, and the interval between checks, in milliseconds. */
+const STATE_WAIT_LIMIT = 6_000;
+const STATE_POLL_INTERVAL = 5;
+/** Clock error of some workers after a restart, in milliseconds: an hour behind. */
 const CLOCK_STEP = -3_600_000;
 
-/** Starts the worker at `place` again under its id. */
+/** Restarts the worker at `place` under its id. */
 function restart(world: SoakWorld, random: Random, place: number): void {
   const clockStep = random.below(4) === 0 ? CLOCK_STEP : 0;
   void world.restartWorker(place, clockStep, random.below(2) === 0);
 }
 
-/** Starts an engine again at the first moment at which `isMoment` says so. */
-function restartAt(
+/** Restarts an engine as soon as `isInState` holds for it. */
+function restartWhen(
   world: SoakWorld,
   random: Random,
-  isMoment: (engine: StandInEngine) => boolean,
-): BegunFault {
+  isInState: (engine: StandInEngine) => boolean,
+): StartedFault {
   const engines = world.workers.flatMap(({ worker }, place) =>
     worker instanceof StandInEngine ? [place] : [],
   );
-  const place = one(engines, random);
+  const place = pick(engines, random);
   const { id } = world.workers[place].worker;
   const timer = setInterval(() => {
     const { worker } = world.workers[place];
-    if (!(worker instanceof StandInEngine) || !isMoment(worker)) return;
+    if (!(worker instanceof StandInEngine) || !isInState(worker)) return;
     clearInterval(timer);
     restart(world, random, place);
-  }, MOMENT_INTERVAL);
-  return { lasts: MOMENT_LIMIT, end: () => clearInterval(timer), about: id, strikes: [id] };
+  }, STATE_POLL_INTERVAL);
+  return { duration: STATE_WAIT_LIMIT, end: () => clearInterval(timer), about: id, disrupts: [id] };
 }
 
-/** Workers that start again under their id. */
+/** Workers that restart under their id. */
 const RESTARTS: Fault[] = [
   {
-    name: 'worker started again',
+    name: 'worker restarted',
     begin(world, random) {
       const place = random.below(world.workers.length);
       const { id } = world.workers[place].worker;
       restart(world, random, place);
-      return { lasts: 0, end: nothing, about: id, strikes: [id] };
+      return { duration: 0, end: noEnd, about: id, disrupts: [id] };
     },
   },
   {
-    name: 'worker started again behind a cut',
+    name: 'worker restarted behind a cut link',
     begin(world, random) {
       const place = random.below(world.workers.length);
       const { link, worker } = world.workers[place];
-      const how = one(['toTarget', 'fromTarget', 'both'] as const, random);
-      const lasts = between(random, 300, 2_000);
+      const how = pick(['toTarget', 'fromTarget', 'both'] as const, random);
+      const duration = between(random, 300, 2_000);
       link.cut(how);
-      setTimeout(() => restart(world, random, place), lasts / 2);
-      return { lasts, end: () => link.cut('none'), about: `${worker.id} ${how}`, strikes: [worker.id] };
+      setTimeout(() => restart(world, random, place), duration / 2);
+      return { duration, end: () => link.cut('none'), about: `${worker.id} ${how}`, disrupts: [worker.id] };
     },
   },
   {
-    name: 'engine started again during a switch',
+    name: 'engine restarted while it switches version',
     begin(world, random) {
       world.bumpVersion();
-      return restartAt(world, random, ({ isBusy }) => isBusy);
+      return restartWhen(world, random, ({ isBusy }) => isBusy);
     },
   },
   {
-    name: 'engine started again while pieces are staged',
+    name: 'engine restarted while pieces are staged',
     begin(world, random) {
       world.bumpVersion();
-      return restartAt(world, random, ({ isStaged }) => isStaged);
+      return restartWhen(world, random, ({ isStaged }) => isStaged);
     },
   },
   {
-    name: 'engine started again while it has requests',
-    begin: (world, random) => restartAt(world, random, ({ isAtWork }) => isAtWork),
+    name: 'engine restarted while it has requests',
+    begin: (world, random) => restartWhen(world, random, ({ hasRequests }) => hasRequests),
   },
   {
-    name: 'all workers started again',
+    name: 'all workers restarted',
     begin(world, random) {
       for (const place of world.workers.keys()) restart(world, random, place);
-      return { lasts: 0, end: nothing, about: 'all', strikes: [EVERYTHING] };
+      return { duration: 0, end: noEnd, about: 'all', disrupts: [EVERYTHING] };
     },
   },
 ];
 
-/** The store comes back from an older copy of itself, alone and beside joins and drains. */
-const DRILLS: Fault[] = [
+/** The store is restored from an older copy, alone and together with a replaced worker, a new version and a new configuration. */
+const STORE_RESTORES: Fault[] = [
   {
     name: 'store came back from an older copy',
     begin(world, random) {
       const age = between(random, 100, 3_000);
       const away = between(random, 200, 1_500);
-      void world.bringOlderCopy(age, away);
-      return { lasts: age + away, end: nothing, about: `${age} ms old`, strikes: [EVERYTHING] };
+      void world.restoreOlderCopy(age, away);
+      return { duration: age + away, end: noEnd, about: `${age} ms old`, disrupts: [EVERYTHING] };
     },
   },
   {
-    name: 'worker replaced and version named before the store went back',
+    name: 'worker replaced and version changed before the store was restored',
     begin(world, random) {
       const age = between(random, 100, 3_000);
       const away = between(random, 200, 1_500);
-      void world.bringOlderCopy(age, away);
+      void world.restoreOlderCopy(age, away);
       world.bumpVersion();
       world.configure();
       void world.replaceWorker(random.below(world.workers.length));
-      return { lasts: age + away, end: nothing, about: `${age} ms old`, strikes: [EVERYTHING] };
+      return { duration: age + away, end: noEnd, about: `${age} ms old`, disrupts: [EVERYTHING] };
     },
   },
 ];
 
-/** Rate limits that workers name, in requests a second, and the range of their durations, in milliseconds. */
+/** Rate limits that workers announce, in requests a second, and the range of their durations, in milliseconds. */
 const LIMIT_RATES = [0.5, 1, 2] as const;
-const SHORTEST_LIMIT = 4_500;
-const LONGEST_LIMIT = 8_000;
+const MIN_LIMIT_DURATION = 4_500;
+const MAX_LIMIT_DURATION = 8_000;
 
-/** Workers name a rate limit in their answers for a time. */
+/** Workers announce a rate limit in their responses for a limited period. */
 const LIMITS: Fault[] = [
   {
-    name: 'worker limits its rate',
+    name: 'worker announces a rate limit',
     begin(world, random) {
-      const { worker } = one(world.workers, random);
-      const rate = one(LIMIT_RATES, random);
-      const lasts = between(random, SHORTEST_LIMIT, LONGEST_LIMIT);
-      if (worker.rateLimit !== undefined) return { lasts: 0, end: nothing, about: `${worker.id} already` };
+      const { worker } = pick(world.workers, random);
+      const rate = pick(LIMIT_RATES, random);
+      const duration = between(random, MIN_LIMIT_DURATION, MAX_LIMIT_DURATION);
+      if (worker.rateLimit !== undefined) return { duration: 0, end: noEnd, about: `${worker.id} already` };
       worker.rateLimit = rate;
       const from = performance.now();
-      world.log.limits.push({ worker: worker.id, rate, from, to: from + lasts });
+      world.log.limits.push({ worker: worker.id, rate, from, to: from + duration });
       const end = () => {
         worker.rateLimit = undefined;
       };
-      return { lasts, end, about: `${worker.id} to ${rate} a second` };
+      return { duration, end, about: `${worker.id} to ${rate} a second` };
     },
   },
 ];
 
-/** Pauses of a worker in a hundred events, and of a worker that often pauses. */
-const FEW_PAUSES = 2;
-const MANY_PAUSES = 6;
+/** Range of the percentage of events before which a worker pauses. */
+const MIN_PAUSE_PERCENT = 2;
+const MAX_PAUSE_PERCENT = 6;
 
 function stall(
   name: string,
-  begin: (stalls: Stalls, random: Random) => { lasts: number; about: string },
-  strikesAll = false,
+  begin: (stalls: Stalls, random: Random) => { duration: number; about: string },
+  affectsAll = false,
 ): Fault {
   return {
     name,
     begin(world, random) {
-      const struck = strikesAll ? world.workers : [one(world.workers, random)];
+      const chosen = affectsAll ? world.workers : [pick(world.workers, random)];
       const seed = random.below(1_000_000);
-      const begun = struck.map(({ worker: { stalls } }, place) => {
+      const begun = chosen.map(({ worker: { stalls } }, place) => {
         stalls.drawFrom(seededRandom(seed + place));
         return begin(stalls, random);
       });
-      const lasts = Math.max(...begun.map((each) => each.lasts));
+      const duration = Math.max(...begun.map((each) => each.duration));
       const end = () => {
-        for (const { worker } of struck) worker.stalls.heal();
+        for (const { worker } of chosen) worker.stalls.heal();
       };
-      const parts = strikesAll ? 'all workers' : struck[0].worker.id;
-      return { lasts, end, about: `${parts} ${begun[0].about}` };
+      const parts = affectsAll ? 'all workers' : chosen[0].worker.id;
+      return { duration, end, about: `${parts} ${begun[0].about}` };
     },
   };
 }
 
 const pauseOften = (stalls: Stalls, random: Random) => {
-  stalls.eventsInHundred = between(random, FEW_PAUSES, MANY_PAUSES);
-  stalls.startsInHundred = between(random, 0, 10);
-  return { lasts: between(random, 1_500, 5_000), about: `${stalls.eventsInHundred} in 100 events` };
+  stalls.eventPausePercent = between(random, MIN_PAUSE_PERCENT, MAX_PAUSE_PERCENT);
+  stalls.startPausePercent = between(random, 0, 10);
+  return { duration: between(random, 1_500, 5_000), about: `${stalls.eventPausePercent} in 100 events` };
 };
 
-const standStill = (stalls: Stalls, random: Random) => {
-  const lasts = between(random, 700, 2_000);
-  stalls.standStill(lasts);
-  return { lasts, about: '' };
+const suspend = (stalls: Stalls, random: Random) => {
+  const duration = between(random, 700, 2_000);
+  stalls.suspend(duration);
+  return { duration, about: '' };
 };
 
 const failContinuations = (stalls: Stalls, random: Random) => {
-  stalls.continuation = one(['refuses', 'breaksOff'] as const, random);
-  stalls.continuationsInHundred = between(random, 30, 101);
-  stalls.eventsInHundred = between(random, 0, FEW_PAUSES);
-  const about = `${stalls.continuation} ${stalls.continuationsInHundred} in 100 streams that go on`;
-  return { lasts: between(random, 2_000, 6_000), about };
+  stalls.continuation = pick(['refuses', 'breaksOff'] as const, random);
+  stalls.continuationPercent = between(random, 30, 101);
+  stalls.eventPausePercent = between(random, 0, MIN_PAUSE_PERCENT);
+  const about = `${stalls.continuation} ${stalls.continuationPercent} in 100 continued streams`;
+  return { duration: between(random, 2_000, 6_000), about };
 };
 
-/** Sound workers pause, and fail where a stream is to go on: nothing of it counts as a disruption. */
+/** Healthy workers pause, or fail to continue streams: the system must mask this, so it does not count as a disruption. */
 const STALLS: Fault[] = [
   stall('streams of a worker pause', pauseOften),
   stall('streams of all workers pause', pauseOften, true),
-  stall('worker stands still', standStill),
-  stall('all workers stand still', standStill, true),
-  stall('worker fails streams that go on', failContinuations),
-  stall('all workers fail streams that go on', failContinuations, true),
+  stall('worker suspended', suspend),
+  stall('all workers suspended', suspend, true),
+  stall('worker fails continued streams', failContinuations),
+  stall('all workers fail continued streams', failContinuations, true),
 ];
 
 const IDLE_TIMEOUTS = [300, 1_000, 5_000, 20_000, 60_000] as const;
@@ -528,26 +528,26 @@
 ];
 const MORE_ROUTES = 2_500;
 
-/** A change that stays. */
+/** Draws a permanent change of the configuration. */
 function drawChange(random: Random): Partial<ConfigurationShape> {
   const timeouts = () => ({
-    write: one(WRITE_TIMEOUTS, random),
-    long: one(LONG_TIMEOUTS, random),
-    moved: one(LONG_TIMEOUTS, random),
+    write: pick(WRITE_TIMEOUTS, random),
+    long: pick(LONG_TIMEOUTS, random),
+    moved: pick(LONG_TIMEOUTS, random),
   });
-  const draw = one(
+  const draw = pick(
     [
-      () => ({ idleTimeout: one(IDLE_TIMEOUTS, random) }),
+      () => ({ idleTimeout: pick(IDLE_TIMEOUTS, random) }),
       () => ({ timeouts: timeouts() }),
-      () => ({ movedTo: one(MOVES, random) }),
+      () => ({ movedTo: pick(MOVES, random) }),
     ],
     random,
   );
   return draw();
 }
 
-/** Declares something for a time. */
-function declareFor(
+/** A change of the configuration that is undone after between `least` and `most` milliseconds. */
+function configureTemporarily(
   name: string,
   least: number,
   most: number,
@@ -556,55 +556,55 @@
 ): Fault {
   return {
     name,
-    isSeries: true,
+    mustFinish: true,
     begin(world, random) {
       const changes = draw(random);
       world.configure(changes);
-      const lasts = between(random, least, most);
+      const duration = between(random, least, most);
       const about = `${JSON.stringify(changes)} from ${world.configurationVersion} on`;
-      return { lasts, end: () => world.configure(undo), about };
+      return { duration, end: () => world.configure(undo), about };
     },
   };
 }
 
-/** Configurations that change what running requests go by, alone, in storms, and beside signals and versions. */
+/** Configuration changes that affect requests in progress: alone, in bursts, and together with signals and versions. */
 const CONFIGURATIONS: Fault[] = [
   {
-    name: 'limits, time-outs or services changed',
+    name: 'limits, timeouts or services changed',
     begin(world, random) {
       const changes = drawChange(random);
       world.configure(changes);
-      return { lasts: 0, end: nothing, about: `${world.configurationVersion}: ${JSON.stringify(changes)}` };
+      return { duration: 0, end: noEnd, about: `${world.configurationVersion}: ${JSON.stringify(changes)}` };
     },
   },
-  declareFor(
-    'service dropped and brought back',
+  configureTemporarily(
+    'service removed and restored',
     300,
     2_500,
-    (random) => ({ dropped: one(['engines', 'plain'], random) }),
+    (random) => ({ dropped: pick(['engines', 'plain'], random) }),
     { dropped: undefined },
   ),
-  declareFor('route dropped and brought back', 300, 2_500, () => ({ lacksMovedRoute: true }), {
+  configureTemporarily('route removed and restored', 300, 2_500, () => ({ lacksMovedRoute: true }), {
     lacksMovedRoute: false,
   }),
-  declareFor('many routes', 1_000, 3_000, () => ({ moreRoutes: MORE_ROUTES }), { moreRoutes: 0 }),
+  configureTemporarily('many routes', 1_000, 3_000, () => ({ moreRoutes: MORE_ROUTES }), { moreRoutes: 0 }),
   {
-    name: 'storm of configurations',
-    isSeries: true,
+    name: 'burst of configurations',
+    mustFinish: true,
     begin(world, random) {
       const gap = between(random, 30, 400);
       const changes = Array.from({ length: between(random, 4, 12) }, () => drawChange(random));
-      const lasts = inTurn(changes, gap, (change) => world.configure(change));
-      return { lasts, end: nothing, about: `${changes.length}, every ${gap} ms` };
+      const duration = staggered(changes, gap, (change) => world.configure(change));
+      return { duration, end: noEnd, about: `${changes.length}, every ${gap} ms` };
     },
   },
   {
     name: 'configuration, version and signals at once',
-    isSeries: true,
+    mustFinish: true,
     begin(world, random) {
       const entries = entriesOf(world);
-      const stopped = one(entries, random);
-      const reloaded = one(entries, random);
+      const stopped = pick(entries, random);
+      const reloaded = pick(entries, random);
       const change = drawChange(random);
       const isBig = random.below(3) === 0;
       const steps = [
@@ -615,16 +615,16 @@
         () => world.configure({ ...drawChange(random), moreRoutes: 0 }),
       ];
       const gap = between(random, 0, 300);
-      const lasts = inTurn(steps, gap, (step) => step());
-      return { lasts, end: nothing, about: `${stopped.name} stops, every ${gap} ms` };
+      const duration = staggered(steps, gap, (step) => step());
+      return { duration, end: noEnd, about: `${stopped.name} stops, every ${gap} ms` };
     },
   },
 ];
 
-/** Longest pause between two faults, in milliseconds: series overlap. */
-const LONGEST_PAUSE = 900;
+/** Longest pause between two faults, in milliseconds; faults that last longer overlap. */
+const MAX_FAULT_PAUSE = 900;
 
-/** Which faults a seed plays: with planned work alone, everything that it harms is a loss. */
+/** Set of faults that a seed runs. With `planned` nothing excuses a request that is harmed. */
 export type FaultChoice =
   | 'planned'
   | 'all'
@@ -646,19 +646,27 @@
 const FAULTS: Record<FaultChoice, Fault[]> = {
   planned: PLANNED,
   all: [...PLANNED, ...UNPLANNED],
-  // Restarts are two in five, or few would come.
+  // Restarts make up about two in five faults, since otherwise few would be drawn.
   restarts: [...PLANNED, ...UNPLANNED, ...RESTARTS, ...RESTARTS, ...RESTARTS],
-  // Beside them a content ends the workers that run it: see `deadly-content.ts`.
+  // Meanwhile a content crashes the workers that run it: see `deadly-content.ts`.
   deadly: [...PLANNED, ...UNPLANNED],
   // Kills are only two in 24: requests from recently disrupted entries are not judged.
   limits: [...PLANNED, ...PLANNED, ...PROCESS_KILLS, ...PROCESS_KILLS, ...repeat(LIMITS, 8)],
   stalls: [...PLANNED, ...repeat(CONFIGURATIONS, 3), ...repeat(STALLS, 3)],
   mixed: [...PLANNED, ...UNPLANNED, ...CONFIGURATIONS, ...STALLS, ...STALLS],
-  drills: [...PLANNED, ...UNPLANNED, ...RESTARTS, ...DRILLS, ...DRILLS, ...DRILLS, ...DRILLS],
+  drills: [
+    ...PLANNED,
+    ...UNPLANNED,
+    ...RESTARTS,
+    ...STORE_RESTORES,
+    ...STORE_RESTORES,
+    ...STORE_RESTORES,
+    ...STORE_RESTORES,
+  ],
 };
 
-/** Provokes faults until `signal`; returns their time line. */
-export async function provoke(
+/** Injects faults until `signal` aborts; returns their timeline. */
+export async function injectFaults(
   world: SoakWorld,
   random: Random,
   signal: AbortSignal,
@@ -670,21 +678,21 @@
   const replaced = new Set<string>();
   let seriesEndAt = startedAt;
   while (!signal.aborted) {
-    await new Promise((resolve) => setTimeout(resolve, random.below(LONGEST_PAUSE)));
+    await new Promise((resolve) => setTimeout(resolve, random.below(MAX_FAULT_PAUSE)));
     if (signal.aborted) break;
-    const fault = one(faults, random);
-    // A place whose worker is being replaced is left alone until it is there.
+    const fault = pick(faults, random);
+    // No worker is replaced while another replacement is still under way.
     if (fault.name === 'worker replaced' && replaced.size > 0) continue;
-    const { lasts, end, about, strikes = [] } = fault.begin(world, random);
-    world.disruptions.record(strikes, lasts + AFTERMATH);
-    if (fault.isSeries === true) seriesEndAt = Math.max(seriesEndAt, performance.now() + lasts);
+    const { duration, end, about, disrupts = [] } = fault.begin(world, random);
+    world.disruptions.record(disrupts, duration + RECOVERY_TIME);
+    if (fault.mustFinish === true) seriesEndAt = Math.max(seriesEndAt, performance.now() + duration);
     const at = Math.round(performance.now() - startedAt);
-    timeline.push(`${at} ms ${fault.name}: ${about}${lasts > 0 ? ` for ${lasts} ms` : ''}`);
+    timeline.push(`${at} ms ${fault.name}: ${about}${duration > 0 ? ` for ${duration} ms` : ''}`);
     if (fault.name === 'worker replaced') replaced.add(about);
     setTimeout(() => {
       end();
       replaced.delete(about);
-    }, lasts);
+    }, duration);
   }
   await new Promise((resolve) => setTimeout(resolve, Math.max(0, seriesEndAt - performance.now())));
   return timeline;
--- a/test/platform/soak/main.ts
+++ b/test/platform/soak/main.ts
@@ -1,10 +1,10 @@
 /**
- * A soak: the real programs as processes, faults from outside, callers that judge every answer; then quiet, in which
- * everything must serve by the newest configuration and version again.
+ * A soak test: runs the real programs as processes, injects faults and sends requests whose every response is checked. Once the
+ * faults end, all entries must serve according to the newest configuration and version again within a time limit.
  *
  * `npm run soak -- [--seed S] [--seeds N] [--seconds T] [--entries E] [--agents A] [--callers C] [--faults planned|all|restarts|drills|deadly|limits|stalls|mixed]
- * [--kept]` prints each seed's outcome; a seed that breaks a promise prints
- * its time line and keeps its logs, and the exit code is 1.
+ * [--kept]` prints each seed's outcome. For a seed with violations it also prints the timeline of faults and keeps the logs, and the
+ * exit code is 1.
  */
 import { readFileSync, rmSync } from 'node:fs';
 import { join } from 'node:path';
@@ -19,29 +19,29 @@
   sendRequest,
 } from './callers.js';
 import { DeadlyContent } from './deadly-content.js';
-import { type FaultChoice, MOVES_ROUTE, provoke } from './faults.js';
+import { type FaultChoice, injectFaults, MOVES_ROUTE } from './faults.js';
 import { judgeCuts, judgeDepartures, judgeLimits, judgePlannedStops, judgeRepetitions } from './judges.js';
 import { SoakWorld, type WorldSize } from './world.js';
 
 const SECOND = 1_000;
-/** Longest time from the last fault until everything must serve as declared, in milliseconds. */
+/** Time limit for the recovery after the last fault, in milliseconds. */
 const RECOVERY_LIMIT = 14_000;
 const START_LIMIT = 15_000;
 const PROBE_PAUSE = 200;
 const SUBNETS = 250;
 
-/** How one seed is played. */
+/** How to run one seed. */
 interface SeedPlan {
   seed: number;
   seconds: number;
   folder: string;
   size: WorldSize;
   callers: number;
-  /** Undefined: even seeds play planned work, odd ones all faults, every other one with workers that start again too. */
+  /** If undefined, even seeds run planned work, and odd seeds all faults, every other of them with worker restarts too. */
   faults: FaultChoice | undefined;
 }
 
-/** What one seed showed. */
+/** Outcome of one seed. */
 interface SeedOutcome {
   faults: FaultChoice;
   violations: string[];
@@ -54,7 +54,7 @@
   await new Promise((resolve) => setTimeout(resolve, milliseconds));
 }
 
-/** What an entry does not yet do as declared; undefined where it does all. */
+/** Describes how an entry still differs from the declared state; undefined if it does not. */
 async function probe(
   world: SoakWorld,
   entry: string,
@@ -83,14 +83,18 @@
   return removed.status === 404 ? undefined : `a removed route gets ${removed.status}`;
 }
 
-/** Waits until every entry does as declared; returns how long that took, or what was still missing. */
-async function untilDeclared(world: SoakWorld, limit: number, sent: SentRequest[]): Promise<number | string> {
+/** Waits until every entry serves the declared state; resolves with the time taken, or with the remaining differences. */
+async function waitUntilConverged(
+  world: SoakWorld,
+  limit: number,
+  sent: SentRequest[],
+): Promise<number | string> {
   const startedAt = performance.now();
   for (;;) {
     const missing: string[] = [];
     for (const { callers } of world.entryAddresses()) {
-      const lacks = await probe(world, callers, sent, `probe-${callers}`);
-      if (lacks !== undefined) missing.push(`${callers}: ${lacks}`);
+      const mismatch = await probe(world, callers, sent, `probe-${callers}`);
+      if (mismatch !== undefined) missing.push(`${callers}: ${mismatch}`);
     }
     const took = performance.now() - startedAt;
     if (missing.length === 0) return took;
@@ -101,8 +105,8 @@
 
 async function playSeed({ seed, seconds, folder, size, ...plan }: SeedPlan): Promise<SeedOutcome> {
   const world = new SoakWorld(folder, 1 + (seed % SUBNETS), size);
-  const faults = plan.faults ?? usualFaults(seed);
-  const random = seededRandom(MOVES_ROUTE.has(faults) ? scatter(seed) : seed);
+  const faults = plan.faults ?? defaultFaults(seed);
+  const random = seededRandom(MOVES_ROUTE.has(faults) ? scatterSeed(seed) : seed);
   const probes: SentRequest[] = [];
   let deadly: DeadlyContent | undefined;
   const callers = Array.from({ length: plan.callers }, (_, index) => {
@@ -111,18 +115,18 @@
   try {
     if (MOVES_ROUTE.has(faults)) world.declareMovedRoute();
     await world.start();
-    // The first configuration has a predecessor of which no route is left.
+    // A second configuration, so that `probe` can check that the route of the previous one is gone.
     world.configure();
-    const started = await untilDeclared(world, START_LIMIT, probes);
+    const started = await waitUntilConverged(world, START_LIMIT, probes);
     if (typeof started === 'string') return failedToStart(faults, started);
     const running = callers.map((caller) => caller.run());
     if (faults === 'deadly') deadly = new DeadlyContent(world, seededRandom(seed + 1));
     if (deadly !== undefined) running.push(deadly.run());
-    const timeline = await provoke(world, random, AbortSignal.timeout(seconds * SECOND), faults);
+    const timeline = await injectFaults(world, random, AbortSignal.timeout(seconds * SECOND), faults);
     world.heal();
-    // Planned stops that have begun are part of the faults.
+    // Recovery is timed from the end of the planned stops in progress, which belong to the faults.
     await world.untilStopped();
-    const recovered = await untilDeclared(world, RECOVERY_LIMIT, probes);
+    const recovered = await waitUntilConverged(world, RECOVERY_LIMIT, probes);
     for (const caller of callers) caller.stop();
     deadly?.stop();
     await Promise.all(running);
@@ -154,12 +158,12 @@
   }
 }
 
-/** Neighbouring seeds draw alike at first; those of the newer choices are far from one another. */
-function scatter(seed: number): number {
+/** Spreads seeds, since generators with adjacent seeds draw similar values at first. Older fault choices use the seed itself. */
+function scatterSeed(seed: number): number {
   return hash32(`soak ${seed}`);
 }
 
-function usualFaults(seed: number): FaultChoice {
+function defaultFaults(seed: number): FaultChoice {
   if (seed % 2 === 0) return 'planned';
   return seed % 4 === 1 ? 'all' : 'restarts';
 }
@@ -178,19 +182,19 @@
   return counts;
 }
 
-/** The seeds that failed once of one cause, and how they were played. */
+/** Seeds that once failed for the same cause, and how they were run. */
 interface KeptSeeds {
   cause: string;
   seconds: number;
   seeds: number[];
 }
 
-/** The seeds that failed once: the first of each cause, or all. */
+/** Seeds that once failed: the first of each cause, or all. */
 function keptSeeds(all: boolean): Array<{ seed: number; seconds: number; faults: FaultChoice }> {
   const kept = JSON.parse(readFileSync('test/platform/soak/kept-seeds.json', 'utf8')) as KeptSeeds[];
   return kept.flatMap(({ seconds, seeds }) =>
     seeds.slice(0, all ? seeds.length : 1).map((seed) => {
-      // As they were played when they failed.
+      // The faults with which they failed.
       return { seed, seconds, faults: seed % 2 === 0 ? 'planned' : 'all' } as const;
     }),
   );
--- a/test/platform/soak/stalls.ts
+++ b/test/platform/soak/stalls.ts
@@ -1,68 +1,68 @@
-/** Pauses and failures of a stand-in worker in the middle of its answers: a worker that pauses is sound, and goes on. */
+/** Pauses and failures of a stand-in worker while it responds. A worker that pauses is healthy and resumes. */
 import type { Random } from '../../../src/model/random.js';
 
-/** Range of a pause of one answer, in milliseconds. */
-const SHORTEST_PAUSE = 700;
-const LONGEST_PAUSE = 1_500;
-/** Time between two looks of a pausing answer at its caller, in milliseconds. */
-const LOOK_INTERVAL = 10;
+/** Range of the length of one pause, in milliseconds. */
+const MIN_PAUSE = 700;
+const MAX_PAUSE = 1_500;
+/** Interval at which a paused response checks whether its caller has left, in milliseconds. */
+const POLL_INTERVAL = 10;
 
-/** How a worker meets a stream that goes on after an event. */
+/** How a worker handles a request to continue a stream after an event. */
 export type Continuation = 'serves' | 'refuses' | 'breaksOff';
 
-/** What a worker does to its answers besides writing them. */
+/** Faults of one worker's responses. */
 export class Stalls {
-  /** Pauses in a hundred events, or parts of an answer. */
-  eventsInHundred = 0;
-  /** Pauses in a hundred answers before anything of them comes. */
-  startsInHundred = 0;
-  /** How it meets streams that go on, and in how many of a hundred cases. */
+  /** Percentage of events, or other parts of a response, that are preceded by a pause. */
+  eventPausePercent = 0;
+  /** Percentage of responses that are preceded by a pause. */
+  startPausePercent = 0;
+  /** How continued streams are handled, in `continuationPercent` of cases; the others are served. */
   continuation: Continuation = 'serves';
-  continuationsInHundred = 0;
+  continuationPercent = 0;
   #random: Random | undefined;
-  /** Until when all its answers stand still, in milliseconds of the steady clock. */
-  #standsUntil = 0;
+  /** Until when all responses are suspended, in milliseconds of the monotonic clock. */
+  #suspendedUntil = 0;
 
-  /** Draws from `random` from now on. */
+  /** Sets the source of random numbers. */
   drawFrom(random: Random): void {
     this.#random = random;
   }
 
-  standStill(milliseconds: number): void {
-    this.#standsUntil = Math.max(this.#standsUntil, performance.now() + milliseconds);
+  suspend(milliseconds: number): void {
+    this.#suspendedUntil = Math.max(this.#suspendedUntil, performance.now() + milliseconds);
   }
 
   heal(): void {
-    this.eventsInHundred = 0;
-    this.startsInHundred = 0;
+    this.eventPausePercent = 0;
+    this.startPausePercent = 0;
     this.continuation = 'serves';
-    this.#standsUntil = 0;
+    this.#suspendedUntil = 0;
   }
 
-  /** How the next stream that goes on is met. */
-  meetContinuation(): Continuation {
-    return this.#happens(this.continuationsInHundred) ? this.continuation : 'serves';
+  /** Draws how the next continued stream is handled. */
+  drawContinuation(): Continuation {
+    return this.#drawsTrue(this.continuationPercent) ? this.continuation : 'serves';
   }
 
   beforeStart(isGone: () => boolean): Promise<void> {
-    return this.#pause(this.startsInHundred, isGone);
+    return this.#pause(this.startPausePercent, isGone);
   }
 
   beforePart(isGone: () => boolean): Promise<void> {
-    return this.#pause(this.eventsInHundred, isGone);
+    return this.#pause(this.eventPausePercent, isGone);
   }
 
-  /** Pauses in some of a hundred cases, and while the worker stands still; ends at once where the caller has gone. */
-  async #pause(inHundred: number, isGone: () => boolean): Promise<void> {
-    const pauses = this.#happens(inHundred);
-    if (!pauses && performance.now() >= this.#standsUntil) return;
-    const range = LONGEST_PAUSE - SHORTEST_PAUSE;
-    const until = pauses ? performance.now() + SHORTEST_PAUSE + this.#random!.below(range) : 0;
-    while (performance.now() < Math.max(until, this.#standsUntil) && !isGone())
-      await new Promise((resolve) => setTimeout(resolve, LOOK_INTERVAL));
+  /** Pauses with a probability of `percent`, and while the worker is suspended; returns early once the caller has left. */
+  async #pause(percent: number, isGone: () => boolean): Promise<void> {
+    const pauses = this.#drawsTrue(percent);
+    if (!pauses && performance.now() >= this.#suspendedUntil) return;
+    const range = MAX_PAUSE - MIN_PAUSE;
+    const until = pauses ? performance.now() + MIN_PAUSE + this.#random!.below(range) : 0;
+    while (performance.now() < Math.max(until, this.#suspendedUntil) && !isGone())
+      await new Promise((resolve) => setTimeout(resolve, POLL_INTERVAL));
   }
 
-  #happens(inHundred: number): boolean {
-    return inHundred > 0 && this.#random !== undefined && this.#random.below(100) < inHundred;
+  #drawsTrue(percent: number): boolean {
+    return percent > 0 && this.#random !== undefined && this.#random.below(100) < percent;
   }
 }
--- a/test/platform/soak/workers.ts
+++ b/test/platform/soak/workers.ts
@@ -1,30 +1,30 @@
 /**
- * Stand-ins for the users' workers in a soak: engines with a stage, plain services and the origin of weights. They note
- * what runs, so that the promises can be judged from what they saw.
+ * Stand-ins for the users' workers in a soak: engines with a stage for weights, plain services and the origin of weights. They
+ * record what they receive and run, so that the judges can check it.
  */
 import { createHash } from 'node:crypto';
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from 'node:http';
 import { type Continuation, Stalls } from './stalls.js';
 
-/** Pieces of a version, and layers of the model. */
+/** Number of pieces of a version, and of layers of the model. */
 export const PIECES = 8;
 export const LAYERS = 4;
 const PIECE_BYTES = 4_096;
-/** Events of a stream whose path does not name their number, and the time between two, in milliseconds. */
+/** Default number of events of a stream, and the default interval between them in milliseconds. */
 const EVENTS = 6;
 const EVENT_INTERVAL = 15;
-/** Requests that run at the same time, and that wait besides. */
+/** Requests that may run concurrently, and those that may be queued. */
 const SLOTS = 8;
 const QUEUE = 16;
-/** Time from an order to the weights, in milliseconds. */
-const WARM_TIME = 80;
-/** A staged piece that turned bad no longer ago than this excuses an order to take it, in milliseconds: the users' rule. */
-const NOTICED_WITHIN = 3_000;
+/** Time that an engine takes to load a version once it is idle, in milliseconds. */
+const LOAD_TIME = 80;
+/** An order to load a version with a corrupted piece is allowed for this long after the corruption, in milliseconds: the users' rule. */
+const CORRUPTION_DETECTION_TIME = 3_000;
 const SERVICE_TIME = 20;
-/** Time from the start of a stream that is to go on to its break, in milliseconds. */
-const BREAKING_TIME = 10;
+/** Time after which a continued stream is broken off, in milliseconds. */
+const BREAK_DELAY = 10;
 
-/** Headers of an answer by which its caller knows it. */
+/** Response headers by which a caller matches a response to its request and run. */
 type AnswerHeaders = Record<'Attempt-Id' | 'Server-Seal', string>;
 
 /** One run of a request at a worker. */
@@ -39,17 +39,17 @@
   /** Version of the weights that ran it; 0 for a plain service. */
   version: number;
   at: number;
-  /** When the work on it ended; undefined while it goes on. */
+  /** When the run ended; undefined while it is in progress. */
   endedAt: number | undefined;
-  /** True where the worker itself broke the answer off. */
+  /** Whether the worker itself aborted the response. */
   isBrokenOff: boolean;
-  /** The event after which its stream was to go on; 0 for one from the start. */
+  /** The event after which the stream was to be continued; 0 for a stream from the start. */
   after: number;
-  /** True where the worker broke off a stream that was to go on, before its first event: the caller lost nothing by it. */
+  /** Whether the worker broke off a continued stream before its first event, which loses nothing for the caller. */
   isContinuationBroken: boolean;
 }
 
-/** A request that reached a worker, whether it ran there or not. */
+/** A request that reached a worker, whether or not it ran there. */
 export interface Arrival {
   requestId: string;
   service: string;
@@ -57,22 +57,22 @@
   at: number;
 }
 
-/** A period in which a worker names a rate limit; times are in milliseconds of the steady clock. */
-export interface NamedLimit {
+/** A period in which a worker announces a rate limit; times are in milliseconds of the monotonic clock. */
+export interface RateLimitPeriod {
   worker: string;
-  /** Requests a second. */
+  /** Requests per second. */
   rate: number;
   from: number;
   to: number;
 }
 
-/** All runs, and what the stand-ins saw go wrong. */
+/** Everything that the stand-ins recorded, and the violations that they saw. */
 export class RunLog {
-  /** Told of each run as it begins. */
+  /** Called at the start of each run. */
   onRun: (run: Run) => void = () => {};
   readonly runs: Run[] = [];
   readonly arrivals: Arrival[] = [];
-  readonly limits: NamedLimit[] = [];
+  readonly limits: RateLimitPeriod[] = [];
   readonly violations: string[] = [];
 
   of(requestId: string): Run[] {
@@ -85,7 +85,7 @@
   return Buffer.alloc(PIECE_BYTES, createHash('sha256').update(`${version}/${index}`).digest());
 }
 
-/** Number of events and the time between two of the stream at `path`, which names them where they are not the usual. */
+/** Number of events and interval of the stream at `path`, whose query may override the defaults. */
 export function streamShape(path: string): { events: number; interval: number } {
   const { searchParams } = new URL(path, 'http://engine');
   return {
@@ -94,12 +94,12 @@
   };
 }
 
-/** The data of an event of the stream at `path`: the same whoever writes it. */
+/** The data of an event of the stream at `path`, which is the same at every worker. */
 export function eventData(path: string, id: number): string {
   return createHash('sha256').update(`${path}/${id}`).digest('hex').slice(0, 16);
 }
 
-/** A server at an address of its own. */
+/** A server with its own address. */
 abstract class StandIn {
   readonly address: string;
   #server: Server | undefined;
@@ -121,7 +121,7 @@
     this.#server = server;
   }
 
-  /** Ends as a crash does. */
+  /** Closes all connections abruptly, as a crash does. */
   stop(): void {
     this.#server?.closeAllConnections();
     this.#server?.close();
@@ -132,7 +132,7 @@
 
 /** The origin of weights. */
 export class StandInOrigin extends StandIn {
-  /** Pieces sent of each version. */
+  /** Number of pieces sent, by version. */
   readonly sent = new Map<number, number>();
 
   protected handle(request: IncomingMessage, response: ServerResponse): void {
@@ -150,31 +150,31 @@
   }
 }
 
-/** What a worker is made with. */
+/** Options of a worker. */
 export interface WorkerOptions {
   id: string;
   service: string;
   address: string;
   log: RunLog;
-  /** By how much its clock is wrong, in milliseconds. */
+  /** Error of its clock, in milliseconds. */
   clockStep?: number;
 }
 
 /** A worker of any service. */
 export abstract class StandInWorker extends StandIn {
   readonly id: string;
-  /** When it began by its own clock, in milliseconds since 1970: it tells this wherever it tells of itself. */
+  /** When it started by its own clock, in milliseconds since 1970; part of its record and of its reports. */
   readonly born: number;
   readonly service: string;
   protected readonly log: RunLog;
   leaving = false;
   readonly stalls = new Stalls();
-  /** Share of requests that it refuses though it is healthy. */
+  /** Share of requests that it refuses although it is healthy. */
   shedShare = 0;
-  /** Rate limit that its answers name, in requests a second; undefined for none. The worker itself does not enforce it. */
+  /** Rate limit announced in its responses, in requests per second; undefined for none. The worker does not enforce it. */
   rateLimit: number | undefined;
   #runs = 0;
-  #offers = 0;
+  #offered = 0;
 
   constructor(options: WorkerOptions) {
     super(options.address);
@@ -184,19 +184,19 @@
     this.log = options.log;
   }
 
-  /** What it keeps in the store besides its address and zone. */
+  /** Its record in the store, besides the fields common to all workers. */
   abstract record(): object;
 
-  /** Notes that a request came; returns whether the worker sheds it. */
-  protected takesIn(request: IncomingMessage): boolean {
+  /** Records the arrival of a request; returns false if the worker sheds it. */
+  protected admits(request: IncomingMessage): boolean {
     const { id: worker, service } = this;
     this.log.arrivals.push({ requestId: requestIdOf(request), service, worker, at: performance.now() });
-    // Evenly spread, so that what is shed depends on nothing but the share.
-    const before = Math.floor(this.#offers * this.shedShare);
-    return Math.floor(++this.#offers * this.shedShare) === before;
+    // Shed requests are evenly spaced, so that they depend only on the share.
+    const before = Math.floor(this.#offered * this.shedShare);
+    return Math.floor(++this.#offered * this.shedShare) === before;
   }
 
-  /** Answers that the request did not run. */
+  /** Responds that the request was not executed. */
   protected refuse(request: IncomingMessage, response: ServerResponse, status: number): void {
     const headers = { 'Attempt-Id': requestIdOf(request), 'Not-Executed': '1', ...this.limitHeaders };
     response.writeHead(status, headers);
@@ -207,7 +207,7 @@
     return this.rateLimit === undefined ? {} : { 'Server-Limit': String(this.rateLimit) };
   }
 
-  /** Notes a run; returns it with the signature of its answer. */
+  /** Records a run; returns it with the signature of its response. */
   protected run(request: IncomingMessage, body: Buffer, version: number): { run: Run; seal: string } {
     const run: Run = {
       requestId: requestIdOf(request),
@@ -229,11 +229,11 @@
     return { run, seal: `${this.id}.${++this.#runs}` };
   }
 
-  protected isMeant(request: IncomingMessage): boolean {
+  protected isAddressedHere(request: IncomingMessage): boolean {
     return request.headers['expect-instance'] === this.id;
   }
 
-  /** Writes the events that are missing of the stream at `run.path`, and ends the answer. */
+  /** Writes the remaining events of the stream at `run.path`, until the caller leaves. */
   protected async writeEvents(run: Run, response: ServerResponse, isGone: () => boolean): Promise<void> {
     const { events, interval } = streamShape(run.path);
     for (let id = run.after + 1; id <= events && !isGone(); id++) {
@@ -244,37 +244,37 @@
     }
   }
 
-  /** Whether it breaks off a stream that was to go on, before its first event. */
+  /** Breaks off a continued stream before its first event if `met` says so; returns whether it did. */
   protected breaksContinuation(run: Run, response: ServerResponse, met: Continuation, seal: string): boolean {
     if (met !== 'breaksOff') return false;
     run.isContinuationBroken = true;
     run.endedAt = performance.now();
-    // Some fail before their head, some after it.
+    // Some fail before the response head, some after it.
     if (run.after % 2 === 0) {
       const headers = { 'Attempt-Id': run.requestId, 'Server-Seal': seal, 'Weight-Versions': run.version };
       response.writeHead(200, { ...headers, 'Content-Type': 'text/event-stream' });
       response.flushHeaders();
     }
-    setTimeout(() => response.destroy(), BREAKING_TIME);
+    setTimeout(() => response.destroy(), BREAK_DELAY);
     return true;
   }
 
-  /** How it meets a stream that goes on. */
-  protected meets(request: IncomingMessage): Continuation {
-    return request.headers['last-event-id'] === undefined ? 'serves' : this.stalls.meetContinuation();
+  /** How to handle a request: one that continues a stream may be refused or broken off. */
+  protected continuationFor(request: IncomingMessage): Continuation {
+    return request.headers['last-event-id'] === undefined ? 'serves' : this.stalls.drawContinuation();
   }
 }
 
-/** A plain service: what it runs may not be repeated. */
+/** A plain service, whose requests on the `once` route must not run twice. The moved route may also lead its streams here. */
 export class StandInService extends StandInWorker {
   record(): object {
     return { slots: SLOTS };
   }
 
   protected handle(request: IncomingMessage, response: ServerResponse, body: Buffer): void {
-    if (!this.takesIn(request)) return this.refuse(request, response, 503);
-    if (!this.isMeant(request)) return this.refuse(request, response, 421);
-    const met = this.meets(request);
+    if (!this.admits(request)) return this.refuse(request, response, 503);
+    if (!this.isAddressedHere(request)) return this.refuse(request, response, 421);
+    const met = this.continuationFor(request);
     if (met === 'refuses') return this.refuse(request, response, 503);
     const { run, seal } = this.run(request, body, 0);
     if (this.breaksContinuation(run, response, met, seal)) return;
@@ -293,11 +293,11 @@
     await this.stalls.beforeStart(isGone);
     response.writeHead(200, headers);
     const answer = JSON.stringify({ id: run.requestId, seal: headers['Server-Seal'] });
-    const told = this.stalls.eventsInHundred > 0 ? 1 : 0;
-    if (told > 0) response.write(answer.slice(0, told));
+    const prefixLength = this.stalls.eventPausePercent > 0 ? 1 : 0;
+    if (prefixLength > 0) response.write(answer.slice(0, prefixLength));
     await this.stalls.beforePart(isGone);
     run.endedAt = performance.now();
-    response.end(answer.slice(told));
+    response.end(answer.slice(prefixLength));
   }
 
   async #answerStream(run: Run, response: ServerResponse, headers: AnswerHeaders, isGone: () => boolean) {
@@ -312,17 +312,17 @@
 /** An engine with a stage. */
 export class StandInEngine extends StandInWorker {
   readonly #stage = new Map<number, Buffer>();
-  /** When a piece that was staged whole turned bad last, in milliseconds of the steady clock. */
-  readonly #turnedBadAt = new Map<number, number>();
+  /** When each staged piece was last corrupted, in milliseconds of the monotonic clock. */
+  readonly #corruptedAt = new Map<number, number>();
   #version: number;
   #isBusy = false;
   #orders = 0;
   #active = 0;
   #waiting: Array<() => void> = [];
-  /** Break off the streams that run. */
+  /** Callbacks that abort the streams in progress. */
   readonly #running = new Set<() => void>();
 
-  /** @param version - what it holds at its start, staged too; 0 for nothing */
+  /** @param version - the version that is loaded and staged at its start; 0 for none */
   constructor(options: WorkerOptions & { version: number }) {
     super(options);
     this.#version = options.version;
@@ -334,12 +334,12 @@
     return this.#version;
   }
 
-  /** An order is being carried out. */
+  /** Whether an order is being carried out. */
   get isBusy(): boolean {
     return this.#isBusy;
   }
 
-  /** Pieces of a version that it does not hold lie in its stage. */
+  /** Whether its stage has pieces of the version after the loaded one. */
   get isStaged(): boolean {
     return this.#isStagedFor(this.#version + 1);
   }
@@ -348,16 +348,16 @@
     return [...this.#stage].some(([index, bytes]) => bytes.equals(pieceOf(version, index)));
   }
 
-  /** Requests run there. */
-  get isAtWork(): boolean {
+  /** Whether requests are running. */
+  get hasRequests(): boolean {
     return this.#active > 0;
   }
 
-  /** One staged piece turns bad. */
-  rot(index: number): void {
+  /** Corrupts a staged piece; does nothing if it is not staged. */
+  corruptPiece(index: number): void {
     if (!this.#stage.has(index)) return;
     this.#stage.set(index, Buffer.alloc(PIECE_BYTES, 1));
-    this.#turnedBadAt.set(index, performance.now());
+    this.#corruptedAt.set(index, performance.now());
   }
 
   record(): object {
@@ -370,7 +370,7 @@
     if (url.pathname === '/v1/report') return json(response, 200, this.#report());
     if (url.pathname.startsWith('/v1/stage-put/')) {
       this.#stage.set(index, body);
-      this.#turnedBadAt.delete(index);
+      this.#corruptedAt.delete(index);
       return json(response, 200, {});
     }
     if (url.pathname.startsWith('/v1/stage-get/')) {
@@ -404,32 +404,32 @@
     const now = performance.now();
     for (let index = 0; index < PIECES; index++) {
       const isWhole = this.#stage.get(index)?.equals(pieceOf(order.version, index)) === true;
-      const turnedBadFor = now - (this.#turnedBadAt.get(index) ?? Number.NEGATIVE_INFINITY);
-      if (!isWhole && turnedBadFor > NOTICED_WITHIN)
+      const corruptedFor = now - (this.#corruptedAt.get(index) ?? Number.NEGATIVE_INFINITY);
+      if (!isWhole && corruptedFor > CORRUPTION_DETECTION_TIME)
         this.log.violations.push(`WHOLE: ${this.id} ordered to take ${order.version}, piece ${index} is not`);
     }
     this.#orders++;
     this.#isBusy = true;
     json(response, 202, {});
     if (order.method === 'preempt') for (const breakOff of [...this.#running]) breakOff();
-    void this.#take(order.version);
+    void this.#loadVersion(order.version);
   }
 
-  async #take(version: number): Promise<void> {
+  async #loadVersion(version: number): Promise<void> {
     while (this.#active > 0) await pause(5);
-    await pause(WARM_TIME);
+    await pause(LOAD_TIME);
     this.#version = version;
     this.#isBusy = false;
     for (const wake of this.#waiting.splice(0)) wake();
   }
 
   async #generate(request: IncomingMessage, response: ServerResponse, body: Buffer): Promise<void> {
-    if (!this.takesIn(request)) return this.refuse(request, response, 503);
-    const isOther = () => {
+    if (!this.admits(request)) return this.refuse(request, response, 503);
+    const hasOtherVersion = () => {
       const expected = request.headers['expect-version'];
       return expected !== undefined && Number(expected) !== this.#version;
     };
-    if (!this.isMeant(request) || this.#version === 0 || isOther())
+    if (!this.isAddressedHere(request) || this.#version === 0 || hasOtherVersion())
       return this.refuse(request, response, 421);
     if (this.#waiting.length >= QUEUE) return this.refuse(request, response, 503);
     let isGone = false;
@@ -439,8 +439,8 @@
     while (this.#isBusy || this.#active >= SLOTS)
       await new Promise<void>((resolve) => this.#waiting.push(resolve));
     if (isGone) return this.#waiting.shift()?.();
-    if (isOther()) return this.refuse(request, response, 421);
-    const met = this.meets(request);
+    if (hasOtherVersion()) return this.refuse(request, response, 421);
+    const met = this.continuationFor(request);
     if (met === 'refuses') {
       this.#waiting.shift()?.();
       return this.refuse(request, response, 503);
--- a/test/platform/soak/world.ts
+++ b/test/platform/soak/world.ts
@@ -1,6 +1,6 @@
 /**
- * The world of a soak: entries and agents as real processes, each at a loopback address of its own, before stand-ins of
- * the store and the workers. Every way from a process to the store, and to each worker, leads over a link that can fail.
+ * The environment of a soak: entries and agents as real processes, each with its own loopback address, and stand-ins for the
+ * store and the workers. Connections to the store and to the workers run over links on which faults can be injected.
  */
 import { type ChildProcess, spawn } from 'node:child_process';
 import { closeSync, mkdirSync, openSync, writeFileSync } from 'node:fs';
@@ -17,23 +17,23 @@
 export const HOST = 'soak.example';
 export const KEY = 'key-of-tenant';
 export const TENANT = 'tenant-a';
-/** Time-out of the routes, in milliseconds; that of long streams is above their 5 s. */
+/** Default timeouts of the routes, in milliseconds; that of long streams exceeds their 5 s. */
 export const ROUTE_TIMEOUT = 3_000;
 export const LONG_TIMEOUT = 7_000;
-/** Time in which a named version must serve everywhere, in milliseconds. */
+/** Time within which a new weights version must be served everywhere, in milliseconds. */
 const VERSION_BOUND = 8_000;
 /** Time from SIGTERM to SIGKILL, in milliseconds, as on the platform. */
 export const GRACE_TIME = 8_000;
-/** Repetitions that all entries together may send: a share of the requests of a window, in milliseconds, and a slack. */
+/** Retry budget of all entries together: a share of the requests in a window, in milliseconds, plus a fixed slack. */
 export const RETRIES = { share: 0.2, slack: 30, window: 10_000 };
-/** Seconds for which an answer of the directory holds. */
+/** Lifetime of addresses from the directory, in seconds. */
 export const ADDRESS_LIFETIME = 1;
 const HEARTBEAT = 600;
-/** Time after which a process that ended is started again, in milliseconds. */
+/** Delay before an exited process is restarted, in milliseconds. */
 export const RESTART_DELAY = 200;
 const ROLE_MEMORY_MB = 120;
 
-/** Entries that every process is told of. */
+/** Number of entries that every process has as seeds in its settings. */
 const SEEDS = 2;
 
 /** One process of the system. */
@@ -41,41 +41,41 @@
   name: string;
   role: 'entry' | 'agent';
   settings: object;
-  /** The way to the store. */
+  /** Link to the store. */
   storeLink: CuttableLink;
   child: ChildProcess | undefined;
-  /** False while it is to stay away. */
+  /** Whether it is restarted when it exits. */
   isWanted: boolean;
 }
 
-interface ListedWorker {
+interface RegisteredWorker {
   worker: StandInWorker;
   zone: string;
   link: CuttableLink;
 }
 
-/** How many processes there are of each role; each agent has an engine. */
+/** Number of processes of each role; each agent has an engine. */
 export interface WorldSize {
   entries: number;
   agents: number;
 }
 
-/** What configurations say otherwise than one another. */
+/** Settings in which configurations differ. */
 export interface ConfigurationShape {
-  /** How long callers' idle connections are kept, in milliseconds. */
+  /** Idle timeout of callers' connections, in milliseconds. */
   idleTimeout: number;
-  /** Time-outs of the routes, in milliseconds. */
+  /** Timeouts of the routes, in milliseconds. */
   timeouts: Readonly<Record<string, number>>;
-  /** Services of the moved route, with their weights. */
+  /** Services of the moved route, with their traffic weights. */
   movedTo: Readonly<Record<string, number>>;
   lacksMovedRoute: boolean;
-  /** A service that is not named. */
+  /** A service that is left out; undefined for none. */
   dropped: string | undefined;
-  /** Routes besides. */
+  /** Number of additional unused routes. */
   moreRoutes: number;
 }
 
-const USUAL_SHAPE: ConfigurationShape = {
+const DEFAULT_SHAPE: ConfigurationShape = {
   idleTimeout: 5_000,
   timeouts: { write: ROUTE_TIMEOUT, long: LONG_TIMEOUT, moved: LONG_TIMEOUT },
   movedTo: { engines: 1 },
@@ -84,39 +84,39 @@
   moreRoutes: 0,
 };
 
-/** The world. */
+/** The environment of one soak. */
 export class SoakWorld {
   readonly store = new MemoryStore();
-  /** What the operator wrote last, by key. */
+  /** Latest rows written by the operator, by key. */
   readonly #operatorRows = new Map<string, string>();
-  #isGoingBack = false;
+  #isRestoring = false;
   readonly log = new RunLog();
   readonly disruptions = new Disruptions();
-  /** What processes did of their own that they may not do. */
+  /** Violations by processes themselves, such as exiting unasked. */
   readonly violations: string[] = [];
   readonly processes: SystemProcess[] = [];
-  readonly workers: ListedWorker[] = [];
-  /** The ways by which agents first reach the entries that they are told of. */
+  readonly workers: RegisteredWorker[] = [];
+  /** Links over which agents reach their seed entries. */
   readonly seedLinks: CuttableLink[] = [];
   readonly #size: WorldSize;
-  /** Whatever ends this process ends those that it started. */
-  readonly #endWithProcess = () => this.stop();
+  /** Stops the started processes when this process exits for any reason. */
+  readonly #stopOnExit = () => this.stop();
   readonly #folder: string;
   readonly #subnet: number;
   #origin: StandInOrigin;
   #stopStore: () => void = () => {};
   #heartbeat: NodeJS.Timeout | undefined;
   #configurationVersion = 0;
-  #shape = USUAL_SHAPE;
+  #shape = DEFAULT_SHAPE;
   #hasMovedRoute = false;
   #weightsVersion = 1;
-  #beats = 0;
+  #heartbeats = 0;
   #workersStarted = 0;
-  /** Places whose worker has ended and whose next one does not run yet. */
-  readonly #vacant = new Set<number>();
+  /** Places whose worker has ended and whose successor is not running yet. */
+  readonly #beingReplaced = new Set<number>();
   #stopped = false;
-  /** Functions that cancel the times of grace of processes that are stopping. */
-  readonly #graceTimes = new Set<() => void>();
+  /** Functions that cancel the grace period timers of stopping processes. */
+  readonly #graceTimers = new Set<() => void>();
   readonly #isStopping = new WeakSet<ChildProcess>();
 
   /** @param subnet - 1 to 250: the loopback network 127.`subnet`.0.0 is used */
@@ -136,7 +136,7 @@
     return this.#weightsVersion;
   }
 
-  /** Addresses of entries for callers and for look-ups. */
+  /** Addresses of entries, for requests and for the directory. */
   entryAddresses(): Array<{ callers: string; directory: string }> {
     return Array.from({ length: this.#size.entries }, (_, index) => ({
       callers: this.#address(1, index + 1, 8_005),
@@ -144,13 +144,13 @@
     }));
   }
 
-  /** The name of the entry with this address for callers. */
+  /** Name of the entry that callers reach at this address. */
   entryAt(callers: string): string {
     return `entry-${this.entryAddresses().findIndex((entry) => entry.callers === callers) + 1}`;
   }
 
   async start(): Promise<void> {
-    process.once('exit', this.#endWithProcess);
+    process.once('exit', this.#stopOnExit);
     const { entries, agents } = this.#size;
     const wire = await wireStore(this.store);
     this.#stopStore = wire.stop;
@@ -162,17 +162,17 @@
     for (let seed = 1; seed <= SEEDS; seed++) await this.#addSeedLink(seed);
     for (let index = 1; index <= entries; index++) await this.#addProcess('entry', index, wire.address);
     for (let index = 1; index <= agents; index++) await this.#addProcess('agent', index, wire.address);
-    this.#beat();
-    this.#heartbeat = setInterval(() => this.#beat(), HEARTBEAT);
+    this.#writeHeartbeats();
+    this.#heartbeat = setInterval(() => this.#writeHeartbeats(), HEARTBEAT);
     for (const started of this.processes) this.spawn(started);
   }
 
-  /** Ends all that was started here, by its own identity. */
+  /** Stops everything that was started here, each process by its own handle. */
   stop(): void {
-    process.off('exit', this.#endWithProcess);
+    process.off('exit', this.#stopOnExit);
     this.#stopped = true;
     clearInterval(this.#heartbeat);
-    for (const cancel of this.#graceTimes) cancel();
+    for (const cancel of this.#graceTimers) cancel();
     for (const link of this.seedLinks) link.stop();
     for (const { child, storeLink } of this.processes) {
       child?.kill('SIGCONT');
@@ -188,37 +188,37 @@
   }
 
   /**
-   * The store goes away and comes back as it was `age` milliseconds before; the operator writes again what is lost, and workers
-   * do with their heartbeats. It is struck for both times together.
+   * Copies the store, makes it unavailable after `age` milliseconds, and restores the copy after `outage` milliseconds more. The
+   * operator then writes all its rows again; workers do so with their heartbeats.
    */
-  async bringOlderCopy(age: number, away: number): Promise<void> {
-    if (this.#isGoingBack) return;
-    this.#isGoingBack = true;
+  async restoreOlderCopy(age: number, outage: number): Promise<void> {
+    if (this.#isRestoring) return;
+    this.#isRestoring = true;
     const copy = this.store.copy();
     await pause(age);
     this.store.faults.down = true;
-    await pause(away);
-    this.#isGoingBack = false;
+    await pause(outage);
+    this.#isRestoring = false;
     if (this.#stopped) return;
     this.store.restore(copy);
     this.store.faults.down = false;
     for (const [key, value] of this.#operatorRows) this.store.write('op', key, value);
   }
 
-  /** Writes a row of the operator, who remembers it. */
+  /** Writes a row as the operator and remembers it for a restored store. */
   #writeAsOperator(key: string, value: object): void {
     this.#operatorRows.set(key, JSON.stringify(value));
     this.store.write('op', key, this.#operatorRows.get(key));
   }
 
-  /** Declares a route of streams from now on whose service changes. */
+  /** Includes in later configurations the moved route: a route of streams whose services change. */
   declareMovedRoute(): void {
     this.#hasMovedRoute = true;
   }
 
   /**
-   * Writes the next configuration: the route of every version goes again with the next.
-   * @param changes - what it says otherwise than the one before, also in those that follow
+   * Writes the next configuration. Its `added-` route is named after its version, so the next configuration removes it.
+   * @param changes - changes from the previous configuration, which later ones keep
    */
   configure(changes: Partial<ConfigurationShape> = {}): void {
     const version = ++this.#configurationVersion;
@@ -280,14 +280,14 @@
     this.#writeAsOperator('config', configuration);
   }
 
-  /** Names new weights. */
+  /** Declares the next version of the weights. */
   bumpVersion(): void {
     const version = ++this.#weightsVersion;
     this.disruptions.recordPlanned('version', String(version));
     this.#writeAsOperator('version/m', { model: 'm', version });
   }
 
-  /** Starts a process, and again whenever it ends. */
+  /** Starts a process, and restarts it whenever it exits. */
   spawn(started: SystemProcess): void {
     if (this.#stopped || !started.isWanted) return;
     const output = openSync(join(this.#folder, `${started.name}.log`), 'a');
@@ -310,8 +310,8 @@
   }
 
   /**
-   * Tells a process to stop as the platform does: SIGTERM, and SIGKILL once its time of grace is over. One that has to be
-   * killed though it was let run all the time breaks a promise.
+   * Stops a process as the platform does: SIGTERM, then SIGKILL at the end of its grace period. Having to kill a process is a
+   * violation unless it was disrupted meanwhile.
    */
   terminate(stopped: SystemProcess): void {
     const { child, name } = stopped;
@@ -320,34 +320,34 @@
     const at = performance.now();
     this.disruptions.recordPlanned('SIGTERM', name);
     this.disruptions.stops.push({ process: name, at, endedAt: Number.POSITIVE_INFINITY });
-    // A process that is told again keeps the time of grace that it has.
+    // A repeated SIGTERM does not extend the grace period.
     if (this.#isStopping.has(child)) return;
     this.#isStopping.add(child);
     const cancel = endAfterGrace(child, GRACE_TIME, () => {
       if (this.disruptions.areUndisturbed([name], at, performance.now()))
         this.violations.push(`GRACE: ${name} outlived its time of grace`);
     });
-    this.#graceTimes.add(cancel);
-    child.once('exit', () => this.#graceTimes.delete(cancel));
+    this.#graceTimers.add(cancel);
+    child.once('exit', () => this.#graceTimers.delete(cancel));
   }
 
-  /** Tells a process that its settings have changed. */
+  /** Sends SIGHUP, so that the process reloads its settings. */
   reload({ child, name }: SystemProcess): void {
     if (child === undefined) return;
     this.disruptions.recordPlanned('SIGHUP', name);
     child.kill('SIGHUP');
   }
 
-  /** Returns once no process is about to stop. */
+  /** Resolves once every process that was sent SIGTERM has exited. */
   async untilStopped(): Promise<void> {
     while (this.disruptions.stops.some(({ endedAt }) => endedAt === Number.POSITIVE_INFINITY))
       await new Promise((resolve) => setTimeout(resolve, 50));
   }
 
-  /** A worker ends as in a crash; its record lapses, and another comes in its place without weights. */
+  /** Crashes a worker, removes its record after a heartbeat and starts another in its place, without weights. */
   async replaceWorker(place: number): Promise<void> {
-    if (this.#vacant.has(place)) return;
-    this.#vacant.add(place);
+    if (this.#beingReplaced.has(place)) return;
+    this.#beingReplaced.add(place);
     const { worker, link } = this.workers[place];
     worker.stop();
     link.stop();
@@ -356,22 +356,22 @@
     this.store.write('servers', worker.id, undefined);
     if (worker instanceof StandInEngine) await this.#addEngine(place + 1, 0, place);
     else await this.#addService(place - this.#size.agents + 1, place);
-    this.#vacant.delete(place);
-    this.#beat();
+    this.#beingReplaced.delete(place);
+    this.#writeHeartbeats();
   }
 
   /**
-   * A worker ends as in a crash and comes back at once under its id, with nothing in memory or in its stage.
-   * @param clockStep - by how much its clock is wrong then, in milliseconds
-   * @param isTold - the store has its new entry at once; otherwise its own report may tell first
+   * Crashes a worker and restarts it at once under its id, with no weights loaded or staged.
+   * @param clockStep - error of its clock after the restart, in milliseconds
+   * @param isRegisteredAtOnce - whether its new record is written to the store at once; otherwise its own report may come first
    */
-  async restartWorker(place: number, clockStep: number, isTold: boolean): Promise<void> {
-    if (this.#vacant.has(place)) return;
-    this.#vacant.add(place);
+  async restartWorker(place: number, clockStep: number, isRegisteredAtOnce: boolean): Promise<void> {
+    if (this.#beingReplaced.has(place)) return;
+    this.#beingReplaced.add(place);
     const { worker, zone, link } = this.workers[place];
     const { id, service, address } = worker;
     worker.stop();
-    // Its address is free once the loop has closed it.
+    // The address becomes free only once the event loop has closed the socket.
     await new Promise((resolve) => setImmediate(resolve));
     if (this.#stopped) return;
     const options = { id, service, address, log: this.log, clockStep };
@@ -381,11 +381,11 @@
         : new StandInService(options);
     this.workers[place] = { worker: next, zone, link };
     await next.start();
-    this.#vacant.delete(place);
-    if (isTold) this.#beat();
+    this.#beingReplaced.delete(place);
+    if (isRegisteredAtOnce) this.#writeHeartbeats();
   }
 
-  /** Heals everything that a fault may have left. */
+  /** Ends all effects that faults may have left behind. */
   heal(): void {
     Object.assign(this.store.faults, { down: false, silent: false, losesAnswers: false });
     for (const { storeLink, child, isWanted } of this.processes) {
@@ -400,7 +400,7 @@
       worker.rateLimit = undefined;
       worker.stalls.heal();
     }
-    if (JSON.stringify(this.#shape) !== JSON.stringify(USUAL_SHAPE)) this.configure(USUAL_SHAPE);
+    if (JSON.stringify(this.#shape) !== JSON.stringify(DEFAULT_SHAPE)) this.configure(DEFAULT_SHAPE);
     const now = performance.now();
     for (const limit of this.log.limits) limit.to = Math.min(limit.to, now);
   }
@@ -413,17 +413,17 @@
     const id = `i-engine-${++this.#workersStarted}`;
     const address = this.#address(3, index, 8_001);
     const worker = new StandInEngine({ id, service: 'engines', address, log: this.log, version });
-    await this.#list(worker, index, place, this.#address(5, index, 8_001));
+    await this.#register(worker, index, place, this.#address(5, index, 8_001));
   }
 
   async #addService(index: number, place = this.workers.length): Promise<void> {
     const id = `i-plain-${++this.#workersStarted}`;
     const address = this.#address(4, index, 8_001);
     const worker = new StandInService({ id, service: 'plain', address, log: this.log });
-    await this.#list(worker, index, place, this.#address(6, index, 8_001));
+    await this.#register(worker, index, place, this.#address(6, index, 8_001));
   }
 
-  async #list(worker: StandInWorker, index: number, place: number, linkAddress: string): Promise<void> {
+  async #register(worker: StandInWorker, index: number, place: number, linkAddress: string): Promise<void> {
     const link = new CuttableLink(linkAddress, worker.address);
     await worker.start();
     await link.start();
@@ -472,12 +472,12 @@
     this.processes.push({ name, role, settings, storeLink, child: undefined, isWanted: true });
   }
 
-  /** Workers keep themselves in the store; while it is away their writes come to nothing. */
-  #beat(): void {
+  /** Writes every worker's record to the store; skipped while the store is unavailable, as the writes would be lost. */
+  #writeHeartbeats(): void {
     const { down, silent } = this.store.faults;
     if (down || silent) return;
-    this.#beats++;
-    // In one change: each wakes every reader, and all of this runs in one process.
+    this.#heartbeats++;
+    // One write for all, because each write wakes every reader and all stand-ins share one process.
     const rows = this.workers.map(({ worker, zone, link }): [string, string] => {
       const record = {
         service: worker.service,
@@ -486,7 +486,7 @@
         version: 'v1',
         state: worker.leaving ? 'draining' : 'ready',
         cold_left_ms: 0,
-        seq: this.#beats,
+        seq: this.#heartbeats,
         born: worker.born,
         ...worker.record(),
       };
