--- a/test/agent/exchange.test.ts
+++ b/test/agent/exchange.test.ts
@@ -9,7 +9,7 @@
 import { type Connection, ConnectionListener, connect } from '../../src/protocol/connection.js';
 import { type Assignment, type Message, transferKeyOf } from '../../src/protocol/messages.js';
 import type { PeerInfo } from '../../src/systems/distribution/transfer.js';
-import { contextAt, until } from '../support.js';
+import { createConnectionContext, until } from '../support.js';
 
 const CHUNK_BYTES = 1_000;
 const WEIGHTS = Buffer.from(
@@ -66,7 +66,7 @@
 }
 
 async function agent(name: string, origin: Origin, place = 'place-a'): Promise<TestAgent> {
-  const { context, info, timeline } = await contextAt(name, place);
+  const { context, info, timeline } = await createConnectionContext(name, place);
   const store = new ChunkStore(100 * CHUNK_BYTES);
   const completed: string[] = [];
   const toCoordinator: Message[] = [];
@@ -112,7 +112,7 @@
   target: TestAgent,
   place = 'place-a',
 ): Promise<{ connection: Connection; heard: Message[] }> {
-  const { context } = await contextAt('impostor', place);
+  const { context } = await createConnectionContext('impostor', place);
   const outcome = await connect(target.info.address, context, AbortSignal.timeout(5_000));
   if (!outcome.ok) throw new Error(outcome.error.reason);
   const heard: Message[] = [];
--- a/test/forwarding/answer-cut-by-connection.test.ts
+++ b/test/forwarding/answer-cut-by-connection.test.ts
@@ -5,7 +5,7 @@
 import { connect, type Socket } from 'node:net';
 import { afterEach, beforeEach, describe, expect, it } from 'vitest';
 import type { FleetConfiguration } from '../../src/fleet/configuration.js';
-import { standStill, until } from '../support.js';
+import { blockEventLoop, until } from '../support.js';
 import { ForwardingHarness } from './forwarding-harness.js';
 import { routeNamed } from './routes.js';
 import { events, reply, type Script, StandInBackEnd } from './stand-in-back-end.js';
@@ -235,7 +235,7 @@
       });
     });
     await new Promise((resolve) => setTimeout(resolve, 0));
-    standStill(100);
+    blockEventLoop(100);
     await forwarding.close();
     for (const got of await Promise.all(outcomes)) expect(got).toMatch(/^HTTP\/1.1 200 /);
   });
--- a/test/forwarding/idle-connection.test.ts
+++ b/test/forwarding/idle-connection.test.ts
@@ -5,7 +5,7 @@
 import { connect, type Socket } from 'node:net';
 import { setTimeout as sleep } from 'node:timers/promises';
 import { afterEach, beforeEach, expect, it } from 'vitest';
-import { standStill, until } from '../support.js';
+import { blockEventLoop, until } from '../support.js';
 import { ForwardingHarness } from './forwarding-harness.js';
 import { routeNamed } from './routes.js';
 import { reply, StandInBackEnd } from './stand-in-back-end.js';
@@ -90,7 +90,7 @@
   const caller = await callerWithAnswer();
   await sleep(time - SENT_BEFORE_END);
   caller.send('second');
-  standStill(STANDSTILL);
+  blockEventLoop(STANDSTILL);
   await until(() => caller.isClosed || caller.answers > 1, 'the second answer');
   expect(caller.answers).toBe(2);
   caller.close();
--- a/test/forwarding/rate-limited-engine.test.ts
+++ b/test/forwarding/rate-limited-engine.test.ts
@@ -5,7 +5,7 @@
 import { silentLog } from '../../src/observability/log.js';
 import { SlotClient } from '../../src/peers/slot-client.js';
 import { SlotServer } from '../../src/peers/slot-server.js';
-import { contextAt, until } from '../support.js';
+import { createConnectionContext, until } from '../support.js';
 import { ENGINE_CONFIGURATION, ENGINE_LAYERS } from './engine-configuration.js';
 import { ForwardingHarness } from './forwarding-harness.js';
 import { allowedInWindow, mostInWindow } from './rate-limit-audit.js';
@@ -38,7 +38,11 @@
 
 /** Starts an entry that knows the engine and its agent. */
 async function startEntry(): Promise<Entry> {
-  const client = new SlotClient(await freeAddress(), (await contextAt('entry')).context, seededRandom(3));
+  const client = new SlotClient(
+    await freeAddress(),
+    (await createConnectionContext('entry')).context,
+    seededRandom(3),
+  );
   await client.start();
   const forwarding = new ForwardingHarness('engines');
   forwarding.slots = client;
@@ -57,7 +61,7 @@
     reply(200, events(1, 1), headers)(request, response, body);
   }).start();
   agentAddress = await freeAddress();
-  agent = new SlotServer(agentAddress, (await contextAt('agent')).context, silentLog);
+  agent = new SlotServer(agentAddress, (await createConnectionContext('agent')).context, silentLog);
   await agent.start();
   agent.observe({ isServing: true, load: 0 });
   entries = [];
--- a/test/forwarding/slots.test.ts
+++ b/test/forwarding/slots.test.ts
@@ -8,7 +8,7 @@
 import { silentLog } from '../../src/observability/log.js';
 import { SlotClient } from '../../src/peers/slot-client.js';
 import { SlotServer } from '../../src/peers/slot-server.js';
-import { contextAt, standStill, until } from '../support.js';
+import { blockEventLoop, createConnectionContext, until } from '../support.js';
 import { ForwardingHarness, NOOP_CLAIM } from './forwarding-harness.js';
 import { events, reply, StandInBackEnd } from './stand-in-back-end.js';
 
@@ -53,7 +53,7 @@
     held.push(() => reply(200, events(1, 1), { 'x-version': '1' })(request, response, body));
   }).start();
   const address = await freeAddress();
-  const agent = new SlotServer(address, (await contextAt('agent')).context, silentLog);
+  const agent = new SlotServer(address, (await createConnectionContext('agent')).context, silentLog);
   await agent.start();
   agent.observe({ isServing: true, load: 0 });
   return { backEnd, agent, address };
@@ -94,7 +94,11 @@
 beforeEach(async () => {
   held = [];
   engines = [await startEngine(), await startEngine()];
-  client = new SlotClient(await freeAddress(), (await contextAt('entry')).context, seededRandom(3));
+  client = new SlotClient(
+    await freeAddress(),
+    (await createConnectionContext('entry')).context,
+    seededRandom(3),
+  );
   await client.start();
   forwarding = new ForwardingHarness('engines');
   forwarding.slots = client;
@@ -144,7 +148,11 @@
 it('an engine is used without slots while its agent has just started and does not know its state', async () => {
   for (const [index, { agent, address }] of engines.entries()) {
     await agent.stop();
-    engines[index].agent = new SlotServer(address, (await contextAt('agent')).context, silentLog);
+    engines[index].agent = new SlotServer(
+      address,
+      (await createConnectionContext('agent')).context,
+      silentLog,
+    );
     await engines[index].agent.start();
   }
   const answers = Array.from({ length: 3 }, () => forwarding.send('/write/a'));
@@ -167,7 +175,7 @@
     const claim = ask(...question);
     // Pauses the process once both agents of a request have been asked. The pause is longer than agents may be
     // silent, and shorter than the request waits.
-    if (++asked % 2 === 0) standStill(300);
+    if (++asked % 2 === 0) blockEventLoop(300);
     return claim;
   };
   // An agent is still asked after one unanswered request, so only the second request shows whether it is considered
--- a/test/forwarding/standstill.test.ts
+++ b/test/forwarding/standstill.test.ts
@@ -2,7 +2,7 @@
 import { afterEach, beforeEach, expect, it } from 'vitest';
 import { STREAM_ROUTE } from '../../bench/simulation/stream-route.js';
 import type { FleetConfiguration } from '../../src/fleet/configuration.js';
-import { standStill } from '../support.js';
+import { blockEventLoop } from '../support.js';
 import { ForwardingHarness } from './forwarding-harness.js';
 import { events, StandInBackEnd } from './stand-in-back-end.js';
 
@@ -48,7 +48,7 @@
 it('a request is sent once although its entry was stalled while the back end worked', async () => {
   const answer = forwarding.send('/write/a');
   await new Promise((resolve) => setTimeout(resolve, ANSWER_TIME / 2));
-  standStill(STANDSTILL);
+  blockEventLoop(STANDSTILL);
   expect(await answer).toMatchObject({ status: 200, body: events(1, 3), whole: true });
   expect(backEnds.flatMap(({ requests }) => requests)).toHaveLength(1);
 });
--- a/test/model/time-limit.test.ts
+++ b/test/model/time-limit.test.ts
@@ -7,7 +7,7 @@
 import { request } from 'undici';
 import { expect, it } from 'vitest';
 import { withLimit } from '../../src/model/time-limit.js';
-import { standStill } from '../support.js';
+import { blockEventLoop } from '../support.js';
 
 it('a limit may be a fraction of a millisecond', async () => {
   const limited = withLimit(new AbortController().signal, 12.5);
@@ -59,7 +59,7 @@
 it('a limit that expires during a stall leaves time to read a response that arrived meanwhile', async () => {
   const server = createServer((_request, response) => {
     // The response is sent after the limit, and the timer of the limit fires before this process reads it.
-    standStill(1_500);
+    blockEventLoop(1_500);
     response.end('done');
   });
   await new Promise<void>((resolve) => server.listen(0, '127.0.0.1', resolve));
@@ -72,7 +72,7 @@
 
 it('a limit that expired during a stall aborts the call soon after it', async () => {
   const limited = withLimit(new AbortController().signal, 50);
-  standStill(400);
+  blockEventLoop(400);
   await new Promise((resolve) => limited.addEventListener('abort', resolve));
   expect(limited.reason).toMatchObject({ name: 'TimeoutError' });
 });
--- a/test/peers/entry-link.test.ts
+++ b/test/peers/entry-link.test.ts
@@ -6,7 +6,7 @@
 import { ConnectionListener } from '../../src/protocol/connection.js';
 import type { EngineReport, WeightsPlan } from '../../src/protocol/reports.js';
 import { SilentProxy } from '../silent-proxy.js';
-import { contextAt, until } from '../support.js';
+import { createConnectionContext, until } from '../support.js';
 
 /** Agent and entry must receive one another's messages again within this time, in milliseconds. */
 const RECOVERY_LIMIT = 2_800;
@@ -29,8 +29,8 @@
 });
 
 it('an agent and its entry exchange messages again soon after their connection went silent', async () => {
-  const entry = await contextAt('entry', 'place-a', 'entry');
-  const agent = await contextAt('agent');
+  const entry = await createConnectionContext('entry', 'place-a', 'entry');
+  const agent = await createConnectionContext('agent');
   let bound = 1;
   const plan = () => ({ bound, entries: [] as string[], hasNearEntry: false }) as unknown as WeightsPlan;
   let reported = 0;
--- a/test/peers/slot-messages.test.ts
+++ b/test/peers/slot-messages.test.ts
@@ -7,7 +7,7 @@
 import { SlotServer } from '../../src/peers/slot-server.js';
 import { DatagramEndpoint } from '../../src/protocol/datagrams.js';
 import type { Message } from '../../src/protocol/messages.js';
-import { contextAt, until } from '../support.js';
+import { createConnectionContext, until } from '../support.js';
 
 const WISH = { urgency: 0, waitedFor: 0, patience: 60_000, slots: 1, rateLimit: undefined };
 
@@ -34,11 +34,11 @@
 beforeEach(async () => {
   [address, entryAddress] = [await freeAddress(), await freeAddress()];
   heard = [];
-  other = new DatagramEndpoint(address, (await contextAt('agent')).context, (message) => {
+  other = new DatagramEndpoint(address, (await createConnectionContext('agent')).context, (message) => {
     heard.push(message);
   });
   await other.start();
-  client = new SlotClient(entryAddress, (await contextAt('entry')).context, seededRandom(3));
+  client = new SlotClient(entryAddress, (await createConnectionContext('entry')).context, seededRandom(3));
   await client.start();
 });
 
@@ -104,7 +104,7 @@
 
 it('the slot of an entry that disappears is granted to the next waiting entry', async () => {
   const agentAddress = await freeAddress();
-  const agent = new SlotServer(agentAddress, (await contextAt('agent')).context, silentLog);
+  const agent = new SlotServer(agentAddress, (await createConnectionContext('agent')).context, silentLog);
   await agent.start();
   agent.observe({ isServing: true, load: 0 });
   other.send(agentAddress, { type: 'slotAsked', id: 1, ...WISH });
@@ -149,7 +149,7 @@
 
 it('a restarted agent applies the rate limit that entries know until the engine has answered', async () => {
   const agentAddress = await freeAddress();
-  const agent = new SlotServer(agentAddress, (await contextAt('agent')).context, silentLog);
+  const agent = new SlotServer(agentAddress, (await createConnectionContext('agent')).context, silentLog);
   await agent.start();
   agent.observe({ isServing: true, load: 0 });
   expect(agent.rateLimit).toBeUndefined();
--- a/test/peers/standstill.test.ts
+++ b/test/peers/standstill.test.ts
@@ -8,7 +8,7 @@
 import { EntryPeers } from '../../src/peers/entry-peers.js';
 import { ConnectionListener } from '../../src/protocol/connection.js';
 import type { EntryReport } from '../../src/protocol/reports.js';
-import { contextAt, NO_NEWS, standStill, until } from '../support.js';
+import { blockEventLoop, createConnectionContext, NO_NEWS, until } from '../support.js';
 
 /** Longer than an entry counts as live after its latest report, in milliseconds. */
 const STANDSTILL = 2_000;
@@ -20,7 +20,7 @@
 });
 
 async function startEntry(seeds: string[]): Promise<{ peers: EntryPeers; address: string }> {
-  const { context, info } = await contextAt(await freeAddress(), 'place-a', 'entry');
+  const { context, info } = await createConnectionContext(await freeAddress(), 'place-a', 'entry');
   const { address, zone, region, id } = info;
   const report = (): EntryReport => ({
     id,
@@ -66,6 +66,6 @@
   const first = await startEntry([]);
   const second = await startEntry([first.address]);
   await until(() => first.peers.live().length === 1 && second.peers.live().length === 1, 'both to be heard');
-  standStill(STANDSTILL);
+  blockEventLoop(STANDSTILL);
   expect([first.peers.live().length, second.peers.live().length]).toEqual([1, 1]);
 });
--- a/test/platform/soak-grace.test.ts
+++ b/test/platform/soak-grace.test.ts
@@ -2,7 +2,7 @@
 import { type ChildProcess, spawn } from 'node:child_process';
 import { once } from 'node:events';
 import { expect, it } from 'vitest';
-import { standStill } from '../support.js';
+import { blockEventLoop } from '../support.js';
 import { endAfterGrace } from './soak/grace.js';
 
 const GRACE = 800;
@@ -23,7 +23,7 @@
     hasOutlived = true;
   });
   const exit = once(child, 'exit');
-  if (blockedFor > 0) standStill(blockedFor);
+  if (blockedFor > 0) blockEventLoop(blockedFor);
   await exit;
   return hasOutlived;
 }
--- a/test/platform/soak-judges.test.ts
+++ b/test/platform/soak-judges.test.ts
@@ -1,4 +1,4 @@
-/** The judges of the soak find what they are for, and leave alone what is allowed. */
+/** Tests that the judges of the soak report each kind of violation and nothing that is allowed. */
 import { beforeEach, describe, expect, it } from 'vitest';
 import { judgeAnswer, judgeMissingRoute, type SentRequest } from './soak/callers.js';
 import { Disruptions } from './soak/disruptions.js';
@@ -68,7 +68,7 @@
     disruptions.stops.push({ process: 'entry-1', at, endedAt: Number.POSITIVE_INFINITY });
   }
 
-  it('is an answer that a planned stop cuts', () => {
+  it('is an answer cut by a planned stop', () => {
     stopAt(START + 1_000);
     log.runs.push(run('one'));
     expect(judgePlannedStops(world, [sent('one', cut)])).toEqual([expect.stringMatching(/^LOST: one /)]);
@@ -83,7 +83,7 @@
     ['is whole', {}, {}],
     ['was left by its caller', { ...cut, leftAt: START + 10 }, {}],
     ['was broken off by its worker', cut, { isBrokenOff: true }],
-    ['reached the time-out of its route', { ...cut, endedAt: START + 7_000 }, {}],
+    ['reached the timeout of its route', { ...cut, endedAt: START + 7_000 }, {}],
     ['was sent early and cut late', { ...cut, sentAt: START + 3_500, endedAt: START + 8_000 }, {}],
   ])('is no answer that %s', (_, changes, changesOfRun) => {
     stopAt(START + 1_000);
@@ -91,7 +91,7 @@
     expect(judgePlannedStops(world, [sent('one', changes)])).toEqual([]);
   });
 
-  it('is no request that crossed the close of its connection', () => {
+  it('is no request that was sent while its connection was being closed', () => {
     stopAt(START + 1_000);
     const crossing = { ...cut, status: undefined, sentAt: START + 2_000, writtenAt: START + 2_000 };
     expect(judgePlannedStops(world, [sent('one', { ...crossing, endedAt: START + 2_100 })])).toEqual([]);
@@ -102,7 +102,7 @@
     expect(judgePlannedStops(world, [sent('one', cut)])).toEqual([]);
   });
 
-  it('is nothing where its worker was struck', () => {
+  it('is nothing where its worker was disrupted', () => {
     const now = performance.now();
     stopAt(now);
     log.runs.push(run('one', { at: now }));
@@ -120,7 +120,7 @@
     disruptions.configurations.push({ at, timeouts: { long }, missing: [] });
   }
 
-  it('is an answer that is cut around a configuration, and names both', () => {
+  it('is an answer cut near a configuration change, and names both', () => {
     configure(START + 2_800, 7_000);
     log.runs.push(run('one'), run('one', { at: START + 2_700, after: 2, isContinuationBroken: true }));
     const answer = 'id: 1\ndata: a\n\nid: 2\ndata: b\n\n';
@@ -130,7 +130,7 @@
     ]);
   });
 
-  it('is an answer that is cut beside no work', () => {
+  it('is an answer cut without any planned work', () => {
     log.runs.push(run('one'));
     expect(judgeCuts(world, [sent('one', cut)])).toEqual([expect.stringMatching(/no planned work/)]);
   });
@@ -142,14 +142,14 @@
     expect(judgeCuts(world, [sent('one', crossing)])).toEqual([]);
   });
 
-  it('is an answer that ends by a time-out declared after it was sent', () => {
+  it('is an answer that ends at a timeout configured after it was sent', () => {
     configure(START - 10_000, 7_000);
     configure(START + 1_000, 3_000);
     log.runs.push(run('one'));
     expect(judgeCuts(world, [sent('one', cut)])).toHaveLength(1);
   });
 
-  it('is no answer that ends at or after a time-out that may have been in force, and one that ends before it', () => {
+  it('is no answer that ends at or after a timeout that may have been in force, but is one that ends before it', () => {
     configure(START - 1_000, 2_900);
     configure(START - 500, 7_000);
     log.runs.push(run('one'));
@@ -168,7 +168,7 @@
     expect(judgeCuts(world, [sent('one', changes)])).toEqual([]);
   });
 
-  it('is nothing that a planned stop may cut, and nothing that is judged with it', () => {
+  it('is nothing that a planned stop may cut, and nothing that judgePlannedStops reports', () => {
     log.runs.push(run('one'));
     disruptions.stops.push({ process: 'entry-1', at: START - 5_000, endedAt: Number.POSITIVE_INFINITY });
     const late = sent('one', { ...cut, sentAt: START - 2_100, endedAt: START + 2_900 });
@@ -177,7 +177,7 @@
     expect([judgeCuts(world, [early]), judgePlannedStops(world, [early])]).toEqual([[], [expect.anything()]]);
   });
 
-  it('is nothing where its worker was struck', () => {
+  it('is nothing where its worker was disrupted', () => {
     const now = performance.now();
     log.runs.push(run('one', { at: now }));
     disruptions.record(['i-1'], 100);
@@ -191,12 +191,12 @@
   const cutWith = (...ids: number[]) =>
     judgeAnswer(sent('one', { isWhole: false, answer: ids.map(event).join('') }));
 
-  it('is broken by a cut stream with an event twice, missing or changed', () => {
+  it('is violated by a cut stream with a repeated, missing or changed event', () => {
     for (const ids of [[1, 2, 2], [1, 3], [2]]) expect(cutWith(...ids)).toHaveLength(1);
     expect(judgeAnswer(sent('one', { isWhole: false, answer: 'id: 1\ndata: x\n\n' }))).toHaveLength(1);
   });
 
-  it('is kept by a cut stream that is a beginning', () => {
+  it('is met by a cut stream that is a prefix of the expected one', () => {
     for (const ids of [[], [1], [1, 2, 3]]) expect(cutWith(...ids)).toEqual([]);
   });
 });
@@ -204,7 +204,7 @@
 describe('DENIED', () => {
   const denied = () => judgeMissingRoute(world, [sent('one', { kind: 'moved', status: 404 })]);
 
-  it('is broken by 404 for the moved route while all configurations name it', () => {
+  it('is violated by a 404 on the moved route while all configurations contain it', () => {
     disruptions.configurations.push({ at: START - 60_000, timeouts: {}, missing: [] });
     expect(denied()).toEqual(['DENIED: one got 404']);
     disruptions.configurations.push({ at: START - 30_000, timeouts: {}, missing: ['moved'] });
@@ -212,7 +212,7 @@
     expect(denied()).toHaveLength(1);
   });
 
-  it('is kept while a configuration without it may be in force', () => {
+  it('is met while a configuration without the route may be in force', () => {
     disruptions.configurations.push({ at: START - 30_000, timeouts: {}, missing: ['moved'] });
     disruptions.configurations.push({ at: START - 1_000, timeouts: {}, missing: [] });
     expect(denied()).toEqual([]);
@@ -220,8 +220,8 @@
 });
 
 describe('BUDGET', () => {
-  /** 100 requests in a second, of which `repetitions` reach a second worker. */
-  function play(repetitions: number): string[] {
+  /** Judges 100 requests within a second, of which `repetitions` are retried at a second worker. */
+  function judgeRetries(repetitions: number): string[] {
     const requests = Array.from({ length: 100 }, (_, index) =>
       sent(`r${index}`, { kind: 'again', sentAt: START + index * 10 }),
     );
@@ -233,29 +233,29 @@
   }
   const allowed = 100 * RETRIES.share + RETRIES.slack;
 
-  it('is broken by one repetition more than the share and the slack allow', () => {
-    expect(play(allowed + 1)).toEqual([expect.stringMatching(/^BUDGET: plain got 51 repetitions/)]);
+  it('is violated by one retry more than the share and the slack allow', () => {
+    expect(judgeRetries(allowed + 1)).toEqual([expect.stringMatching(/^BUDGET: plain got 51 repetitions/)]);
   });
 
-  it('is kept by as many as they allow', () => {
-    expect(play(allowed)).toEqual([]);
+  it('is met by as many retries as they allow', () => {
+    expect(judgeRetries(allowed)).toEqual([]);
   });
 });
 
 describe('GONE', () => {
   const left = Array.from({ length: 8 }, (_, index) => sent(`r${index}`, { leftAt: START + 100 }));
 
-  it('is work that goes on at more than a quarter of the runs that would last', () => {
+  it('is work that continues in more than a quarter of the long runs', () => {
     for (const { id } of left) log.runs.push(run(id, { endedAt: START + 700 }));
     expect(judgeDepartures(world, left)).toEqual([expect.stringMatching(/^GONE: 8 of 8 runs go on/)]);
   });
 
-  it('is no work that ends within half a second', () => {
+  it('is no work that ends within half a second of the departure', () => {
     for (const { id } of left) log.runs.push(run(id, { endedAt: START + 500 }));
     expect(judgeDepartures(world, left)).toEqual([]);
   });
 
-  it('is requests that reach a worker later', () => {
+  it('is requests that reach a worker later than that', () => {
     for (const { id: requestId } of left)
       log.arrivals.push({ requestId, service: 'engines', worker: 'i-1', at: START + 700 });
     expect(judgeDepartures(world, left)).toEqual([expect.stringMatching(/^GONE: 8 arrivals/)]);
@@ -267,7 +267,7 @@
   /** Requests allowed in 4 s at this rate. */
   const ALLOWED = 17;
 
-  /** Records requests to a worker that names a limit from `START` on, one every 100 ms from `from`. */
+  /** Records requests, one every 100 ms from `from` on, to a worker that announces a rate limit from `START` on. */
   function recordArrivals(count: number, from: number): SentRequest[] {
     log.limits.push({ worker: 'i-1', rate: RATE, from: START, to: START + 8_000 });
     return Array.from({ length: count }, (_, index) => {
@@ -277,7 +277,7 @@
     });
   }
 
-  it('is broken by more than 1.5 times the limit plus five requests within 4 s', () => {
+  it('is violated by more than 1.5 times the limit plus five requests within 4 s', () => {
     expect(judgeLimits(world, recordArrivals(ALLOWED, START + 3_000))).toEqual([]);
     log.arrivals.length = 0;
     log.limits.length = 0;
@@ -286,14 +286,14 @@
     ]);
   });
 
-  it('is not broken in the first 3 s of a limit or after its end', () => {
+  it('is not violated in the first 3 s of a limit or after its end', () => {
     expect(judgeLimits(world, recordArrivals(30, START))).toEqual([]);
     log.arrivals.length = 0;
     log.limits.length = 0;
     expect(judgeLimits(world, recordArrivals(30, START + 8_001))).toEqual([]);
   });
 
-  it('is not broken by requests from disrupted entries', () => {
+  it('is not violated by requests from disrupted entries', () => {
     disruptions.record(['entry-1'], Number.POSITIVE_INFINITY);
     log.arrivals.length = 0;
     const firstAt = performance.now() + 1_000;
--- a/test/platform/stop.test.ts
+++ b/test/platform/stop.test.ts
@@ -1,4 +1,4 @@
-/** The entry of the bundle as a process that is told to stop, before a stand-in of the platform's store. */
+/** Tests how the bundled entry stops on SIGTERM, as a process with a stand-in for the platform's store. */
 import { type ChildProcess, execFileSync, spawn } from 'node:child_process';
 import { mkdtempSync, rmSync, writeFileSync } from 'node:fs';
 import { open } from 'node:fs/promises';
@@ -16,7 +16,7 @@
 
 const HOST = 'stop.example';
 const GRACE_SECONDS = 4;
-/** The loopback address of each process is its own: the port of its metrics is fixed. */
+/** Each process has its own loopback address, because its metrics port is fixed. */
 const SUBNET = 1 + (process.pid % 200);
 
 let folder: string;
@@ -25,8 +25,8 @@
 let stopStore: () => void;
 let backEnd: StandInBackEnd;
 let started = 0;
-/** Lets the back end answer what it holds. */
-let release: () => void;
+/** Makes the back end answer the request that it holds. */
+let releaseAnswer: () => void;
 
 interface EntryProcess {
   child: ChildProcess;
@@ -57,7 +57,7 @@
   const wire = await wireStore(store);
   stopStore = wire.stop;
   backEnd = await new StandInBackEnd((request, response) => {
-    release = () => {
+    releaseAnswer = () => {
       response.writeHead(200, { 'attempt-id': String(request.headers['attempt-id']) });
       response.end('done');
     };
@@ -83,8 +83,8 @@
   stopStore();
 });
 
-/** Starts an entry; its settings are in a file. */
-async function startProcess(): Promise<EntryProcess> {
+/** Starts an entry with its settings in a file. */
+async function startEntry(): Promise<EntryProcess> {
   const file = join(folder, `entry-${++started}.json`);
   const callers = await freeAddress();
   writeFileSync(file, settingsOf(callers));
@@ -124,7 +124,7 @@
   return one;
 }
 
-/** Sends a request; the status is 0 where the connection ends without an answer. */
+/** Sends a request; the status is 0 if the connection ends without a response. */
 function send(callers: string): Promise<{ status: number; body: string; whole: boolean }> {
   const [host, port] = callers.split(':');
   return new Promise((resolve) => {
@@ -143,55 +143,55 @@
   });
 }
 
-async function untilServing(one: EntryProcess): Promise<void> {
+async function waitUntilServing(one: EntryProcess): Promise<void> {
   await until(() => one.output.includes('entry started'), 'the start');
   await until(() => one.output.includes('configuration taken'), 'the configuration');
 }
 
-/** Resolves with how the process ended, or `undefined` where it runs still at the end of the time to stop. */
-function endInTime({ exit }: EntryProcess): Promise<Awaited<EntryProcess['exit']> | undefined> {
+/** Resolves with how the process ended, or with `undefined` if it still runs at the end of its grace period. */
+function exitWithinGrace({ exit }: EntryProcess): Promise<Awaited<EntryProcess['exit']> | undefined> {
   return Promise.race([
     exit,
     new Promise<undefined>((resolve) => setTimeout(() => resolve(undefined), GRACE_SECONDS * 1_000)),
   ]);
 }
 
-it('a second order to stop cuts nothing', async () => {
-  const one = await startProcess();
-  await untilServing(one);
+it('a second SIGTERM cuts no answer', async () => {
+  const one = await startEntry();
+  await waitUntilServing(one);
   const answer = send(one.callers);
   await until(() => backEnd.requests.length === 1, 'the request at its back end');
   one.child.kill('SIGTERM');
-  const ended = endInTime(one);
-  await until(() => one.output.includes('entry leaves'), 'the order to stop');
+  const ended = exitWithinGrace(one);
+  await until(() => one.output.includes('entry leaves'), 'the first SIGTERM to be handled');
   one.child.kill('SIGTERM');
-  setTimeout(() => release(), 300);
+  setTimeout(() => releaseAnswer(), 300);
   expect(await answer).toEqual({ status: 200, body: 'done', whole: true });
   expect(await ended).toEqual({ code: 0, signal: null });
 });
 
-it('an entry whose store hangs and whose back end says nothing ends by itself, and answers what waits', async () => {
-  const one = await startProcess();
-  await untilServing(one);
+it('an entry whose store and back end hang exits by itself and answers the pending request', async () => {
+  const one = await startEntry();
+  await waitUntilServing(one);
   store.faults.silent = true;
   const answer = send(one.callers);
   await until(() => backEnd.requests.length === 1, 'the request at its back end');
   one.child.kill('SIGTERM');
-  const ended = endInTime(one);
-  // It may have run.
+  const ended = exitWithinGrace(one);
+  // 504, since the request may have been executed.
   expect(await answer).toMatchObject({ status: 504, whole: true });
   expect(await ended).toEqual({ code: 0, signal: null });
 });
 
-it('an order to stop during the start lets the start end, and the process ends by itself', async () => {
-  // The process reads its settings from a pipe, so that its start goes on when the test writes them.
+it('a SIGTERM during the start lets the start finish, and the process exits by itself', async () => {
+  // The process reads its settings from a pipe, so that its start blocks until the test writes them.
   const pipe = join(folder, `entry-${++started}.pipe`);
   execFileSync('mkfifo', [pipe]);
   const callers = await freeAddress();
   const one = spawnEntry(pipe, callers);
   const settings = await open(pipe, 'w');
   one.child.kill('SIGTERM');
-  const ended = endInTime(one);
+  const ended = exitWithinGrace(one);
   await settings.writeFile(settingsOf(callers));
   await settings.close();
   expect(await ended).toEqual({ code: 0, signal: null });
--- a/test/protocol/connection.test.ts
+++ b/test/protocol/connection.test.ts
@@ -2,7 +2,7 @@
 import { afterEach, describe, expect, it } from 'vitest';
 import { encode } from '../../src/protocol/codec.js';
 import { type Connection, ConnectionListener } from '../../src/protocol/connection.js';
-import { contextAt, standStill, until } from '../support.js';
+import { blockEventLoop, createConnectionContext, until } from '../support.js';
 
 /** Longer than the silence after which a connection is ended, in milliseconds. */
 const STANDSTILL = 4_500;
@@ -22,13 +22,13 @@
 const cleanUps: Array<() => unknown> = [];
 
 async function acceptFrom(pings: boolean): Promise<Connection> {
-  const { context } = await contextAt('this-side');
+  const { context } = await createConnectionContext('this-side');
   const { address } = context.hello().peer;
   const accepted: Connection[] = [];
   const listener = new ConnectionListener(address, context, (connection) => accepted.push(connection));
   await listener.start();
   cleanUps.push(() => listener.stop());
-  const hello = encode((await contextAt('other-side')).context.hello(), context.clock.next());
+  const hello = encode((await createConnectionContext('other-side')).context.hello(), context.clock.next());
   const remote = new Worker(REMOTE, { eval: true, workerData: { address, hello, pings } });
   cleanUps.push(() => remote.terminate());
   await until(() => accepted.length > 0, 'the connection');
@@ -47,7 +47,7 @@
   it('outlives a time in which this process itself stood still', async () => {
     const connection = await acceptFrom(true);
     await pause(1_200);
-    standStill(STANDSTILL);
+    blockEventLoop(STANDSTILL);
     await pause(1_500);
     expect(connection.open).toBe(true);
   });
--- a/test/roles/direct-entry.test.ts
+++ b/test/roles/direct-entry.test.ts
@@ -3,7 +3,7 @@
 import { connect } from '../../src/protocol/connection.js';
 import { reply, StandInBackEnd } from '../forwarding/stand-in-back-end.js';
 import { SilentProxy } from '../silent-proxy.js';
-import { contextAt, until } from '../support.js';
+import { createConnectionContext, until } from '../support.js';
 import {
   FEW_CONNECTIONS,
   type Received,
@@ -119,7 +119,7 @@
     for (const { store } of [one, two]) writeRecords(store, 1, proxy, 4, 'billing', 100);
     await until(() => one.entry.addresses('zone-a', 'region-a').length === 2, 'the other, to the first');
     await until(() => two.entry.addresses('zone-a', 'region-a').length === 2, 'the other, to the second');
-    const { context } = await contextAt('agent');
+    const { context } = await createConnectionContext('agent');
     const connected = await connect(one.settings.peers, context, AbortSignal.timeout(5_000));
     if (!connected.ok) throw new Error('no connection to the entry');
     const agent = connected.value;
--- a/test/silent-proxy.ts
+++ b/test/silent-proxy.ts
@@ -1,20 +1,20 @@
 /**
- * A TCP relay in front of a server of a test. Its open connections can be made silent for good, without an end or a reset,
- * while new ones go on working.
+ * A TCP proxy in front of a test's server. Its open connections can be made permanently silent, without FIN or RST, while new
+ * ones keep working.
  */
 import { type AddressInfo, connect, createServer, type Server, type Socket } from 'node:net';
 
 /** One relayed connection. */
-interface Relayed {
-  caller: Socket;
+interface RelayedConnection {
+  client: Socket;
   server: Socket;
 }
 
-/** The relay, at a free port. */
+/** The proxy, listening on a free port. */
 export class SilentProxy {
   /** Connections accepted so far. */
   accepted = 0;
-  readonly #open = new Set<Relayed>();
+  readonly #open = new Set<RelayedConnection>();
   readonly #target: string;
   #server: Server | undefined;
 
@@ -27,51 +27,51 @@
     return `127.0.0.1:${(this.#server!.address() as AddressInfo).port}`;
   }
 
-  /** Connections that are open at the callers' side, silent ones among them. */
+  /** Number of connections open on the client side, including silent ones. */
   get open(): number {
     return this.#open.size;
   }
 
   async start(): Promise<this> {
-    const server = createServer((caller) => this.#relay(caller));
+    const server = createServer((client) => this.#relay(client));
     await new Promise<void>((resolve) => server.listen(0, '127.0.0.1', resolve));
     this.#server = server;
     return this;
   }
 
-  /** Nothing passes over the connections that are open now, in either direction. */
+  /** Stops forwarding in both directions on the connections that are open now. */
   silence(): void {
-    for (const { caller, server } of this.#open) {
-      caller.unpipe(server);
-      server.unpipe(caller);
-      // Read and dropped, so that the end of the caller's side is still seen here.
-      caller.resume();
+    for (const { client, server } of this.#open) {
+      client.unpipe(server);
+      server.unpipe(client);
+      // Data is read and discarded, so that the proxy still notices when the client closes its side.
+      client.resume();
       server.resume();
     }
   }
 
   async stop(): Promise<void> {
-    for (const { caller, server } of this.#open) {
-      caller.destroy();
+    for (const { client, server } of this.#open) {
+      client.destroy();
       server.destroy();
     }
     await new Promise((resolve) => this.#server?.close(resolve));
   }
 
-  #relay(caller: Socket): void {
+  #relay(client: Socket): void {
     this.accepted++;
     const [host, port] = this.#target.split(':');
     const server = connect(Number(port), host);
-    const relayed = { caller, server };
+    const relayed = { client, server };
     this.#open.add(relayed);
-    caller
+    client
       .on('error', () => {})
       .on('close', () => {
         this.#open.delete(relayed);
         server.destroy();
       });
-    server.on('error', () => {}).on('close', () => caller.destroy());
-    caller.pipe(server);
-    server.pipe(caller);
+    server.on('error', () => {}).on('close', () => client.destroy());
+    client.pipe(server);
+    server.pipe(client);
   }
 }
--- a/test/support.ts
+++ b/test/support.ts
@@ -1,4 +1,4 @@
-/** Helpers that several tests share. */
+/** Helpers shared by several tests. */
 
 import { freeAddress } from '../bench/processes/child.js';
 import { HybridClock } from '../src/model/hybrid-clock.js';
@@ -8,33 +8,33 @@
 import type { PeerInfo } from '../src/systems/distribution/transfer.js';
 
 const noNews: NewsHandler<never> = { takeNews: () => {}, allNews: () => [] };
-/** For tests of entries that exchange no news. */
+/** For tests of entries that exchange no updates with peers. */
 export const NO_NEWS = new PeerNews(noNews, noNews);
 
 const WAIT_LIMIT = 20_000;
 const WAIT_INTERVAL = 10;
 
-/** Waits until `condition` holds; fails after a limit far above what any run needs. */
+/** Waits until `condition` holds; fails after a limit far above what any test needs. */
 export async function until(condition: () => boolean | Promise<boolean>, what: string): Promise<void> {
   const endsAt = performance.now() + WAIT_LIMIT;
   while (!(await condition())) {
-    if (performance.now() > endsAt) throw new Error(`never came: ${what}`);
+    if (performance.now() > endsAt) throw new Error(`timed out waiting for: ${what}`);
     await new Promise((resolve) => setTimeout(resolve, WAIT_INTERVAL));
   }
 }
 
-/** Takes the processor from this thread's event loop, as a busy machine does. */
-export function standStill(milliseconds: number): void {
+/** Blocks this thread's event loop, as lack of processor time on a busy machine does. */
+export function blockEventLoop(milliseconds: number): void {
   Atomics.wait(new Int32Array(new SharedArrayBuffer(4)), 0, 0, milliseconds);
 }
 
-/** A peer with this name as identity and address. */
+/** A peer whose id and address are `name`. */
 export function peer(name: string, place = 'place-a', region = 'region-a'): PeerInfo {
   return { id: name, address: name, place, region, zone: `${region}-1` };
 }
 
-/** What the connections of a process at a free address share. */
-export async function contextAt(
+/** Creates the context shared by the connections of a process, at a free address. */
+export async function createConnectionContext(
   name: string,
   place = 'place-a',
   role: 'agent' | 'entry' = 'agent',
