--- a/test/platform/soak-grace.test.ts
+++ b/test/platform/soak-grace.test.ts
@@ -3,7 +3,7 @@
 import { once } from 'node:events';
 import { expect, it } from 'vitest';
 import { blockEventLoop } from '../support.js';
-import { endAfterGrace } from './soak/grace.js';
+import { killAfterGrace } from './soak/grace.js';
 
 const GRACE = 800;
 
@@ -19,7 +19,7 @@
 async function isReportedAsOutlived(child: ChildProcess, blockedFor: number): Promise<boolean> {
   let hasOutlived = false;
   child.kill('SIGTERM');
-  endAfterGrace(child, GRACE, () => {
+  killAfterGrace(child, GRACE, () => {
     hasOutlived = true;
   });
   const exit = once(child, 'exit');
--- a/test/platform/soak-judges.test.ts
+++ b/test/platform/soak-judges.test.ts
@@ -10,7 +10,7 @@
   judgeRepetitions,
 } from './soak/judges.js';
 import { eventData, type Run, RunLog } from './soak/workers.js';
-import { RETRIES, type SoakWorld } from './soak/world.js';
+import { RETRY_BUDGET, type SoakWorld } from './soak/world.js';
 
 const START = 100_000;
 let log: RunLog;
@@ -33,11 +33,11 @@
     status: 200,
     headers: {},
     answer: '',
-    isWhole: true,
+    isComplete: true,
     sentAt: START,
     writtenAt: START + 1,
     endedAt: START + 3_000,
-    leftAt: undefined,
+    abandonedAt: undefined,
     ...changes,
   };
 }
@@ -54,7 +54,7 @@
     version: 1,
     at: START,
     endedAt: START + 5_000,
-    isBrokenOff: false,
+    isAborted: false,
     after: 0,
     isContinuationBroken: false,
     ...changes,
@@ -62,7 +62,7 @@
 }
 
 describe('LOST', () => {
-  const cut = { isWhole: false };
+  const cut = { isComplete: false };
 
   function stopAt(at: number): void {
     disruptions.stops.push({ process: 'entry-1', at, endedAt: Number.POSITIVE_INFINITY });
@@ -81,8 +81,8 @@
 
   it.each([
     ['is whole', {}, {}],
-    ['was left by its caller', { ...cut, leftAt: START + 10 }, {}],
-    ['was broken off by its worker', cut, { isBrokenOff: true }],
+    ['was left by its caller', { ...cut, abandonedAt: START + 10 }, {}],
+    ['was broken off by its worker', cut, { isAborted: true }],
     ['reached the timeout of its route', { ...cut, endedAt: START + 7_000 }, {}],
     ['was sent early and cut late', { ...cut, sentAt: START + 3_500, endedAt: START + 8_000 }, {}],
   ])('is no answer that %s', (_, changes, changesOfRun) => {
@@ -113,7 +113,7 @@
 });
 
 describe('LOST at any time', () => {
-  const cut = { isWhole: false };
+  const cut = { isComplete: false };
 
   function configure(at: number, long: number): void {
     disruptions.plannedWork.push({ kind: 'configuration', about: '7', at });
@@ -160,8 +160,8 @@
 
   it.each([
     ['is whole', {}, {}],
-    ['was left by its caller', { ...cut, leftAt: START + 10 }, {}],
-    ['was broken off by its worker', cut, { isBrokenOff: true }],
+    ['was left by its caller', { ...cut, abandonedAt: START + 10 }, {}],
+    ['was broken off by its worker', cut, { isAborted: true }],
     ['reached its deadline', { ...cut, endedAt: START + 7_000 }, {}],
   ])('is no answer that %s', (_, changes, changesOfRun) => {
     log.runs.push(run('one', changesOfRun));
@@ -189,11 +189,11 @@
 describe('ORDER', () => {
   const event = (id: number) => `id: ${id}\ndata: ${eventData('/long/1', id)}\n\n`;
   const cutWith = (...ids: number[]) =>
-    judgeAnswer(sent('one', { isWhole: false, answer: ids.map(event).join('') }));
+    judgeAnswer(sent('one', { isComplete: false, answer: ids.map(event).join('') }));
 
   it('is violated by a cut stream with a repeated, missing or changed event', () => {
     for (const ids of [[1, 2, 2], [1, 3], [2]]) expect(cutWith(...ids)).toHaveLength(1);
-    expect(judgeAnswer(sent('one', { isWhole: false, answer: 'id: 1\ndata: x\n\n' }))).toHaveLength(1);
+    expect(judgeAnswer(sent('one', { isComplete: false, answer: 'id: 1\ndata: x\n\n' }))).toHaveLength(1);
   });
 
   it('is met by a cut stream that is a prefix of the expected one', () => {
@@ -231,7 +231,7 @@
       log.arrivals.push({ requestId: `r${index}`, service: 'plain', worker: 'i-2', at: START + 1_000 });
     return judgeRepetitions(world, requests);
   }
-  const allowed = 100 * RETRIES.share + RETRIES.slack;
+  const allowed = 100 * RETRY_BUDGET.share + RETRY_BUDGET.slack;
 
   it('is violated by one retry more than the share and the slack allow', () => {
     expect(judgeRetries(allowed + 1)).toEqual([expect.stringMatching(/^BUDGET: plain got 51 repetitions/)]);
@@ -243,7 +243,7 @@
 });
 
 describe('GONE', () => {
-  const left = Array.from({ length: 8 }, (_, index) => sent(`r${index}`, { leftAt: START + 100 }));
+  const left = Array.from({ length: 8 }, (_, index) => sent(`r${index}`, { abandonedAt: START + 100 }));
 
   it('is work that continues in more than a quarter of the long runs', () => {
     for (const { id } of left) log.runs.push(run(id, { endedAt: START + 700 }));
--- a/test/platform/soak/callers.ts
+++ b/test/platform/soak/callers.ts
@@ -32,13 +32,13 @@
   headers: IncomingMessage['headers'];
   answer: string;
   /** Whether the response was complete according to HTTP framing. */
-  isWhole: boolean;
+  isComplete: boolean;
   sentAt: number;
   /** When its last byte was written; undefined if the connection never accepted all of it. */
   writtenAt: number | undefined;
   endedAt: number;
   /** When its caller abandoned it before the response was complete; undefined if it did not. */
-  leftAt: number | undefined;
+  abandonedAt: number | undefined;
 }
 
 /** A request to send. */
@@ -61,7 +61,7 @@
   const timeout = deadlineOf(kind);
   const sentAt = performance.now();
   let writtenAt: number | undefined;
-  let leftAt: number | undefined;
+  let abandonedAt: number | undefined;
   const headers = {
     Host: HOST,
     'Attempt-Id': id,
@@ -81,11 +81,11 @@
         status: answer?.statusCode,
         headers: answer?.headers ?? {},
         answer: Buffer.concat(parts).toString('utf8'),
-        isWhole: answer?.complete ?? false,
+        isComplete: answer?.complete ?? false,
         sentAt,
         writtenAt,
         endedAt: performance.now(),
-        leftAt,
+        abandonedAt,
       });
     const sent = httpRequest({ host, port, path, method: 'POST', agent, headers }, (answer) => {
       answer.on('data', (part) => parts.push(part));
@@ -94,7 +94,7 @@
       answer.on('close', () => end(answer));
     });
     const leave = () => {
-      leftAt = performance.now();
+      abandonedAt = performance.now();
       sent.destroy();
     };
     const limit = setTimeout(leave, abandonAfter ?? timeout * 2);
@@ -116,9 +116,9 @@
 
 /** Violations that a caller can see in the response to its own request. */
 export function judgeAnswer(sent: SentRequest): string[] {
-  const { id, kind, path, status, headers, answer, isWhole } = sent;
-  if (status === 200 && !isWhole && isStream(kind)) return judgePartialEvents(id, path, answer);
-  if (status === undefined || !isWhole) return [];
+  const { id, kind, path, status, headers, answer, isComplete } = sent;
+  if (status === 200 && !isComplete && isStream(kind)) return judgePartialEvents(id, path, answer);
+  if (status === undefined || !isComplete) return [];
   const broken: string[] = [];
   // A configuration may lack the moved route: `judgeMissingRoute` checks its 404 responses.
   const isDenied = status === 401 || status === 403 || (status === 404 && kind !== 'moved');
@@ -261,8 +261,8 @@
     const isLong = kind === 'long' || kind === 'moved';
     const shape = isLong ? `&events=${LONG_EVENTS}&interval=${LONG_INTERVAL}` : '';
     const path = `/${kind}/${this.#random.below(1_000)}?of=${this.#name}${shape}`;
-    const isLeft = this.#random.below(ABANDONED_ONE_IN) === 0;
-    const abandonAfter = isLeft ? 1 + this.#random.below(MAX_ABANDON_DELAY) : undefined;
+    const isAbandoned = this.#random.below(ABANDONED_ONE_IN) === 0;
+    const abandonAfter = isAbandoned ? 1 + this.#random.below(MAX_ABANDON_DELAY) : undefined;
     const toSend = { id, kind, path, body: `body of ${id}`, abandonAfter };
     const sent = await sendRequest(this.#chooseEntry(), this.#agent, toSend);
     this.sent.push(sent);
--- a/test/platform/soak/deadly-content.ts
+++ b/test/platform/soak/deadly-content.ts
@@ -46,7 +46,7 @@
 
   /** Reports a violation if the content crashed too many workers. */
   judge(): string[] {
-    return this.#ended.size > MAX_CRASHES ? [`BUDGET: one content ended ${this.#ended.size} workers`] : [];
+    return this.#ended.size > MAX_CRASHES ? [`BUDGET: one content crashed ${this.#ended.size} workers`] : [];
   }
 
   #onRun({ body, worker }: Run): void {
--- a/test/platform/soak/faults.ts
+++ b/test/platform/soak/faults.ts
@@ -521,7 +521,7 @@
 const IDLE_TIMEOUTS = [300, 1_000, 5_000, 20_000, 60_000] as const;
 const LONG_TIMEOUTS = [4_500, LONG_TIMEOUT, 9_000, 12_000] as const;
 const WRITE_TIMEOUTS = [1_500, ROUTE_TIMEOUT, 6_000] as const;
-const MOVES: readonly ConfigurationShape['movedTo'][] = [
+const MOVED_ROUTE_SERVICES: readonly ConfigurationShape['movedTo'][] = [
   { engines: 1 },
   { plain: 1 },
   { engines: 1, plain: 3 },
@@ -539,7 +539,7 @@
     [
       () => ({ idleTimeout: pick(IDLE_TIMEOUTS, random) }),
       () => ({ timeouts: timeouts() }),
-      () => ({ movedTo: pick(MOVES, random) }),
+      () => ({ movedTo: pick(MOVED_ROUTE_SERVICES, random) }),
     ],
     random,
   );
--- a/test/platform/soak/grace.ts
+++ b/test/platform/soak/grace.ts
@@ -6,7 +6,11 @@
  * this: the child may have exited within its grace period, with the event still queued because this process was blocked.
  * @returns a function that cancels the kill
  */
-export function endAfterGrace(child: ChildProcess, milliseconds: number, onOutlived: () => void): () => void {
+export function killAfterGrace(
+  child: ChildProcess,
+  milliseconds: number,
+  onOutlived: () => void,
+): () => void {
   let isKilled = false;
   const timer = setTimeout(() => {
     isKilled = child.kill('SIGKILL');
--- a/test/platform/soak/judges.ts
+++ b/test/platform/soak/judges.ts
@@ -3,7 +3,7 @@
 import { deadlineOf, type SentRequest } from './callers.js';
 import type { PlannedStop } from './disruptions.js';
 import type { Arrival, Run } from './workers.js';
-import { GRACE_TIME, RETRIES, type SoakWorld } from './world.js';
+import { GRACE_PERIOD, RETRY_BUDGET, type SoakWorld } from './world.js';
 
 /**
  * A request that ran nowhere and whose connection closed within this time of its last byte, in milliseconds, is taken to have
@@ -14,7 +14,7 @@
 const DISRUPTION_LOOKBACK = 4_000;
 /** A request sent up to this long after SIGTERM, in milliseconds, may be cut in the last part of the grace period. */
 const EARLY_REQUEST_TIME = 3_000;
-const GRACE_LAST_PART = GRACE_TIME / 6;
+const GRACE_LAST_PART = GRACE_PERIOD / 6;
 /** Time within which a caller's departure must reach the worker of its request, in milliseconds. */
 const CANCELLATION_TIME = 500;
 /** Arrivals count against a new rate limit only after this time, in milliseconds, since entries must learn of it first. */
@@ -44,12 +44,12 @@
   request: SentRequest,
   runs: readonly Run[],
 ): PlannedStop | undefined {
-  const { entry, sentAt, endedAt, isWhole, leftAt } = request;
-  if (isWhole || leftAt !== undefined || endedAt - sentAt >= shortestTimeout(world, request))
+  const { entry, sentAt, endedAt, isComplete, abandonedAt } = request;
+  if (isComplete || abandonedAt !== undefined || endedAt - sentAt >= shortestTimeout(world, request))
     return undefined;
-  if (!wasRead(request, runs) || runs.some(({ isBrokenOff }) => isBrokenOff)) return undefined;
+  if (!wasRead(request, runs) || runs.some(({ isAborted }) => isAborted)) return undefined;
   const name = world.entryAt(entry);
-  const stop = world.disruptions.stopDuring(name, sentAt, endedAt, GRACE_TIME);
+  const stop = world.disruptions.stopDuring(name, sentAt, endedAt, GRACE_PERIOD);
   if (stop === undefined) return undefined;
   const parts = [name, ...runs.map(({ worker }) => worker)];
   const isUndisturbed = world.disruptions.areUndisturbed(parts, sentAt - DISRUPTION_LOOKBACK, endedAt);
@@ -75,19 +75,20 @@
 }
 
 function isCutWithoutReason(world: SoakWorld, request: SentRequest, runs: readonly Run[]): boolean {
-  const { entry, sentAt, endedAt, isWhole, leftAt } = request;
-  if (isWhole || leftAt !== undefined || endedAt - sentAt >= shortestTimeout(world, request)) return false;
+  const { entry, sentAt, endedAt, isComplete, abandonedAt } = request;
+  if (isComplete || abandonedAt !== undefined || endedAt - sentAt >= shortestTimeout(world, request))
+    return false;
   // A worker that fails to continue a stream is no excuse: another worker can take over with at most a pause.
-  if (!wasRead(request, runs) || runs.some(({ isBrokenOff }) => isBrokenOff)) return false;
+  if (!wasRead(request, runs) || runs.some(({ isAborted }) => isAborted)) return false;
   const name = world.entryAt(entry);
-  const stop = world.disruptions.stopDuring(name, sentAt, endedAt, GRACE_TIME);
+  const stop = world.disruptions.stopDuring(name, sentAt, endedAt, GRACE_PERIOD);
   if (stop !== undefined && isCutAllowed(request, stop)) return false;
   const parts = [name, ...runs.map(({ worker }) => worker)];
   return world.disruptions.areUndisturbed(parts, sentAt - DISRUPTION_LOOKBACK, endedAt);
 }
 
 function isCutAllowed({ sentAt, endedAt }: SentRequest, stop: PlannedStop): boolean {
-  return sentAt <= stop.at + EARLY_REQUEST_TIME && endedAt >= stop.at + GRACE_TIME - GRACE_LAST_PART;
+  return sentAt <= stop.at + EARLY_REQUEST_TIME && endedAt >= stop.at + GRACE_PERIOD - GRACE_LAST_PART;
 }
 
 function describeCut(world: SoakWorld, request: SentRequest, runs: readonly Run[]): string {
@@ -157,7 +158,7 @@
 }
 
 function worstWindow(repetitions: readonly number[], requests: readonly number[]): string | undefined {
-  const { share, slack, window } = RETRIES;
+  const { share, slack, window } = RETRY_BUDGET;
   const within = (times: readonly number[], end: number) =>
     times.filter((at) => at > end - window && at <= end).length;
   let worst: { excess: number; text: string } | undefined;
@@ -174,11 +175,15 @@
 
 /** Reports requests that reached workers, and runs that continued, too long after their callers had left. */
 export function judgeDepartures(world: SoakWorld, sent: readonly SentRequest[]): string[] {
-  const left = sent.filter((request) => request.leftAt !== undefined && isRequestUndisturbed(world, request));
-  const leftAt = new Map(left.map((request) => [request.id, request.leftAt! + CANCELLATION_TIME]));
-  const late = world.log.arrivals.filter(({ requestId, at }) => at > (leftAt.get(requestId) ?? Infinity));
-  const longRuns = world.log.runs.filter((run) => wouldOutlastCancellation(run, leftAt.get(run.requestId)));
-  const continuing = longRuns.filter((run) => (run.endedAt ?? Infinity) > leftAt.get(run.requestId)!);
+  const left = sent.filter(
+    (request) => request.abandonedAt !== undefined && isRequestUndisturbed(world, request),
+  );
+  const departedBy = new Map(left.map((request) => [request.id, request.abandonedAt! + CANCELLATION_TIME]));
+  const late = world.log.arrivals.filter(({ requestId, at }) => at > (departedBy.get(requestId) ?? Infinity));
+  const longRuns = world.log.runs.filter((run) =>
+    wouldOutlastCancellation(run, departedBy.get(run.requestId)),
+  );
+  const continuing = longRuns.filter((run) => (run.endedAt ?? Infinity) > departedBy.get(run.requestId)!);
   const broken: string[] = [];
   if (late.length > TOLERATED_COUNT)
     broken.push(`GONE: ${late.length} arrivals later than 500 ms, as of ${late[0].requestId}`);
@@ -212,10 +217,14 @@
   return entry !== undefined && world.disruptions.areUndisturbed([entry], at - DISRUPTION_LOOKBACK, at);
 }
 
-function isRequestUndisturbed(world: SoakWorld, { entry, sentAt, leftAt, id }: SentRequest): boolean {
+function isRequestUndisturbed(world: SoakWorld, { entry, sentAt, abandonedAt, id }: SentRequest): boolean {
   const workers = world.log.of(id).map(({ worker }) => worker);
   const parts = [world.entryAt(entry), ...workers];
-  return world.disruptions.areUndisturbed(parts, sentAt - DISRUPTION_LOOKBACK, leftAt! + CANCELLATION_TIME);
+  return world.disruptions.areUndisturbed(
+    parts,
+    sentAt - DISRUPTION_LOOKBACK,
+    abandonedAt! + CANCELLATION_TIME,
+  );
 }
 
 /** Whether a run would outlast the propagation of its caller's departure: only long streams do. */
--- a/test/platform/soak/main.ts
+++ b/test/platform/soak/main.ts
@@ -30,7 +30,6 @@
 const PROBE_PAUSE = 200;
 const SUBNETS = 250;
 
-/** How to run one seed. */
 interface SeedPlan {
   seed: number;
   seconds: number;
@@ -41,7 +40,6 @@
   faults: FaultChoice | undefined;
 }
 
-/** Outcome of one seed. */
 interface SeedOutcome {
   faults: FaultChoice;
   violations: string[];
@@ -174,9 +172,15 @@
 
 function countStatuses(sent: readonly SentRequest[]): Record<string, number> {
   const counts: Record<string, number> = {};
-  for (const { status, isWhole, leftAt } of sent) {
+  for (const { status, isComplete, abandonedAt } of sent) {
     const outcome =
-      leftAt !== undefined ? 'left' : status === undefined ? 'none' : isWhole ? String(status) : 'cut';
+      abandonedAt !== undefined
+        ? 'left'
+        : status === undefined
+          ? 'none'
+          : isComplete
+            ? String(status)
+            : 'cut';
     counts[outcome] = (counts[outcome] ?? 0) + 1;
   }
   return counts;
--- a/test/platform/soak/workers.ts
+++ b/test/platform/soak/workers.ts
@@ -42,7 +42,7 @@
   /** When the run ended; undefined while it is in progress. */
   endedAt: number | undefined;
   /** Whether the worker itself aborted the response. */
-  isBrokenOff: boolean;
+  isAborted: boolean;
   /** The event after which the stream was to be continued; 0 for a stream from the start. */
   after: number;
   /** Whether the worker broke off a continued stream before its first event, which loses nothing for the caller. */
@@ -150,7 +150,6 @@
   }
 }
 
-/** Options of a worker. */
 export interface WorkerOptions {
   id: string;
   service: string;
@@ -220,7 +219,7 @@
       version,
       at: performance.now(),
       endedAt: undefined,
-      isBrokenOff: false,
+      isAborted: false,
       after: Number(request.headers['last-event-id'] ?? 0),
       isContinuationBroken: false,
     };
@@ -456,7 +455,7 @@
       ...this.limitHeaders,
     });
     const breakOff = () => {
-      run.isBrokenOff = true;
+      run.isAborted = true;
       response.destroy();
     };
     this.#running.add(breakOff);
--- a/test/platform/soak/world.ts
+++ b/test/platform/soak/world.ts
@@ -9,7 +9,7 @@
 import { MemoryStore } from '../../../emulator/store/memory-store.js';
 import { wireStore } from '../wire-store.js';
 import { Disruptions } from './disruptions.js';
-import { endAfterGrace } from './grace.js';
+import { killAfterGrace } from './grace.js';
 import { RunLog, StandInEngine, StandInOrigin, StandInService, type StandInWorker } from './workers.js';
 
 const SERVICES = 2;
@@ -23,9 +23,9 @@
 /** Time within which a new weights version must be served everywhere, in milliseconds. */
 const VERSION_BOUND = 8_000;
 /** Time from SIGTERM to SIGKILL, in milliseconds, as on the platform. */
-export const GRACE_TIME = 8_000;
+export const GRACE_PERIOD = 8_000;
 /** Retry budget of all entries together: a share of the requests in a window, in milliseconds, plus a fixed slack. */
-export const RETRIES = { share: 0.2, slack: 30, window: 10_000 };
+export const RETRY_BUDGET = { share: 0.2, slack: 30, window: 10_000 };
 /** Lifetime of addresses from the directory, in seconds. */
 export const ADDRESS_LIFETIME = 1;
 const HEARTBEAT = 600;
@@ -36,7 +36,6 @@
 /** Number of entries that every process has as seeds in its settings. */
 const SEEDS = 2;
 
-/** One process of the system. */
 export interface SystemProcess {
   name: string;
   role: 'entry' | 'agent';
@@ -84,7 +83,6 @@
   moreRoutes: 0,
 };
 
-/** The environment of one soak. */
 export class SoakWorld {
   readonly store = new MemoryStore();
   /** Latest rows written by the operator, by key. */
@@ -323,9 +321,9 @@
     // A repeated SIGTERM does not extend the grace period.
     if (this.#isStopping.has(child)) return;
     this.#isStopping.add(child);
-    const cancel = endAfterGrace(child, GRACE_TIME, () => {
+    const cancel = killAfterGrace(child, GRACE_PERIOD, () => {
       if (this.disruptions.areUndisturbed([name], at, performance.now()))
-        this.violations.push(`GRACE: ${name} outlived its time of grace`);
+        this.violations.push(`GRACE: ${name} outlived its grace period`);
     });
     this.#graceTimers.add(cancel);
     child.once('exit', () => this.#graceTimers.delete(cancel));
@@ -459,12 +457,12 @@
       app: this.#address(5, index, 8_001),
       listen: { front: at(8_005), ready: at(8_002), control: at(8_000), directory: at(8_009) },
       bounds: {
-        grace_s: GRACE_TIME / 1_000,
+        grace_s: GRACE_PERIOD / 1_000,
         version_ms: VERSION_BOUND,
         ttl_max_s: ADDRESS_LIFETIME,
-        retry_budget: RETRIES.share,
-        budget_slack: RETRIES.slack,
-        budget_window_s: RETRIES.window / 1_000,
+        retry_budget: RETRY_BUDGET.share,
+        budget_slack: RETRY_BUDGET.slack,
+        budget_window_s: RETRY_BUDGET.window / 1_000,
       },
       platform: { address: storeLink.address },
     };
