--- a/test/platform/soak/callers.ts
+++ b/test/platform/soak/callers.ts
@@ -133,7 +133,7 @@
   return broken;
 }
 
-function eventsOf(path: string): string {
+function expectedEvents(path: string): string {
   let events = '';
   for (let event = 1; event <= streamShape(path).events; event++)
     events += `id: ${event}\ndata: ${eventData(path, event)}\n\n`;
@@ -142,13 +142,13 @@
 
 /** Checks that what was received of an incomplete stream is a prefix of the expected events. */
 function judgePartialEvents(id: string, path: string, answer: string): string[] {
-  return eventsOf(path).startsWith(answer)
+  return expectedEvents(path).startsWith(answer)
     ? []
     : [`ORDER: ${id} got ${answer.length} bytes with which its stream does not begin, and no end`];
 }
 
 function judgeEvents(id: string, path: string, answer: string): string[] {
-  const expected = eventsOf(path);
+  const expected = expectedEvents(path);
   return answer === expected
     ? []
     : [`ORDER: ${id} got ${answer.length} of ${expected.length} bytes as whole`];
@@ -196,7 +196,7 @@
   readonly #random: Random;
   readonly #name: string;
   readonly #agent = new Agent({ keepAlive: true, maxSockets: 4 });
-  readonly #long = new Set<Promise<void>>();
+  readonly #longStreams = new Set<Promise<void>>();
   /** How long it caches resolved addresses, in milliseconds. */
   readonly #cacheTime: number;
   /** Whether it keeps using its current entry while a connection to it is open. */
@@ -222,10 +222,10 @@
       const kind = this.#kinds[this.#random.below(this.#kinds.length)];
       const id = `${this.#name}-${count}`;
       if (kind !== 'long' && kind !== 'moved') await this.#sendOne(id, kind);
-      else if (this.#long.size < MAX_LONG_STREAMS) this.#startLong(id, kind);
+      else if (this.#longStreams.size < MAX_LONG_STREAMS) this.#startLong(id, kind);
       await new Promise((resolve) => setTimeout(resolve, this.#random.below(MAX_PAUSE)));
     }
-    await Promise.all(this.#long);
+    await Promise.all(this.#longStreams);
     this.#agent.destroy();
   }
 
@@ -252,8 +252,8 @@
 
   #startLong(id: string, kind: 'long' | 'moved'): void {
     const stream = this.#sendOne(id, kind);
-    this.#long.add(stream);
-    void stream.finally(() => this.#long.delete(stream));
+    this.#longStreams.add(stream);
+    void stream.finally(() => this.#longStreams.delete(stream));
   }
 
   async #sendOne(id: string, kind: SentRequest['kind']): Promise<void> {
--- a/test/platform/soak/faults.ts
+++ b/test/platform/soak/faults.ts
@@ -17,7 +17,7 @@
   /** In milliseconds. */
   duration: number;
   end: () => void;
-  about: string;
+  detail: string;
   /** Parts that it disrupts; absent for planned work and for faults that must harm no request. */
   disrupts?: string[];
 }
@@ -33,7 +33,7 @@
 /** After a fault its parts count as disrupted for this long, in milliseconds, while processes restart and connections reopen. */
 const RECOVERY_TIME = 2_000;
 
-const noEnd = () => {};
+const noCleanup = () => {};
 
 function pick<T>(items: readonly T[], random: Random): T {
   return items[random.below(items.length)];
@@ -43,7 +43,7 @@
   started.child?.kill(name);
 }
 
-const between = (random: Random, least: number, most: number) => least + random.below(most - least);
+const drawBetween = (random: Random, least: number, most: number) => least + random.below(most - least);
 
 const entriesOf = (world: SoakWorld) => world.processes.filter(({ role }) => role === 'entry');
 
@@ -60,7 +60,7 @@
     begin(world, random) {
       const chosen = pick(world.processes, random);
       world.terminate(chosen);
-      return { duration: 0, end: noEnd, about: chosen.name };
+      return { duration: 0, end: noCleanup, detail: chosen.name };
     },
   },
   {
@@ -68,30 +68,30 @@
     begin(world, random) {
       const chosen = pick(world.processes, random);
       world.reload(chosen);
-      return { duration: 0, end: noEnd, about: chosen.name };
+      return { duration: 0, end: noCleanup, detail: chosen.name };
     },
   },
   {
     name: 'SIGTERM to each entry in turn',
     mustFinish: true,
     begin(world, random) {
-      const gap = between(random, 200, 1_500);
+      const gap = drawBetween(random, 200, 1_500);
       const duration = staggered(entriesOf(world), gap, (entry) => world.terminate(entry));
-      return { duration, end: noEnd, about: `every ${gap} ms` };
+      return { duration, end: noCleanup, detail: `every ${gap} ms` };
     },
   },
   {
     name: 'SIGTERM to each entry in turn, with SIGHUP before and after',
     mustFinish: true,
     begin(world, random) {
-      const gap = between(random, 400, 1_500);
+      const gap = drawBetween(random, 400, 1_500);
       const entries = entriesOf(world);
       const duration = staggered(entries, gap, (entry) => {
         world.reload(entry);
         setTimeout(() => world.terminate(entry), gap / 4);
         setTimeout(() => world.reload(entry), gap / 2);
       });
-      return { duration, end: noEnd, about: `every ${gap} ms` };
+      return { duration, end: noCleanup, detail: `every ${gap} ms` };
     },
   },
   {
@@ -99,27 +99,27 @@
     mustFinish: true,
     begin(world, random) {
       const chosen = pick(world.processes, random);
-      const gap = between(random, 20, 2_500);
+      const gap = drawBetween(random, 20, 2_500);
       world.terminate(chosen);
       const { child } = chosen;
       setTimeout(() => {
         if (chosen.child === child) world.terminate(chosen);
       }, gap);
-      return { duration: gap, end: noEnd, about: `${chosen.name} after ${gap} ms` };
+      return { duration: gap, end: noCleanup, detail: `${chosen.name} after ${gap} ms` };
     },
   },
   {
     name: 'configuration changed',
     begin(world) {
       world.configure();
-      return { duration: 0, end: noEnd, about: `revision ${world.configurationVersion}` };
+      return { duration: 0, end: noCleanup, detail: `revision ${world.configurationVersion}` };
     },
   },
   {
     name: 'weights version changed',
     begin(world) {
-      world.bumpVersion();
-      return { duration: 0, end: noEnd, about: `version ${world.weightsVersion}` };
+      world.declareNextVersion();
+      return { duration: 0, end: noCleanup, detail: `version ${world.weightsVersion}` };
     },
   },
 ];
@@ -131,7 +131,7 @@
     begin(world, random) {
       const chosen = pick(world.processes, random);
       signal(chosen, 'SIGKILL');
-      return { duration: 0, end: noEnd, about: chosen.name, disrupts: [chosen.name] };
+      return { duration: 0, end: noCleanup, detail: chosen.name, disrupts: [chosen.name] };
     },
   },
   {
@@ -139,37 +139,42 @@
     mustFinish: true,
     begin(world, random) {
       const chosen = pick(world.processes, random);
-      const duration = RESTART_DELAY + between(random, 0, 500);
+      const duration = RESTART_DELAY + drawBetween(random, 0, 500);
       signal(chosen, 'SIGKILL');
       setTimeout(() => world.terminate(chosen), duration);
-      return { duration, end: noEnd, about: `${chosen.name} after ${duration} ms`, disrupts: [chosen.name] };
+      return {
+        duration,
+        end: noCleanup,
+        detail: `${chosen.name} after ${duration} ms`,
+        disrupts: [chosen.name],
+      };
     },
   },
   {
     name: 'healthy worker sheds requests',
     begin(world, random) {
       const { worker } = pick(world.workers, random);
-      worker.shedShare = between(random, 3, 11) / 10;
+      worker.shedShare = drawBetween(random, 3, 11) / 10;
       return {
-        duration: between(random, 500, 4_000),
+        duration: drawBetween(random, 500, 4_000),
         end: () => {
           worker.shedShare = 0;
         },
-        about: `${worker.id}, ${worker.shedShare} of its requests`,
+        detail: `${worker.id}, ${worker.shedShare} of its requests`,
       };
     },
   },
   {
     name: 'all healthy workers shed requests',
     begin(world, random) {
-      const share = between(random, 3, 11) / 10;
+      const share = drawBetween(random, 3, 11) / 10;
       for (const { worker } of world.workers) worker.shedShare = share;
       return {
-        duration: between(random, 1_000, 6_000),
+        duration: drawBetween(random, 1_000, 6_000),
         end: () => {
           for (const { worker } of world.workers) worker.shedShare = 0;
         },
-        about: `${share} of their requests`,
+        detail: `${share} of their requests`,
       };
     },
   },
@@ -178,7 +183,7 @@
     begin(world, random) {
       const { storeLink, name } = pick(world.processes, random);
       storeLink.silence();
-      return { duration: 0, end: noEnd, about: name, disrupts: [name] };
+      return { duration: 0, end: noCleanup, detail: name, disrupts: [name] };
     },
   },
   {
@@ -186,7 +191,7 @@
     begin(world, random) {
       const { link, worker } = pick(world.workers, random);
       link.silence();
-      return { duration: 0, end: noEnd, about: worker.id, disrupts: [worker.id] };
+      return { duration: 0, end: noCleanup, detail: worker.id, disrupts: [worker.id] };
     },
   },
   {
@@ -195,7 +200,7 @@
       const link = pick(world.seedLinks, random);
       link.silence();
       const agents = world.processes.filter(({ role }) => role === 'agent').map(({ name }) => name);
-      return { duration: 0, end: noEnd, about: link.target, disrupts: agents };
+      return { duration: 0, end: noCleanup, detail: link.target, disrupts: agents };
     },
   },
   {
@@ -204,7 +209,7 @@
       for (const link of world.seedLinks) link.silence();
       for (const { storeLink } of world.processes) storeLink.silence();
       for (const { link } of world.workers) link.silence();
-      return { duration: 0, end: noEnd, about: 'all', disrupts: [EVERYTHING] };
+      return { duration: 0, end: noCleanup, detail: 'all', disrupts: [EVERYTHING] };
     },
   },
   {
@@ -213,9 +218,9 @@
       const chosen = pick(world.processes, random);
       signal(chosen, 'SIGSTOP');
       return {
-        duration: between(random, 200, 2_500),
+        duration: drawBetween(random, 200, 2_500),
         end: () => signal(chosen, 'SIGCONT'),
-        about: chosen.name,
+        detail: chosen.name,
         disrupts: [chosen.name],
       };
     },
@@ -224,7 +229,7 @@
     name: 'all processes killed',
     begin(world) {
       for (const chosen of world.processes) signal(chosen, 'SIGKILL');
-      return { duration: 0, end: noEnd, about: 'all', disrupts: [EVERYTHING] };
+      return { duration: 0, end: noCleanup, detail: 'all', disrupts: [EVERYTHING] };
     },
   },
   {
@@ -234,9 +239,9 @@
       const how = pick(['toTarget', 'fromTarget', 'both'] as const, random);
       storeLink.cut(how);
       return {
-        duration: between(random, 300, 3_000),
+        duration: drawBetween(random, 300, 3_000),
         end: () => storeLink.cut('none'),
-        about: `${name} ${how}`,
+        detail: `${name} ${how}`,
         disrupts: [name],
       };
     },
@@ -246,20 +251,20 @@
     begin(world, random) {
       const { storeLink, name } = pick(world.processes, random);
       storeLink.reset();
-      return { duration: 0, end: noEnd, about: name, disrupts: [name] };
+      return { duration: 0, end: noCleanup, detail: name, disrupts: [name] };
     },
   },
   {
     name: 'link to the store slow',
     begin(world, random) {
       const { storeLink, name } = pick(world.processes, random);
-      storeLink.delay = between(random, 50, 400);
+      storeLink.delay = drawBetween(random, 50, 400);
       return {
-        duration: between(random, 500, 3_000),
+        duration: drawBetween(random, 500, 3_000),
         end: () => {
           storeLink.delay = 0;
         },
-        about: name,
+        detail: name,
         disrupts: [name],
       };
     },
@@ -271,9 +276,9 @@
       const how = pick(['toTarget', 'fromTarget', 'both'] as const, random);
       link.cut(how);
       return {
-        duration: between(random, 300, 2_000),
+        duration: drawBetween(random, 300, 2_000),
         end: () => link.cut('none'),
-        about: `${worker.id} ${how}`,
+        detail: `${worker.id} ${how}`,
         disrupts: [worker.id],
       };
     },
@@ -283,7 +288,7 @@
     begin(world, random) {
       const { link, worker } = pick(world.workers, random);
       link.reset();
-      return { duration: 0, end: noEnd, about: worker.id, disrupts: [worker.id] };
+      return { duration: 0, end: noCleanup, detail: worker.id, disrupts: [worker.id] };
     },
   },
   {
@@ -292,7 +297,7 @@
       const place = random.below(world.workers.length);
       const { id } = world.workers[place].worker;
       void world.replaceWorker(place);
-      return { duration: 1_500, end: noEnd, about: id, disrupts: [id] };
+      return { duration: 1_500, end: noCleanup, detail: id, disrupts: [id] };
     },
   },
   {
@@ -301,7 +306,7 @@
       const engines = world.workers.map(({ worker }) => worker).filter((one) => one instanceof StandInEngine);
       const chosen = pick(engines, random);
       chosen.corruptPiece(random.below(PIECES));
-      return { duration: 0, end: noEnd, about: chosen.id };
+      return { duration: 0, end: noCleanup, detail: chosen.id };
     },
   },
   {
@@ -310,11 +315,11 @@
       const how = pick(['down', 'silent', 'losesAnswers'] as const, random);
       store.faults[how] = true;
       return {
-        duration: between(random, 300, 3_000),
+        duration: drawBetween(random, 300, 3_000),
         end: () => {
           store.faults[how] = false;
         },
-        about: how,
+        detail: how,
         disrupts: [EVERYTHING],
       };
     },
@@ -323,7 +328,7 @@
     name: 'store history discarded',
     begin({ store }) {
       store.forgetHistory();
-      return { duration: 0, end: noEnd, about: 'store', disrupts: [EVERYTHING] };
+      return { duration: 0, end: noCleanup, detail: 'store', disrupts: [EVERYTHING] };
     },
   },
 ];
@@ -332,12 +337,12 @@
 const STATE_WAIT_LIMIT = 6_000;
 const STATE_POLL_INTERVAL = 5;
 /** Clock error of some workers after a restart, in milliseconds: an hour behind. */
-const CLOCK_STEP = -3_600_000;
+const CLOCK_ERROR = -3_600_000;
 
 /** Restarts the worker at `place` under its id. */
 function restart(world: SoakWorld, random: Random, place: number): void {
-  const clockStep = random.below(4) === 0 ? CLOCK_STEP : 0;
-  void world.restartWorker(place, clockStep, random.below(2) === 0);
+  const clockError = random.below(4) === 0 ? CLOCK_ERROR : 0;
+  void world.restartWorker(place, clockError, random.below(2) === 0);
 }
 
 /** Restarts an engine as soon as `isInState` holds for it. */
@@ -357,7 +362,7 @@
     clearInterval(timer);
     restart(world, random, place);
   }, STATE_POLL_INTERVAL);
-  return { duration: STATE_WAIT_LIMIT, end: () => clearInterval(timer), about: id, disrupts: [id] };
+  return { duration: STATE_WAIT_LIMIT, end: () => clearInterval(timer), detail: id, disrupts: [id] };
 }
 
 /** Workers that restart under their id. */
@@ -368,7 +373,7 @@
       const place = random.below(world.workers.length);
       const { id } = world.workers[place].worker;
       restart(world, random, place);
-      return { duration: 0, end: noEnd, about: id, disrupts: [id] };
+      return { duration: 0, end: noCleanup, detail: id, disrupts: [id] };
     },
   },
   {
@@ -377,23 +382,23 @@
       const place = random.below(world.workers.length);
       const { link, worker } = world.workers[place];
       const how = pick(['toTarget', 'fromTarget', 'both'] as const, random);
-      const duration = between(random, 300, 2_000);
+      const duration = drawBetween(random, 300, 2_000);
       link.cut(how);
       setTimeout(() => restart(world, random, place), duration / 2);
-      return { duration, end: () => link.cut('none'), about: `${worker.id} ${how}`, disrupts: [worker.id] };
+      return { duration, end: () => link.cut('none'), detail: `${worker.id} ${how}`, disrupts: [worker.id] };
     },
   },
   {
     name: 'engine restarted while it switches version',
     begin(world, random) {
-      world.bumpVersion();
+      world.declareNextVersion();
       return restartWhen(world, random, ({ isBusy }) => isBusy);
     },
   },
   {
     name: 'engine restarted while pieces are staged',
     begin(world, random) {
-      world.bumpVersion();
+      world.declareNextVersion();
       return restartWhen(world, random, ({ isStaged }) => isStaged);
     },
   },
@@ -405,7 +410,7 @@
     name: 'all workers restarted',
     begin(world, random) {
       for (const place of world.workers.keys()) restart(world, random, place);
-      return { duration: 0, end: noEnd, about: 'all', disrupts: [EVERYTHING] };
+      return { duration: 0, end: noCleanup, detail: 'all', disrupts: [EVERYTHING] };
     },
   },
 ];
@@ -415,22 +420,22 @@
   {
     name: 'store came back from an older copy',
     begin(world, random) {
-      const age = between(random, 100, 3_000);
-      const away = between(random, 200, 1_500);
+      const age = drawBetween(random, 100, 3_000);
+      const away = drawBetween(random, 200, 1_500);
       void world.restoreOlderCopy(age, away);
-      return { duration: age + away, end: noEnd, about: `${age} ms old`, disrupts: [EVERYTHING] };
+      return { duration: age + away, end: noCleanup, detail: `${age} ms old`, disrupts: [EVERYTHING] };
     },
   },
   {
     name: 'worker replaced and version changed before the store was restored',
     begin(world, random) {
-      const age = between(random, 100, 3_000);
-      const away = between(random, 200, 1_500);
+      const age = drawBetween(random, 100, 3_000);
+      const away = drawBetween(random, 200, 1_500);
       void world.restoreOlderCopy(age, away);
-      world.bumpVersion();
+      world.declareNextVersion();
       world.configure();
       void world.replaceWorker(random.below(world.workers.length));
-      return { duration: age + away, end: noEnd, about: `${age} ms old`, disrupts: [EVERYTHING] };
+      return { duration: age + away, end: noCleanup, detail: `${age} ms old`, disrupts: [EVERYTHING] };
     },
   },
 ];
@@ -447,15 +452,16 @@
     begin(world, random) {
       const { worker } = pick(world.workers, random);
       const rate = pick(LIMIT_RATES, random);
-      const duration = between(random, MIN_LIMIT_DURATION, MAX_LIMIT_DURATION);
-      if (worker.rateLimit !== undefined) return { duration: 0, end: noEnd, about: `${worker.id} already` };
+      const duration = drawBetween(random, MIN_LIMIT_DURATION, MAX_LIMIT_DURATION);
+      if (worker.rateLimit !== undefined)
+        return { duration: 0, end: noCleanup, detail: `${worker.id} already` };
       worker.rateLimit = rate;
       const from = performance.now();
       world.log.limits.push({ worker: worker.id, rate, from, to: from + duration });
       const end = () => {
         worker.rateLimit = undefined;
       };
-      return { duration, end, about: `${worker.id} to ${rate} a second` };
+      return { duration, end, detail: `${worker.id} to ${rate} a second` };
     },
   },
 ];
@@ -466,7 +472,7 @@
 
 function stall(
   name: string,
-  begin: (stalls: Stalls, random: Random) => { duration: number; about: string },
+  begin: (stalls: Stalls, random: Random) => { duration: number; detail: string },
   affectsAll = false,
 ): Fault {
   return {
@@ -480,32 +486,32 @@
       });
       const duration = Math.max(...begun.map((each) => each.duration));
       const end = () => {
-        for (const { worker } of chosen) worker.stalls.heal();
+        for (const { worker } of chosen) worker.stalls.reset();
       };
       const parts = affectsAll ? 'all workers' : chosen[0].worker.id;
-      return { duration, end, about: `${parts} ${begun[0].about}` };
+      return { duration, end, detail: `${parts} ${begun[0].detail}` };
     },
   };
 }
 
 const pauseOften = (stalls: Stalls, random: Random) => {
-  stalls.eventPausePercent = between(random, MIN_PAUSE_PERCENT, MAX_PAUSE_PERCENT);
-  stalls.startPausePercent = between(random, 0, 10);
-  return { duration: between(random, 1_500, 5_000), about: `${stalls.eventPausePercent} in 100 events` };
+  stalls.eventPausePercent = drawBetween(random, MIN_PAUSE_PERCENT, MAX_PAUSE_PERCENT);
+  stalls.startPausePercent = drawBetween(random, 0, 10);
+  return { duration: drawBetween(random, 1_500, 5_000), detail: `${stalls.eventPausePercent} in 100 events` };
 };
 
 const suspend = (stalls: Stalls, random: Random) => {
-  const duration = between(random, 700, 2_000);
+  const duration = drawBetween(random, 700, 2_000);
   stalls.suspend(duration);
-  return { duration, about: '' };
+  return { duration, detail: '' };
 };
 
 const failContinuations = (stalls: Stalls, random: Random) => {
   stalls.continuation = pick(['refuses', 'breaksOff'] as const, random);
-  stalls.continuationPercent = between(random, 30, 101);
-  stalls.eventPausePercent = between(random, 0, MIN_PAUSE_PERCENT);
-  const about = `${stalls.continuation} ${stalls.continuationPercent} in 100 continued streams`;
-  return { duration: between(random, 2_000, 6_000), about };
+  stalls.continuationPercent = drawBetween(random, 30, 101);
+  stalls.eventPausePercent = drawBetween(random, 0, MIN_PAUSE_PERCENT);
+  const detail = `${stalls.continuation} ${stalls.continuationPercent} in 100 continued streams`;
+  return { duration: drawBetween(random, 2_000, 6_000), detail };
 };
 
 /** Healthy workers pause, or fail to continue streams: the system must mask this, so it does not count as a disruption. */
@@ -560,9 +566,9 @@
     begin(world, random) {
       const changes = draw(random);
       world.configure(changes);
-      const duration = between(random, least, most);
-      const about = `${JSON.stringify(changes)} from ${world.configurationVersion} on`;
-      return { duration, end: () => world.configure(undo), about };
+      const duration = drawBetween(random, least, most);
+      const detail = `${JSON.stringify(changes)} from ${world.configurationVersion} on`;
+      return { duration, end: () => world.configure(undo), detail };
     },
   };
 }
@@ -574,7 +580,11 @@
     begin(world, random) {
       const changes = drawChange(random);
       world.configure(changes);
-      return { duration: 0, end: noEnd, about: `${world.configurationVersion}: ${JSON.stringify(changes)}` };
+      return {
+        duration: 0,
+        end: noCleanup,
+        detail: `${world.configurationVersion}: ${JSON.stringify(changes)}`,
+      };
     },
   },
   configureTemporarily(
@@ -592,10 +602,10 @@
     name: 'burst of configurations',
     mustFinish: true,
     begin(world, random) {
-      const gap = between(random, 30, 400);
-      const changes = Array.from({ length: between(random, 4, 12) }, () => drawChange(random));
+      const gap = drawBetween(random, 30, 400);
+      const changes = Array.from({ length: drawBetween(random, 4, 12) }, () => drawChange(random));
       const duration = staggered(changes, gap, (change) => world.configure(change));
-      return { duration, end: noEnd, about: `${changes.length}, every ${gap} ms` };
+      return { duration, end: noCleanup, detail: `${changes.length}, every ${gap} ms` };
     },
   },
   {
@@ -610,13 +620,13 @@
       const steps = [
         () => world.configure({ ...change, moreRoutes: isBig ? MORE_ROUTES : 0 }),
         () => world.reload(reloaded),
-        () => world.bumpVersion(),
+        () => world.declareNextVersion(),
         () => world.terminate(stopped),
         () => world.configure({ ...drawChange(random), moreRoutes: 0 }),
       ];
-      const gap = between(random, 0, 300);
+      const gap = drawBetween(random, 0, 300);
       const duration = staggered(steps, gap, (step) => step());
-      return { duration, end: noEnd, about: `${stopped.name} stops, every ${gap} ms` };
+      return { duration, end: noCleanup, detail: `${stopped.name} stops, every ${gap} ms` };
     },
   },
 ];
@@ -683,15 +693,15 @@
     const fault = pick(faults, random);
     // No worker is replaced while another replacement is still under way.
     if (fault.name === 'worker replaced' && replaced.size > 0) continue;
-    const { duration, end, about, disrupts = [] } = fault.begin(world, random);
+    const { duration, end, detail, disrupts = [] } = fault.begin(world, random);
     world.disruptions.record(disrupts, duration + RECOVERY_TIME);
     if (fault.mustFinish === true) seriesEndAt = Math.max(seriesEndAt, performance.now() + duration);
     const at = Math.round(performance.now() - startedAt);
-    timeline.push(`${at} ms ${fault.name}: ${about}${duration > 0 ? ` for ${duration} ms` : ''}`);
-    if (fault.name === 'worker replaced') replaced.add(about);
+    timeline.push(`${at} ms ${fault.name}: ${detail}${duration > 0 ? ` for ${duration} ms` : ''}`);
+    if (fault.name === 'worker replaced') replaced.add(detail);
     setTimeout(() => {
       end();
-      replaced.delete(about);
+      replaced.delete(detail);
     }, duration);
   }
   await new Promise((resolve) => setTimeout(resolve, Math.max(0, seriesEndAt - performance.now())));
--- a/test/platform/soak/judges.ts
+++ b/test/platform/soak/judges.ts
@@ -33,9 +33,9 @@
 export function judgePlannedStops(world: SoakWorld, sent: readonly SentRequest[]): string[] {
   const runs = runsById(world);
   return sent.flatMap((request) => {
-    const own = runs.get(request.id) ?? [];
-    const stop = findResponsibleStop(world, request, own);
-    return stop === undefined ? [] : [describeLoss(world, request, stop, own)];
+    const ownRuns = runs.get(request.id) ?? [];
+    const stop = findResponsibleStop(world, request, ownRuns);
+    return stop === undefined ? [] : [describeLoss(world, request, stop, ownRuns)];
   });
 }
 
@@ -68,9 +68,11 @@
 export function judgeCuts(world: SoakWorld, sent: readonly SentRequest[]): string[] {
   const runs = runsById(world);
   return sent.flatMap((request) => {
-    const own = runs.get(request.id) ?? [];
-    if (!isCutWithoutReason(world, request, own)) return [];
-    return findResponsibleStop(world, request, own) === undefined ? [describeCut(world, request, own)] : [];
+    const ownRuns = runs.get(request.id) ?? [];
+    if (!isCutWithoutReason(world, request, ownRuns)) return [];
+    return findResponsibleStop(world, request, ownRuns) === undefined
+      ? [describeCut(world, request, ownRuns)]
+      : [];
   });
 }
 
@@ -104,10 +106,10 @@
   const work = world.disruptions.nearestPlannedWork(process, endedAt);
   const away = Math.round(Math.abs((work?.at ?? 0) - endedAt));
   const side = work !== undefined && work.at > endedAt ? 'before' : 'after';
-  const beside = work === undefined ? 'no planned work' : `${away} ms ${side} ${work.kind} ${work.about}`;
+  const nearest = work === undefined ? 'no planned work' : `${away} ms ${side} ${work.kind} ${work.about}`;
   return (
     `LOST: ${id} (${kind}) at ${process}: ${outcome} with ${events} events ${since(endedAt)} after it was sent, ` +
-    `${beside}; ${runs.length} runs: ${atWorkers.join(', ') || 'none'}`
+    `${nearest}; ${runs.length} runs: ${atWorkers.join(', ') || 'none'}`
   );
 }
 
--- a/test/platform/soak/main.ts
+++ b/test/platform/soak/main.ts
@@ -121,7 +121,7 @@
     if (faults === 'deadly') deadly = new DeadlyContent(world, seededRandom(seed + 1));
     if (deadly !== undefined) running.push(deadly.run());
     const timeline = await injectFaults(world, random, AbortSignal.timeout(seconds * SECOND), faults);
-    world.heal();
+    world.clearFaults();
     // Recovery is timed from the end of the planned stops in progress, which belong to the faults.
     await world.untilStopped();
     const recovered = await waitUntilConverged(world, RECOVERY_LIMIT, probes);
--- a/test/platform/soak/workers.ts
+++ b/test/platform/soak/workers.ts
@@ -156,7 +156,7 @@
   address: string;
   log: RunLog;
   /** Error of its clock, in milliseconds. */
-  clockStep?: number;
+  clockError?: number;
 }
 
 /** A worker of any service. */
@@ -178,7 +178,7 @@
   constructor(options: WorkerOptions) {
     super(options.address);
     this.id = options.id;
-    this.born = Date.now() + (options.clockStep ?? 0);
+    this.born = Date.now() + (options.clockError ?? 0);
     this.service = options.service;
     this.log = options.log;
   }
--- a/test/platform/soak/world.ts
+++ b/test/platform/soak/world.ts
@@ -279,7 +279,7 @@
   }
 
   /** Declares the next version of the weights. */
-  bumpVersion(): void {
+  declareNextVersion(): void {
     const version = ++this.#weightsVersion;
     this.disruptions.recordPlanned('version', String(version));
     this.#writeAsOperator('version/m', { model: 'm', version });
@@ -360,10 +360,10 @@
 
   /**
    * Crashes a worker and restarts it at once under its id, with no weights loaded or staged.
-   * @param clockStep - error of its clock after the restart, in milliseconds
+   * @param clockError - error of its clock after the restart, in milliseconds
    * @param isRegisteredAtOnce - whether its new record is written to the store at once; otherwise its own report may come first
    */
-  async restartWorker(place: number, clockStep: number, isRegisteredAtOnce: boolean): Promise<void> {
+  async restartWorker(place: number, clockError: number, isRegisteredAtOnce: boolean): Promise<void> {
     if (this.#beingReplaced.has(place)) return;
     this.#beingReplaced.add(place);
     const { worker, zone, link } = this.workers[place];
@@ -372,7 +372,7 @@
     // The address becomes free only once the event loop has closed the socket.
     await new Promise((resolve) => setImmediate(resolve));
     if (this.#stopped) return;
-    const options = { id, service, address, log: this.log, clockStep };
+    const options = { id, service, address, log: this.log, clockError };
     const next =
       worker instanceof StandInEngine
         ? new StandInEngine({ ...options, version: 0 })
@@ -384,7 +384,7 @@
   }
 
   /** Ends all effects that faults may have left behind. */
-  heal(): void {
+  clearFaults(): void {
     Object.assign(this.store.faults, { down: false, silent: false, losesAnswers: false });
     for (const { storeLink, child, isWanted } of this.processes) {
       storeLink.cut('none');
@@ -396,7 +396,7 @@
       link.delay = 0;
       worker.shedShare = 0;
       worker.rateLimit = undefined;
-      worker.stalls.heal();
+      worker.stalls.reset();
     }
     if (JSON.stringify(this.#shape) !== JSON.stringify(DEFAULT_SHAPE)) this.configure(DEFAULT_SHAPE);
     const now = performance.now();
