--- a/test/platform/soak/faults.ts
+++ b/test/platform/soak/faults.ts
@@ -486,7 +486,7 @@
       });
       const duration = Math.max(...begun.map((each) => each.duration));
       const end = () => {
-        for (const { worker } of chosen) worker.stalls.reset();
+        for (const { worker } of chosen) worker.stalls.clear();
       };
       const parts = affectsAll ? 'all workers' : chosen[0].worker.id;
       return { duration, end, detail: `${parts} ${begun[0].detail}` };
--- a/test/platform/soak/stalls.ts
+++ b/test/platform/soak/stalls.ts
@@ -32,7 +32,7 @@
     this.#suspendedUntil = Math.max(this.#suspendedUntil, performance.now() + milliseconds);
   }
 
-  reset(): void {
+  clear(): void {
     this.eventPausePercent = 0;
     this.startPausePercent = 0;
     this.continuation = 'serves';
--- a/test/platform/soak/world.ts
+++ b/test/platform/soak/world.ts
@@ -396,7 +396,7 @@
       link.delay = 0;
       worker.shedShare = 0;
       worker.rateLimit = undefined;
-      worker.stalls.reset();
+      worker.stalls.clear();
     }
     if (JSON.stringify(this.#shape) !== JSON.stringify(DEFAULT_SHAPE)) this.configure(DEFAULT_SHAPE);
     const now = performance.now();
