--- a/test/platform/soak-judges.test.ts
+++ b/test/platform/soak-judges.test.ts
@@ -1,6 +1,6 @@
-/** The judges of the soak find what they are for, and leave alone what is allowed. */
+/** Tests that the judges of the soak report each kind of violation and nothing that is allowed. */
 import { beforeEach, describe, expect, it } from 'vitest';
-import { judgeAnswer, judgeMissing, type SentRequest } from './soak/callers.js';
+import { judgeAnswer, judgeMissingRoute, type SentRequest } from './soak/callers.js';
 import { Disruptions } from './soak/disruptions.js';
 import {
   judgeCuts,
@@ -10,7 +10,7 @@
   judgeRepetitions,
 } from './soak/judges.js';
 import { eventData, type Run, RunLog } from './soak/workers.js';
-import { RETRIES, type SoakWorld } from './soak/world.js';
+import { RETRY_BUDGET, type SoakWorld } from './soak/world.js';
 
 const START = 100_000;
 let log: RunLog;
@@ -33,11 +33,11 @@
     status: 200,
     headers: {},
     answer: '',
-    isWhole: true,
+    isComplete: true,
     sentAt: START,
     writtenAt: START + 1,
     endedAt: START + 3_000,
-    leftAt: undefined,
+    abandonedAt: undefined,
     ...changes,
   };
 }
@@ -54,7 +54,7 @@
     version: 1,
     at: START,
     endedAt: START + 5_000,
-    isBrokenOff: false,
+    isAborted: false,
     after: 0,
     isContinuationBroken: false,
     ...changes,
@@ -62,13 +62,13 @@
 }
 
 describe('LOST', () => {
-  const cut = { isWhole: false };
+  const cut = { isComplete: false };
 
   function stopAt(at: number): void {
     disruptions.stops.push({ process: 'entry-1', at, endedAt: Number.POSITIVE_INFINITY });
   }
 
-  it('is an answer that a planned stop cuts', () => {
+  it('is an answer cut by a planned stop', () => {
     stopAt(START + 1_000);
     log.runs.push(run('one'));
     expect(judgePlannedStops(world, [sent('one', cut)])).toEqual([expect.stringMatching(/^LOST: one /)]);
@@ -81,9 +81,9 @@
 
   it.each([
     ['is whole', {}, {}],
-    ['was left by its caller', { ...cut, leftAt: START + 10 }, {}],
-    ['was broken off by its worker', cut, { isBrokenOff: true }],
-    ['reached the time-out of its route', { ...cut, endedAt: START + 7_000 }, {}],
+    ['was left by its caller', { ...cut, abandonedAt: START + 10 }, {}],
+    ['was broken off by its worker', cut, { isAborted: true }],
+    ['reached the timeout of its route', { ...cut, endedAt: START + 7_000 }, {}],
     ['was sent early and cut late', { ...cut, sentAt: START + 3_500, endedAt: START + 8_000 }, {}],
   ])('is no answer that %s', (_, changes, changesOfRun) => {
     stopAt(START + 1_000);
@@ -91,7 +91,7 @@
     expect(judgePlannedStops(world, [sent('one', changes)])).toEqual([]);
   });
 
-  it('is no request that crossed the close of its connection', () => {
+  it('is no request that was sent while its connection was being closed', () => {
     stopAt(START + 1_000);
     const crossing = { ...cut, status: undefined, sentAt: START + 2_000, writtenAt: START + 2_000 };
     expect(judgePlannedStops(world, [sent('one', { ...crossing, endedAt: START + 2_100 })])).toEqual([]);
@@ -102,25 +102,25 @@
     expect(judgePlannedStops(world, [sent('one', cut)])).toEqual([]);
   });
 
-  it('is nothing where its worker was struck', () => {
+  it('is nothing where its worker was disrupted', () => {
     const now = performance.now();
     stopAt(now);
     log.runs.push(run('one', { at: now }));
-    disruptions.note(['i-1'], 100);
+    disruptions.record(['i-1'], 100);
     const request = sent('one', { ...cut, sentAt: now - 100, writtenAt: now - 100, endedAt: now + 100 });
     expect(judgePlannedStops(world, [request])).toEqual([]);
   });
 });
 
 describe('LOST at any time', () => {
-  const cut = { isWhole: false };
+  const cut = { isComplete: false };
 
   function configure(at: number, long: number): void {
     disruptions.plannedWork.push({ kind: 'configuration', about: '7', at });
     disruptions.configurations.push({ at, timeouts: { long }, missing: [] });
   }
 
-  it('is an answer that is cut around a configuration, and names both', () => {
+  it('is an answer cut near a configuration change, and names both', () => {
     configure(START + 2_800, 7_000);
     log.runs.push(run('one'), run('one', { at: START + 2_700, after: 2, isContinuationBroken: true }));
     const answer = 'id: 1\ndata: a\n\nid: 2\ndata: b\n\n';
@@ -130,7 +130,7 @@
     ]);
   });
 
-  it('is an answer that is cut beside no work', () => {
+  it('is an answer cut without any planned work', () => {
     log.runs.push(run('one'));
     expect(judgeCuts(world, [sent('one', cut)])).toEqual([expect.stringMatching(/no planned work/)]);
   });
@@ -142,14 +142,14 @@
     expect(judgeCuts(world, [sent('one', crossing)])).toEqual([]);
   });
 
-  it('is an answer that ends by a time-out declared after it was sent', () => {
+  it('is an answer that ends at a timeout configured after it was sent', () => {
     configure(START - 10_000, 7_000);
     configure(START + 1_000, 3_000);
     log.runs.push(run('one'));
     expect(judgeCuts(world, [sent('one', cut)])).toHaveLength(1);
   });
 
-  it('is no answer that ends at or after a time-out that may have been in force, and one that ends before it', () => {
+  it('is no answer that ends at or after a timeout that may have been in force, but is one that ends before it', () => {
     configure(START - 1_000, 2_900);
     configure(START - 500, 7_000);
     log.runs.push(run('one'));
@@ -160,15 +160,15 @@
 
   it.each([
     ['is whole', {}, {}],
-    ['was left by its caller', { ...cut, leftAt: START + 10 }, {}],
-    ['was broken off by its worker', cut, { isBrokenOff: true }],
+    ['was left by its caller', { ...cut, abandonedAt: START + 10 }, {}],
+    ['was broken off by its worker', cut, { isAborted: true }],
     ['reached its deadline', { ...cut, endedAt: START + 7_000 }, {}],
   ])('is no answer that %s', (_, changes, changesOfRun) => {
     log.runs.push(run('one', changesOfRun));
     expect(judgeCuts(world, [sent('one', changes)])).toEqual([]);
   });
 
-  it('is nothing that a planned stop may cut, and nothing that is judged with it', () => {
+  it('is nothing that a planned stop may cut, and nothing that judgePlannedStops reports', () => {
     log.runs.push(run('one'));
     disruptions.stops.push({ process: 'entry-1', at: START - 5_000, endedAt: Number.POSITIVE_INFINITY });
     const late = sent('one', { ...cut, sentAt: START - 2_100, endedAt: START + 2_900 });
@@ -177,10 +177,10 @@
     expect([judgeCuts(world, [early]), judgePlannedStops(world, [early])]).toEqual([[], [expect.anything()]]);
   });
 
-  it('is nothing where its worker was struck', () => {
+  it('is nothing where its worker was disrupted', () => {
     const now = performance.now();
     log.runs.push(run('one', { at: now }));
-    disruptions.note(['i-1'], 100);
+    disruptions.record(['i-1'], 100);
     const request = sent('one', { ...cut, sentAt: now - 100, writtenAt: now - 100, endedAt: now + 100 });
     expect(judgeCuts(world, [request])).toEqual([]);
   });
@@ -189,22 +189,22 @@
 describe('ORDER', () => {
   const event = (id: number) => `id: ${id}\ndata: ${eventData('/long/1', id)}\n\n`;
   const cutWith = (...ids: number[]) =>
-    judgeAnswer(sent('one', { isWhole: false, answer: ids.map(event).join('') }));
+    judgeAnswer(sent('one', { isComplete: false, answer: ids.map(event).join('') }));
 
-  it('is broken by a cut stream with an event twice, missing or changed', () => {
+  it('is violated by a cut stream with a repeated, missing or changed event', () => {
     for (const ids of [[1, 2, 2], [1, 3], [2]]) expect(cutWith(...ids)).toHaveLength(1);
-    expect(judgeAnswer(sent('one', { isWhole: false, answer: 'id: 1\ndata: x\n\n' }))).toHaveLength(1);
+    expect(judgeAnswer(sent('one', { isComplete: false, answer: 'id: 1\ndata: x\n\n' }))).toHaveLength(1);
   });
 
-  it('is kept by a cut stream that is a beginning', () => {
+  it('is met by a cut stream that is a prefix of the expected one', () => {
     for (const ids of [[], [1], [1, 2, 3]]) expect(cutWith(...ids)).toEqual([]);
   });
 });
 
 describe('DENIED', () => {
-  const denied = () => judgeMissing(world, [sent('one', { kind: 'moved', status: 404 })]);
+  const denied = () => judgeMissingRoute(world, [sent('one', { kind: 'moved', status: 404 })]);
 
-  it('is broken by 404 for the moved route while all configurations name it', () => {
+  it('is violated by a 404 on the moved route while all configurations contain it', () => {
     disruptions.configurations.push({ at: START - 60_000, timeouts: {}, missing: [] });
     expect(denied()).toEqual(['DENIED: one got 404']);
     disruptions.configurations.push({ at: START - 30_000, timeouts: {}, missing: ['moved'] });
@@ -212,7 +212,7 @@
     expect(denied()).toHaveLength(1);
   });
 
-  it('is kept while a configuration without it may be in force', () => {
+  it('is met while a configuration without the route may be in force', () => {
     disruptions.configurations.push({ at: START - 30_000, timeouts: {}, missing: ['moved'] });
     disruptions.configurations.push({ at: START - 1_000, timeouts: {}, missing: [] });
     expect(denied()).toEqual([]);
@@ -220,8 +220,8 @@
 });
 
 describe('BUDGET', () => {
-  /** 100 requests in a second, of which `repetitions` reach a second worker. */
-  function play(repetitions: number): string[] {
+  /** Judges 100 requests within a second, of which `repetitions` are retried at a second worker. */
+  function judgeRetries(repetitions: number): string[] {
     const requests = Array.from({ length: 100 }, (_, index) =>
       sent(`r${index}`, { kind: 'again', sentAt: START + index * 10 }),
     );
@@ -231,31 +231,31 @@
       log.arrivals.push({ requestId: `r${index}`, service: 'plain', worker: 'i-2', at: START + 1_000 });
     return judgeRepetitions(world, requests);
   }
-  const allowed = 100 * RETRIES.share + RETRIES.slack;
+  const allowed = 100 * RETRY_BUDGET.share + RETRY_BUDGET.slack;
 
-  it('is broken by one repetition more than the share and the slack allow', () => {
-    expect(play(allowed + 1)).toEqual([expect.stringMatching(/^BUDGET: plain got 51 repetitions/)]);
+  it('is violated by one retry more than the share and the slack allow', () => {
+    expect(judgeRetries(allowed + 1)).toEqual([expect.stringMatching(/^BUDGET: plain got 51 repetitions/)]);
   });
 
-  it('is kept by as many as they allow', () => {
-    expect(play(allowed)).toEqual([]);
+  it('is met by as many retries as they allow', () => {
+    expect(judgeRetries(allowed)).toEqual([]);
   });
 });
 
 describe('GONE', () => {
-  const left = Array.from({ length: 8 }, (_, index) => sent(`r${index}`, { leftAt: START + 100 }));
+  const left = Array.from({ length: 8 }, (_, index) => sent(`r${index}`, { abandonedAt: START + 100 }));
 
-  it('is work that goes on at more than a quarter of the runs that would last', () => {
+  it('is work that continues in more than a quarter of the long runs', () => {
     for (const { id } of left) log.runs.push(run(id, { endedAt: START + 700 }));
     expect(judgeDepartures(world, left)).toEqual([expect.stringMatching(/^GONE: 8 of 8 runs go on/)]);
   });
 
-  it('is no work that ends within half a second', () => {
+  it('is no work that ends within half a second of the departure', () => {
     for (const { id } of left) log.runs.push(run(id, { endedAt: START + 500 }));
     expect(judgeDepartures(world, left)).toEqual([]);
   });
 
-  it('is requests that reach a worker later', () => {
+  it('is requests that reach a worker later than that', () => {
     for (const { id: requestId } of left)
       log.arrivals.push({ requestId, service: 'engines', worker: 'i-1', at: START + 700 });
     expect(judgeDepartures(world, left)).toEqual([expect.stringMatching(/^GONE: 8 arrivals/)]);
@@ -267,7 +267,7 @@
   /** Requests allowed in 4 s at this rate. */
   const ALLOWED = 17;
 
-  /** Records requests to a worker that names a limit from `START` on, one every 100 ms from `from`. */
+  /** Records requests, one every 100 ms from `from` on, to a worker that announces a rate limit from `START` on. */
   function recordArrivals(count: number, from: number): SentRequest[] {
     log.limits.push({ worker: 'i-1', rate: RATE, from: START, to: START + 8_000 });
     return Array.from({ length: count }, (_, index) => {
@@ -277,7 +277,7 @@
     });
   }
 
-  it('is broken by more than 1.5 times the limit plus five requests within 4 s', () => {
+  it('is violated by more than 1.5 times the limit plus five requests within 4 s', () => {
     expect(judgeLimits(world, recordArrivals(ALLOWED, START + 3_000))).toEqual([]);
     log.arrivals.length = 0;
     log.limits.length = 0;
@@ -286,15 +286,15 @@
     ]);
   });
 
-  it('is not broken in the first 3 s of a limit or after its end', () => {
+  it('is not violated in the first 3 s of a limit or after its end', () => {
     expect(judgeLimits(world, recordArrivals(30, START))).toEqual([]);
     log.arrivals.length = 0;
     log.limits.length = 0;
     expect(judgeLimits(world, recordArrivals(30, START + 8_001))).toEqual([]);
   });
 
-  it('is not broken by requests from disrupted entries', () => {
-    disruptions.note(['entry-1'], Number.POSITIVE_INFINITY);
+  it('is not violated by requests from disrupted entries', () => {
+    disruptions.record(['entry-1'], Number.POSITIVE_INFINITY);
     log.arrivals.length = 0;
     const firstAt = performance.now() + 1_000;
     const requests = recordArrivals(ALLOWED + 1, START + 3_000);
--- a/test/platform/soak/callers.ts
+++ b/test/platform/soak/callers.ts
@@ -1,66 +1,67 @@
-/** Callers of a soak: they look entries up, keep connections, send requests and judge every answer. */
+/** Callers of a soak: they resolve entry addresses, keep connections open, send requests and check every answer. */
 import { Agent, request as httpRequest, type IncomingMessage } from 'node:http';
 import type { Random } from '../../../src/model/random.js';
 import { eventData, streamShape } from './workers.js';
 import { ADDRESS_LIFETIME, HOST, KEY, LONG_TIMEOUT, ROUTE_TIMEOUT, type SoakWorld, TENANT } from './world.js';
 
 /** Longest pause between two requests of a caller, in milliseconds. */
-const LONGEST_PAUSE = 60;
-/** Times an address lifetime for which callers hold an answer of the directory: most for one, some for up to three. */
-const LONGEST_HOLD = 3;
-/** Streams of 5 s: events, and the time between two, in milliseconds. */
+const MAX_PAUSE = 60;
+/** Each caller caches resolved addresses for one to this many times the address lifetime, drawn evenly. */
+const MAX_CACHE_LIFETIMES = 3;
+/** Long streams take 5 s: their number of events, and the interval between two in milliseconds. */
 const LONG_EVENTS = 25;
 const LONG_INTERVAL = 200;
-/** Long streams of one caller at a time, beside its other requests. */
-const MOST_LONG = 2;
-/** One in this many requests is left by its caller in the middle, after at most this, in milliseconds. */
-const LEFT_ONE_IN = 12;
-const LONGEST_STAY = 400;
-const PROMISES_NOT_RUN = new Set([429, 503, 408, 421]);
+/** Long streams that one caller may have open at a time, besides its other requests. */
+const MAX_LONG_STREAMS = 2;
+/** A caller abandons one in this many requests, after at most this time in milliseconds. */
+const ABANDONED_ONE_IN = 12;
+const MAX_ABANDON_DELAY = 400;
+/** Statuses by which an entry guarantees that the request was not executed. */
+const NOT_EXECUTED_STATUSES = new Set([429, 503, 408, 421]);
 
-/** A request that was sent, and how it ended. */
+/** A sent request and its outcome. */
 export interface SentRequest {
   id: string;
   kind: 'write' | 'long' | 'moved' | 'once' | 'again';
-  /** Address of the entry that it was sent to. */
+  /** Address of the entry to which it was sent. */
   entry: string;
   path: string;
   body: string;
-  /** Undefined where no whole head came. */
+  /** Undefined if no complete response head was received. */
   status: number | undefined;
   headers: IncomingMessage['headers'];
   answer: string;
-  /** True where the answer ended as HTTP says. */
-  isWhole: boolean;
+  /** Whether the response was complete according to HTTP framing. */
+  isComplete: boolean;
   sentAt: number;
-  /** When its last byte went out; undefined where the connection never took it all. */
+  /** When its last byte was written; undefined if the connection never accepted all of it. */
   writtenAt: number | undefined;
   endedAt: number;
-  /** When its caller left before the answer was whole. */
-  leftAt: number | undefined;
+  /** When its caller abandoned it before the response was complete; undefined if it did not. */
+  abandonedAt: number | undefined;
 }
 
-/** What is sent. */
+/** A request to send. */
 export interface RequestToSend {
   id: string;
   kind: SentRequest['kind'];
   path: string;
   body: string;
-  /** The caller leaves after this, in milliseconds. */
-  leaveAfter?: number;
+  /** The caller abandons the request after this time, in milliseconds. */
+  abandonAfter?: number;
 }
 
-/** Sends one request to an entry and returns how it ended. */
+/** Sends one request to an entry and resolves with its outcome. */
 export function sendRequest(
   entry: string,
   agent: Agent | undefined,
-  { id, kind, path, body, leaveAfter }: RequestToSend,
+  { id, kind, path, body, abandonAfter }: RequestToSend,
 ): Promise<SentRequest> {
   const [host, port] = entry.split(':');
-  const timeout = timeOf(kind);
+  const timeout = deadlineOf(kind);
   const sentAt = performance.now();
   let writtenAt: number | undefined;
-  let leftAt: number | undefined;
+  let abandonedAt: number | undefined;
   const headers = {
     Host: HOST,
     'Attempt-Id': id,
@@ -80,11 +81,11 @@
         status: answer?.statusCode,
         headers: answer?.headers ?? {},
         answer: Buffer.concat(parts).toString('utf8'),
-        isWhole: answer?.complete ?? false,
+        isComplete: answer?.complete ?? false,
         sentAt,
         writtenAt,
         endedAt: performance.now(),
-        leftAt,
+        abandonedAt,
       });
     const sent = httpRequest({ host, port, path, method: 'POST', agent, headers }, (answer) => {
       answer.on('data', (part) => parts.push(part));
@@ -93,10 +94,10 @@
       answer.on('close', () => end(answer));
     });
     const leave = () => {
-      leftAt = performance.now();
+      abandonedAt = performance.now();
       sent.destroy();
     };
-    const limit = setTimeout(leave, leaveAfter ?? timeout * 2);
+    const limit = setTimeout(leave, abandonAfter ?? timeout * 2);
     sent.on('finish', () => {
       writtenAt = performance.now();
     });
@@ -106,54 +107,54 @@
   });
 }
 
-/** Time that a caller gives a request, in milliseconds. */
-export function timeOf(kind: SentRequest['kind']): number {
+/** Deadline that a caller sets for a request of this kind, in milliseconds. */
+export function deadlineOf(kind: SentRequest['kind']): number {
   return kind === 'long' || kind === 'moved' ? LONG_TIMEOUT : ROUTE_TIMEOUT;
 }
 
 const isStream = (kind: SentRequest['kind']) => kind === 'write' || kind === 'long' || kind === 'moved';
 
-/** The promises that an answer breaks, from what its caller sees. */
+/** Violations that a caller can see in the response to its own request. */
 export function judgeAnswer(sent: SentRequest): string[] {
-  const { id, kind, path, status, headers, answer, isWhole } = sent;
-  if (status === 200 && !isWhole && isStream(kind)) return judgeBegunEvents(id, path, answer);
-  if (status === undefined || !isWhole) return [];
+  const { id, kind, path, status, headers, answer, isComplete } = sent;
+  if (status === 200 && !isComplete && isStream(kind)) return judgePartialEvents(id, path, answer);
+  if (status === undefined || !isComplete) return [];
   const broken: string[] = [];
-  // The moved route may be missing: see `judgeMissing`.
+  // A configuration may lack the moved route: `judgeMissingRoute` checks its 404 responses.
   const isDenied = status === 401 || status === 403 || (status === 404 && kind !== 'moved');
   if (isDenied) broken.push(`DENIED: ${id} got ${status}`);
   if (status !== 200) return broken;
   if (headers['attempt-id'] !== id) broken.push(`MIXED: ${id} got the answer of ${headers['attempt-id']}`);
   if (headers['server-seal'] === undefined) broken.push(`MIXED: ${id} got no signature`);
   if (isStream(kind)) return [...broken, ...judgeEvents(id, path, answer)];
-  const told = parse(answer);
-  if (told?.id !== id || told?.seal !== headers['server-seal'])
+  const parsed = parse(answer);
+  if (parsed?.id !== id || parsed?.seal !== headers['server-seal'])
     broken.push(`MIXED: ${id} got ${answer.slice(0, 80)}`);
   return broken;
 }
 
-function eventsOf(path: string): string {
+function expectedEvents(path: string): string {
   let events = '';
   for (let event = 1; event <= streamShape(path).events; event++)
     events += `id: ${event}\ndata: ${eventData(path, event)}\n\n`;
   return events;
 }
 
-/** What came of a stream that was cut or left is how it begins. */
-function judgeBegunEvents(id: string, path: string, answer: string): string[] {
-  return eventsOf(path).startsWith(answer)
+/** Checks that what was received of an incomplete stream is a prefix of the expected events. */
+function judgePartialEvents(id: string, path: string, answer: string): string[] {
+  return expectedEvents(path).startsWith(answer)
     ? []
     : [`ORDER: ${id} got ${answer.length} bytes with which its stream does not begin, and no end`];
 }
 
 function judgeEvents(id: string, path: string, answer: string): string[] {
-  const expected = eventsOf(path);
+  const expected = expectedEvents(path);
   return answer === expected
     ? []
     : [`ORDER: ${id} got ${answer.length} of ${expected.length} bytes as whole`];
 }
 
-/** The promises that are broken by what ran, over all requests. */
+/** Violations in what workers executed, over all requests. */
 export function judgeRuns(world: SoakWorld, sent: readonly SentRequest[]): string[] {
   const broken: string[] = [];
   const byId = new Map(sent.map((request) => [request.id, request]));
@@ -170,24 +171,24 @@
     const count = runs.get(id) ?? 0;
     if (kind !== 'once') continue;
     if (count > 1) broken.push(`TWICE: ${id} ran ${count} times`);
-    if (status !== undefined && PROMISES_NOT_RUN.has(status) && count > 0)
+    if (status !== undefined && NOT_EXECUTED_STATUSES.has(status) && count > 0)
       broken.push(`REFUSED: ${id} got ${status} and ran`);
   }
   return broken;
 }
 
-/** Denials of the moved route while every configuration that can be in force names it. */
-export function judgeMissing(world: SoakWorld, sent: readonly SentRequest[]): string[] {
+/** Reports 404 responses on the moved route while every configuration that may be in force has that route. */
+export function judgeMissingRoute(world: SoakWorld, sent: readonly SentRequest[]): string[] {
   return sent
     .filter(({ kind, status }) => kind === 'moved' && status === 404)
-    .filter(({ sentAt, endedAt }) => !world.disruptions.mayLack('moved', sentAt, endedAt))
+    .filter(({ sentAt, endedAt }) => !world.disruptions.mayLackRoute('moved', sentAt, endedAt))
     .map(({ id }) => `DENIED: ${id} got 404`);
 }
 
 const USUAL_KINDS = ['write', 'write', 'long', 'once', 'again'] as const;
 const KINDS_WITH_MOVED = ['write', 'long', 'moved', 'moved', 'once', 'again'] as const;
 
-/** A caller that goes on until it is stopped. */
+/** A caller that sends requests until it is stopped. */
 export class SoakCaller {
   readonly sent: SentRequest[] = [];
   readonly violations: string[] = [];
@@ -195,15 +196,15 @@
   readonly #random: Random;
   readonly #name: string;
   readonly #agent = new Agent({ keepAlive: true, maxSockets: 4 });
-  readonly #long = new Set<Promise<void>>();
-  /** Time for which it holds an answer of the directory, in milliseconds. */
-  readonly #hold: number;
-  /** True where it goes on with the entry that it has as long as a connection there is open. */
-  readonly #isLoyal: boolean;
+  readonly #longStreams = new Set<Promise<void>>();
+  /** How long it caches resolved addresses, in milliseconds. */
+  readonly #cacheTime: number;
+  /** Whether it keeps using its current entry while a connection to it is open. */
+  readonly #isSticky: boolean;
   readonly #kinds: readonly SentRequest['kind'][];
   #entry: string | undefined;
   #addresses: string[] = [];
-  #askedAt = Number.NEGATIVE_INFINITY;
+  #resolvedAt = Number.NEGATIVE_INFINITY;
   #running = true;
 
   constructor(name: string, world: SoakWorld, random: Random, usesMovedRoute = false) {
@@ -211,20 +212,20 @@
     this.#name = name;
     this.#world = world;
     this.#random = random;
-    this.#hold = ADDRESS_LIFETIME * 1_000 * (1 + random.below(LONGEST_HOLD));
-    this.#isLoyal = random.below(2) === 0;
+    this.#cacheTime = ADDRESS_LIFETIME * 1_000 * (1 + random.below(MAX_CACHE_LIFETIMES));
+    this.#isSticky = random.below(2) === 0;
   }
 
   async run(): Promise<void> {
     for (let count = 0; this.#running; count++) {
-      await this.#lookUp();
+      await this.#resolveAddresses();
       const kind = this.#kinds[this.#random.below(this.#kinds.length)];
       const id = `${this.#name}-${count}`;
       if (kind !== 'long' && kind !== 'moved') await this.#sendOne(id, kind);
-      else if (this.#long.size < MOST_LONG) this.#startLong(id, kind);
-      await new Promise((resolve) => setTimeout(resolve, this.#random.below(LONGEST_PAUSE)));
+      else if (this.#longStreams.size < MAX_LONG_STREAMS) this.#startLong(id, kind);
+      await new Promise((resolve) => setTimeout(resolve, this.#random.below(MAX_PAUSE)));
     }
-    await Promise.all(this.#long);
+    await Promise.all(this.#longStreams);
     this.#agent.destroy();
   }
 
@@ -232,27 +233,27 @@
     this.#running = false;
   }
 
-  /** An answer is held for its time, and for longer where there is no new one. */
-  async #lookUp(): Promise<void> {
-    if (performance.now() - this.#askedAt < this.#hold && this.#addresses.length > 0) return;
+  /** Resolves the entry addresses anew once the cached ones expire; keeps these if that fails. */
+  async #resolveAddresses(): Promise<void> {
+    if (performance.now() - this.#resolvedAt < this.#cacheTime && this.#addresses.length > 0) return;
     const entries = this.#world.entryAddresses();
     const { directory } = entries[this.#random.below(entries.length)];
     const url = `http://${directory}/v1/resolve?name=${HOST}&region=zone-a&zone=zone-a`;
     try {
       const answer = await fetch(url, { signal: AbortSignal.timeout(500) });
-      const told = (await answer.json()) as { addresses?: string[] };
-      if (told.addresses === undefined || told.addresses.length === 0) return;
-      this.#addresses = told.addresses;
-      this.#askedAt = performance.now();
+      const resolved = (await answer.json()) as { addresses?: string[] };
+      if (resolved.addresses === undefined || resolved.addresses.length === 0) return;
+      this.#addresses = resolved.addresses;
+      this.#resolvedAt = performance.now();
     } catch {
-      // The next look-up asks another.
+      // The next attempt asks an entry drawn anew.
     }
   }
 
   #startLong(id: string, kind: 'long' | 'moved'): void {
     const stream = this.#sendOne(id, kind);
-    this.#long.add(stream);
-    void stream.finally(() => this.#long.delete(stream));
+    this.#longStreams.add(stream);
+    void stream.finally(() => this.#longStreams.delete(stream));
   }
 
   async #sendOne(id: string, kind: SentRequest['kind']): Promise<void> {
@@ -260,9 +261,9 @@
     const isLong = kind === 'long' || kind === 'moved';
     const shape = isLong ? `&events=${LONG_EVENTS}&interval=${LONG_INTERVAL}` : '';
     const path = `/${kind}/${this.#random.below(1_000)}?of=${this.#name}${shape}`;
-    const isLeft = this.#random.below(LEFT_ONE_IN) === 0;
-    const leaveAfter = isLeft ? 1 + this.#random.below(LONGEST_STAY) : undefined;
-    const toSend = { id, kind, path, body: `body of ${id}`, leaveAfter };
+    const isAbandoned = this.#random.below(ABANDONED_ONE_IN) === 0;
+    const abandonAfter = isAbandoned ? 1 + this.#random.below(MAX_ABANDON_DELAY) : undefined;
+    const toSend = { id, kind, path, body: `body of ${id}`, abandonAfter };
     const sent = await sendRequest(this.#chooseEntry(), this.#agent, toSend);
     this.sent.push(sent);
     this.violations.push(...judgeAnswer(sent));
@@ -270,7 +271,7 @@
 
   #chooseEntry(): string {
     const chosen = this.#addresses[this.#random.below(this.#addresses.length)];
-    if (!this.#isLoyal) return chosen;
+    if (!this.#isSticky) return chosen;
     if (this.#entry === undefined || !this.#isConnectedTo(this.#entry)) this.#entry = chosen;
     return this.#entry;
   }
--- a/test/platform/soak/judges.ts
+++ b/test/platform/soak/judges.ts
@@ -1,24 +1,27 @@
-/** Promises over time that are judged once a soak has ended: planned stops, repetitions, callers that left, and rate limits. */
+/** Checks made over the whole record of a soak once it has ended: planned stops, retries, departed callers and rate limits. */
 import { allowedInWindow, mostInWindow } from '../../forwarding/rate-limit-audit.js';
-import { type SentRequest, timeOf } from './callers.js';
+import { deadlineOf, type SentRequest } from './callers.js';
 import type { PlannedStop } from './disruptions.js';
 import type { Arrival, Run } from './workers.js';
-import { GRACE_TIME, RETRIES, type SoakWorld } from './world.js';
-
-/** A request that is closed sooner after its last byte, and ran nowhere, crossed the close of its connection, in milliseconds. */
-const CROSSING = 200;
-/** No disruption from this long before a request, in milliseconds: what it did to the system lasts on. */
-const CALM_BEFORE = 4_000;
-/** A request sent up to this long after the order to stop may be cut in the last part of the time of grace, in milliseconds. */
-const TAKEN_EARLY = 3_000;
-const LAST_PART = GRACE_TIME / 6;
-/** Time in which the news that a caller has left must reach its worker, in milliseconds. */
-const LEAVING_TIME = 500;
-/** Time after a worker starts to name a rate limit before its arrivals are counted, in milliseconds: entries must learn it. */
+import { GRACE_PERIOD, RETRY_BUDGET, type SoakWorld } from './world.js';
+
+/**
+ * A request that ran nowhere and whose connection closed within this time of its last byte, in milliseconds, is taken to have
+ * been sent while the entry was closing the connection.
+ */
+const CLOSE_RACE_TIME = 200;
+/** Disruptions up to this long before a request, in milliseconds, excuse it, because their effects outlast them. */
+const DISRUPTION_LOOKBACK = 4_000;
+/** A request sent up to this long after SIGTERM, in milliseconds, may be cut in the last part of the grace period. */
+const EARLY_REQUEST_TIME = 3_000;
+const GRACE_LAST_PART = GRACE_PERIOD / 6;
+/** Time within which a caller's departure must reach the worker of its request, in milliseconds. */
+const CANCELLATION_TIME = 500;
+/** Arrivals count against a new rate limit only after this time, in milliseconds, since entries must learn of it first. */
 const LIMIT_LEARNING_TIME = 3_000;
-/** Arrivals for callers that left which are too few to count, and the share of runs that may go on. */
-const FEW = 3;
-const MOST_LEFT_RUNNING = 0.25;
+/** Late arrivals or continuing runs for departed callers that are tolerated, and the share of runs that may continue. */
+const TOLERATED_COUNT = 3;
+const MAX_CONTINUING_SHARE = 0.25;
 const SERVICE_OF: Partial<Record<SentRequest['kind'], string>> = {
   write: 'engines',
   long: 'engines',
@@ -26,60 +29,68 @@
   again: 'plain',
 };
 
-/** Answers that a planned stop cut though nothing else went wrong around them. */
+/** Reports requests that a planned stop cut or left unanswered, though no unplanned disruption excuses that. */
 export function judgePlannedStops(world: SoakWorld, sent: readonly SentRequest[]): string[] {
   const runs = runsById(world);
   return sent.flatMap((request) => {
-    const own = runs.get(request.id) ?? [];
-    const stop = stopThatCut(world, request, own);
-    return stop === undefined ? [] : [describeLoss(world, request, stop, own)];
+    const ownRuns = runs.get(request.id) ?? [];
+    const stop = findResponsibleStop(world, request, ownRuns);
+    return stop === undefined ? [] : [describeLoss(world, request, stop, ownRuns)];
   });
 }
 
-function stopThatCut(world: SoakWorld, request: SentRequest, runs: readonly Run[]): PlannedStop | undefined {
-  const { entry, sentAt, endedAt, isWhole, leftAt } = request;
-  if (isWhole || leftAt !== undefined || endedAt - sentAt >= timeoutOf(world, request)) return undefined;
-  if (!wasRead(request, runs) || runs.some(({ isBrokenOff }) => isBrokenOff)) return undefined;
+function findResponsibleStop(
+  world: SoakWorld,
+  request: SentRequest,
+  runs: readonly Run[],
+): PlannedStop | undefined {
+  const { entry, sentAt, endedAt, isComplete, abandonedAt } = request;
+  if (isComplete || abandonedAt !== undefined || endedAt - sentAt >= shortestTimeout(world, request))
+    return undefined;
+  if (!wasRead(request, runs) || runs.some(({ isAborted }) => isAborted)) return undefined;
   const name = world.entryAt(entry);
-  const stop = world.disruptions.stopDuring(name, sentAt, endedAt, GRACE_TIME);
+  const stop = world.disruptions.stopDuring(name, sentAt, endedAt, GRACE_PERIOD);
   if (stop === undefined) return undefined;
   const parts = [name, ...runs.map(({ worker }) => worker)];
-  const isCalm = world.disruptions.areCalm(parts, sentAt - CALM_BEFORE, endedAt);
-  return mayBeCut(request, stop) || !isCalm ? undefined : stop;
+  const isUndisturbed = world.disruptions.areUndisturbed(parts, sentAt - DISRUPTION_LOOKBACK, endedAt);
+  return isCutAllowed(request, stop) || !isUndisturbed ? undefined : stop;
 }
 
-/** Least time that a request may have had, by its caller and by the configurations as it was sent. */
-function timeoutOf({ disruptions }: SoakWorld, { kind, sentAt }: SentRequest): number {
-  return Math.min(timeOf(kind), ...disruptions.timeoutsOf(kind, sentAt));
+/** The shortest timeout that may have applied to a request: its caller's, or that of a configuration in force when it was sent. */
+function shortestTimeout({ disruptions }: SoakWorld, { kind, sentAt }: SentRequest): number {
+  return Math.min(deadlineOf(kind), ...disruptions.timeoutsOf(kind, sentAt));
 }
 
 /**
- * Answers that were cut, and requests that were read and got none, at any time, with nothing unplanned at their entry and
- * workers: around signals, configurations and versions, and beside none. Those of `judgePlannedStops` are left to it.
+ * Reports cut answers, and requests that were read but not answered, that no unplanned disruption of their entry or workers
+ * excuses, whether or not planned work was under way. Requests that `judgePlannedStops` reports are left out.
  */
 export function judgeCuts(world: SoakWorld, sent: readonly SentRequest[]): string[] {
   const runs = runsById(world);
   return sent.flatMap((request) => {
-    const own = runs.get(request.id) ?? [];
-    if (!isCutWithoutReason(world, request, own)) return [];
-    return stopThatCut(world, request, own) === undefined ? [describeCut(world, request, own)] : [];
+    const ownRuns = runs.get(request.id) ?? [];
+    if (!isCutWithoutReason(world, request, ownRuns)) return [];
+    return findResponsibleStop(world, request, ownRuns) === undefined
+      ? [describeCut(world, request, ownRuns)]
+      : [];
   });
 }
 
 function isCutWithoutReason(world: SoakWorld, request: SentRequest, runs: readonly Run[]): boolean {
-  const { entry, sentAt, endedAt, isWhole, leftAt } = request;
-  if (isWhole || leftAt !== undefined || endedAt - sentAt >= timeoutOf(world, request)) return false;
-  // One that failed to go on with a stream is no reason: the stream has another worker, which at most pauses.
-  if (!wasRead(request, runs) || runs.some(({ isBrokenOff }) => isBrokenOff)) return false;
+  const { entry, sentAt, endedAt, isComplete, abandonedAt } = request;
+  if (isComplete || abandonedAt !== undefined || endedAt - sentAt >= shortestTimeout(world, request))
+    return false;
+  // A worker that fails to continue a stream is no excuse: another worker can take over with at most a pause.
+  if (!wasRead(request, runs) || runs.some(({ isAborted }) => isAborted)) return false;
   const name = world.entryAt(entry);
-  const stop = world.disruptions.stopDuring(name, sentAt, endedAt, GRACE_TIME);
-  if (stop !== undefined && mayBeCut(request, stop)) return false;
+  const stop = world.disruptions.stopDuring(name, sentAt, endedAt, GRACE_PERIOD);
+  if (stop !== undefined && isCutAllowed(request, stop)) return false;
   const parts = [name, ...runs.map(({ worker }) => worker)];
-  return world.disruptions.areCalm(parts, sentAt - CALM_BEFORE, endedAt);
+  return world.disruptions.areUndisturbed(parts, sentAt - DISRUPTION_LOOKBACK, endedAt);
 }
 
-function mayBeCut({ sentAt, endedAt }: SentRequest, stop: PlannedStop): boolean {
-  return sentAt <= stop.at + TAKEN_EARLY && endedAt >= stop.at + GRACE_TIME - LAST_PART;
+function isCutAllowed({ sentAt, endedAt }: SentRequest, stop: PlannedStop): boolean {
+  return sentAt <= stop.at + EARLY_REQUEST_TIME && endedAt >= stop.at + GRACE_PERIOD - GRACE_LAST_PART;
 }
 
 function describeCut(world: SoakWorld, request: SentRequest, runs: readonly Run[]): string {
@@ -92,18 +103,18 @@
     const end = isContinuationBroken ? 'failed to go on' : ended === undefined ? 'at work' : since(ended);
     return `${worker} from ${since(at)} after event ${after} (${end})`;
   });
-  const work = world.disruptions.nearestWork(process, endedAt);
+  const work = world.disruptions.nearestPlannedWork(process, endedAt);
   const away = Math.round(Math.abs((work?.at ?? 0) - endedAt));
   const side = work !== undefined && work.at > endedAt ? 'before' : 'after';
-  const beside = work === undefined ? 'no planned work' : `${away} ms ${side} ${work.kind} ${work.about}`;
+  const nearest = work === undefined ? 'no planned work' : `${away} ms ${side} ${work.kind} ${work.about}`;
   return (
     `LOST: ${id} (${kind}) at ${process}: ${outcome} with ${events} events ${since(endedAt)} after it was sent, ` +
-    `${beside}; ${runs.length} runs: ${atWorkers.join(', ') || 'none'}`
+    `${nearest}; ${runs.length} runs: ${atWorkers.join(', ') || 'none'}`
   );
 }
 
 function wasRead({ status, writtenAt, endedAt }: SentRequest, runs: readonly Run[]): boolean {
-  const isLate = writtenAt !== undefined && endedAt - writtenAt > CROSSING;
+  const isLate = writtenAt !== undefined && endedAt - writtenAt > CLOSE_RACE_TIME;
   return status !== undefined || runs.length > 0 || isLate;
 }
 
@@ -121,13 +132,13 @@
   return `LOST: ${id} (${kind}) at ${stop.process}, ${times}: ${answer}, ${runs.length} runs`;
 }
 
-/** Windows in which a service got more repetitions than all entries together may send. */
+/** Reports, for each service, the window that most exceeds the retry budget of all entries together. */
 export function judgeRepetitions(world: SoakWorld, sent: readonly SentRequest[]): string[] {
   return ['engines', 'plain'].flatMap((service) => {
     const reached = new Set(
       world.log.arrivals.filter((each) => each.service === service).map(({ requestId }) => requestId),
     );
-    // The service of the moved route is the one that got the request.
+    // The moved route changes its service, so its requests are counted for each service that received them.
     const requests = sent
       .filter(({ id, kind }) => (SERVICE_OF[kind] ?? (reached.has(id) ? service : undefined)) === service)
       .map(({ sentAt }) => sentAt);
@@ -136,7 +147,7 @@
   });
 }
 
-/** When a service got a request that it, or another worker of it, had got before. */
+/** Times at which a service received a request that one of its workers had received before. */
 function repetitionsOf(service: string, arrivals: readonly Arrival[]): number[] {
   const seen = new Set<string>();
   const repetitions: number[] = [];
@@ -149,7 +160,7 @@
 }
 
 function worstWindow(repetitions: readonly number[], requests: readonly number[]): string | undefined {
-  const { share, slack, window } = RETRIES;
+  const { share, slack, window } = RETRY_BUDGET;
   const within = (times: readonly number[], end: number) =>
     times.filter((at) => at > end - window && at <= end).length;
   let worst: { excess: number; text: string } | undefined;
@@ -164,22 +175,28 @@
   return worst?.text;
 }
 
-/** What workers still got and did for callers that had left. */
+/** Reports requests that reached workers, and runs that continued, too long after their callers had left. */
 export function judgeDepartures(world: SoakWorld, sent: readonly SentRequest[]): string[] {
-  const left = sent.filter((request) => request.leftAt !== undefined && isCalmAround(world, request));
-  const leftAt = new Map(left.map((request) => [request.id, request.leftAt! + LEAVING_TIME]));
-  const late = world.log.arrivals.filter(({ requestId, at }) => at > (leftAt.get(requestId) ?? Infinity));
-  const lasting = world.log.runs.filter((run) => wouldLast(run, leftAt.get(run.requestId)));
-  const goingOn = lasting.filter((run) => (run.endedAt ?? Infinity) > leftAt.get(run.requestId)!);
+  const left = sent.filter(
+    (request) => request.abandonedAt !== undefined && isRequestUndisturbed(world, request),
+  );
+  const departedBy = new Map(left.map((request) => [request.id, request.abandonedAt! + CANCELLATION_TIME]));
+  const late = world.log.arrivals.filter(({ requestId, at }) => at > (departedBy.get(requestId) ?? Infinity));
+  const longRuns = world.log.runs.filter((run) =>
+    wouldOutlastCancellation(run, departedBy.get(run.requestId)),
+  );
+  const continuing = longRuns.filter((run) => (run.endedAt ?? Infinity) > departedBy.get(run.requestId)!);
   const broken: string[] = [];
-  if (late.length > FEW)
+  if (late.length > TOLERATED_COUNT)
     broken.push(`GONE: ${late.length} arrivals later than 500 ms, as of ${late[0].requestId}`);
-  if (goingOn.length > FEW && goingOn.length > lasting.length * MOST_LEFT_RUNNING)
-    broken.push(`GONE: ${goingOn.length} of ${lasting.length} runs go on, as of ${goingOn[0].requestId}`);
+  if (continuing.length > TOLERATED_COUNT && continuing.length > longRuns.length * MAX_CONTINUING_SHARE)
+    broken.push(
+      `GONE: ${continuing.length} of ${longRuns.length} runs go on, as of ${continuing[0].requestId}`,
+    );
   return broken;
 }
 
-/** Workers that got more than their rate limit allows, counting only requests from entries without a recent disruption. */
+/** Reports workers that received more than their rate limit allows, counting only requests from entries without a recent disruption. */
 export function judgeLimits(world: SoakWorld, sent: readonly SentRequest[]): string[] {
   const entryOf = new Map(sent.map(({ id, entry }) => [id, world.entryAt(entry)]));
   return world.log.limits.flatMap(({ worker, rate, from, to }) => {
@@ -188,7 +205,7 @@
         (arrival) =>
           arrival.worker === worker && arrival.at >= from + LIMIT_LEARNING_TIME && arrival.at <= to,
       )
-      .filter(({ requestId, at }) => isEntryCalm(world, entryOf.get(requestId), at))
+      .filter(({ requestId, at }) => isEntryUndisturbed(world, entryOf.get(requestId), at))
       .map(({ at }) => at);
     const most = mostInWindow(times);
     const allowed = allowedInWindow(rate);
@@ -198,18 +215,22 @@
   });
 }
 
-function isEntryCalm(world: SoakWorld, entry: string | undefined, at: number): boolean {
-  return entry !== undefined && world.disruptions.areCalm([entry], at - CALM_BEFORE, at);
+function isEntryUndisturbed(world: SoakWorld, entry: string | undefined, at: number): boolean {
+  return entry !== undefined && world.disruptions.areUndisturbed([entry], at - DISRUPTION_LOOKBACK, at);
 }
 
-function isCalmAround(world: SoakWorld, { entry, sentAt, leftAt, id }: SentRequest): boolean {
+function isRequestUndisturbed(world: SoakWorld, { entry, sentAt, abandonedAt, id }: SentRequest): boolean {
   const workers = world.log.of(id).map(({ worker }) => worker);
   const parts = [world.entryAt(entry), ...workers];
-  return world.disruptions.areCalm(parts, sentAt - CALM_BEFORE, leftAt! + LEAVING_TIME);
+  return world.disruptions.areUndisturbed(
+    parts,
+    sentAt - DISRUPTION_LOOKBACK,
+    abandonedAt! + CANCELLATION_TIME,
+  );
 }
 
-/** Only long streams last longer than the news of a departure may take. */
-function wouldLast(run: Run, until: number | undefined): boolean {
+/** Whether a run would outlast the propagation of its caller's departure: only long streams do. */
+function wouldOutlastCancellation(run: Run, until: number | undefined): boolean {
   const isLong = run.path.startsWith('/long/') || run.path.startsWith('/moved/');
   return until !== undefined && isLong && run.at < until;
 }
