--- a/src/cli/process.ts
+++ b/src/cli/process.ts
@@ -3,7 +3,7 @@
 import { setFlagsFromString } from 'node:v8';
 import type { ZodType } from 'zod';
 import type { Startable } from '../model/startable.js';
-import { StopSignal, startUntilStopSignal } from '../model/stop-order.js';
+import { StopSignal, startUntilStopSignal } from '../model/stop-signal.js';
 import { endsWithin } from '../model/time-limit.js';
 import { formatProblem, readDocument } from '../settings/document.js';
 import { CommandFailure, EXIT_USAGE } from './errors.js';
--- a/src/forwarding/attempt-watch.ts
+++ b/src/forwarding/attempt-watch.ts
@@ -1,5 +1,5 @@
 /** Periodic checks of the attempts of one request: withdraws or fails those that must end, and detects silent back ends. */
-import type { StallDetector } from '../model/standstills.js';
+import type { StallDetector } from '../model/stall-detector.js';
 import type { AdmittedRequest } from './admitted-request.js';
 import type { BackEndOutcome } from './back-end-health.js';
 import type { BackEndSelector } from './back-end-selector.js';
--- a/src/forwarding/back-end-search.ts
+++ b/src/forwarding/back-end-search.ts
@@ -3,7 +3,7 @@
  * request until capacity that is expected soon is there. A request that cannot be served in its time is given up at once.
  */
 import type { Random } from '../model/random.js';
-import type { StallDetector } from '../model/standstills.js';
+import type { StallDetector } from '../model/stall-detector.js';
 import type { BackEndLimits } from './back-end-limits.js';
 import type { BackEndSelector, Requirements, Selection } from './back-end-selector.js';
 import type { BackEndRow, BackEndTable } from './back-end-table.js';
--- a/src/forwarding/forwarded-request.ts
+++ b/src/forwarding/forwarded-request.ts
@@ -12,7 +12,7 @@
  */
 import type { IncomingMessage, ServerResponse } from 'node:http';
 import type { Readable } from 'node:stream';
-import type { StallDetector } from '../model/standstills.js';
+import type { StallDetector } from '../model/stall-detector.js';
 import { latestStart } from '../systems/capacity-wait.js';
 import type { Fingerprint } from '../systems/poison-requests.js';
 import { type AdmittedRequest, admit, headersToSend, type RejectedRequest } from './admitted-request.js';
--- a/src/forwarding/forwarding-server.ts
+++ b/src/forwarding/forwarding-server.ts
@@ -5,7 +5,7 @@
 import { Histogram } from 'prom-client';
 import type { FleetView } from '../fleet/fleet-view.js';
 import type { Random } from '../model/random.js';
-import { StallDetector } from '../model/standstills.js';
+import { StallDetector } from '../model/stall-detector.js';
 import type { Startable } from '../model/startable.js';
 import { endsWithin } from '../model/time-limit.js';
 import type { Log } from '../observability/log.js';
--- a/src/forwarding/slot-seeker.ts
+++ b/src/forwarding/slot-seeker.ts
@@ -3,7 +3,7 @@
  * granted.
  */
 import type { Random } from '../model/random.js';
-import type { StallDetector } from '../model/standstills.js';
+import type { StallDetector } from '../model/stall-detector.js';
 import type { SlotCandidate } from '../systems/slot-search.js';
 import { SlotSearch } from '../systems/slot-search.js';
 import type { BackEndRow, BackEndTable } from './back-end-table.js';
--- a/src/model/ticker.ts
+++ b/src/model/ticker.ts
@@ -9,7 +9,7 @@
  *
  * Late ticks reveal that this process was stalled.
  */
-import { StallDetector } from './standstills.js';
+import { StallDetector } from './stall-detector.js';
 
 /** The shared timer. */
 export class Ticker {
--- a/src/peers/entry-link.ts
+++ b/src/peers/entry-link.ts
@@ -5,12 +5,12 @@
 
 import { sleep } from '../fleet/table-follower.js';
 import type { Random } from '../model/random.js';
-import { StallDetector } from '../model/standstills.js';
+import { StallDetector } from '../model/stall-detector.js';
 import type { Startable } from '../model/startable.js';
 import { withLimit } from '../model/time-limit.js';
 import { type Connection, type ConnectionContext, connect } from '../protocol/connection.js';
 import type { WeightsPlan } from '../protocol/reports.js';
-import { DialBackoff } from './dialling.js';
+import { DialBackoff } from './dial-backoff.js';
 
 /** Longest pause between two rounds over all known entries, in milliseconds. */
 const MAX_ROUND_PAUSE = 400;
--- a/src/peers/entry-peers.ts
+++ b/src/peers/entry-peers.ts
@@ -6,7 +6,7 @@
 import type { FleetView } from '../fleet/fleet-view.js';
 import type { RecordDecoder } from '../fleet/record-decoder.js';
 import { type Random, rendezvousOrder } from '../model/random.js';
-import { StallDetector } from '../model/standstills.js';
+import { StallDetector } from '../model/stall-detector.js';
 import type { Startable } from '../model/startable.js';
 import { withLimit } from '../model/time-limit.js';
 import type { Log } from '../observability/log.js';
@@ -27,8 +27,8 @@
   recipientsOfNewAddress,
 } from '../systems/address-gossip.js';
 import type { EntriesKnown } from '../systems/entry-retry-window.js';
-import { DialBackoff } from './dialling.js';
-import { FleetRequestGate } from './fleet-wish.js';
+import { DialBackoff } from './dial-backoff.js';
+import { FleetRequestGate } from './fleet-request-gate.js';
 import type { PeerNews } from './peer-news.js';
 import { pingDelay, REPORT_TICK, reportInterval, reportLifetime, silenceLimit } from './report-rate.js';
 
--- a/src/peers/slot-server.ts
+++ b/src/peers/slot-server.ts
@@ -2,7 +2,7 @@
  * The agent's side of the slot protocol: answers entries by datagram, from the slot table of the engine next
  * to it.
  */
-import { StallDetector } from '../model/standstills.js';
+import { StallDetector } from '../model/stall-detector.js';
 import type { Startable } from '../model/startable.js';
 import type { Log } from '../observability/log.js';
 import type { ConnectionContext } from '../protocol/connection.js';
--- a/src/weights/engine-loader.ts
+++ b/src/weights/engine-loader.ts
@@ -29,7 +29,7 @@
 import { findManifest } from './manifest-search.js';
 import { type FetchLimits, PieceFetcher } from './piece-fetcher.js';
 import type { PieceOriginFactory, PieceSource } from './piece-source.js';
-import { ReportThrottle } from './report-news.js';
+import { ReportThrottle } from './report-throttle.js';
 import type { EngineState, StagedEngine } from './staged-engine.js';
 import { shouldSkip, switchTime } from './switch-schedule.js';
 
--- a/test/model/stall-detector.test.ts
+++ b/test/model/stall-detector.test.ts
@@ -1,5 +1,5 @@
 import { describe, expect, it } from 'vitest';
-import { StallDetector } from '../../src/model/standstills.js';
+import { StallDetector } from '../../src/model/stall-detector.js';
 
 const INTERVAL = 1_000;
 
--- a/test/model/stop-signal.test.ts
+++ b/test/model/stop-signal.test.ts
@@ -1,6 +1,6 @@
 import { EventEmitter } from 'node:events';
 import { expect, it, vi } from 'vitest';
-import { StopSignal, startUntilStopSignal } from '../../src/model/stop-order.js';
+import { StopSignal, startUntilStopSignal } from '../../src/model/stop-signal.js';
 
 it('resolves with the first signal; later ones are caught without effect', async () => {
   const signals = new EventEmitter();
--- a/test/peers/dialling.test.ts
+++ b/test/peers/dial-backoff.test.ts
@@ -1,6 +1,6 @@
 /** Timeouts and pauses of the attempts to connect to an entry. */
 import { expect, it } from 'vitest';
-import { DialBackoff } from '../../src/peers/dialling.js';
+import { DialBackoff } from '../../src/peers/dial-backoff.js';
 
 it('an entry that does not answer is tried several times within a second', () => {
   const backoff = new DialBackoff(4_000);
--- a/test/peers/fleet-wish.test.ts
+++ b/test/peers/fleet-request-gate.test.ts
@@ -9,7 +9,7 @@
 import { seededRandom } from '../../src/model/random.js';
 import { silentLog } from '../../src/observability/log.js';
 import { EntryPeers } from '../../src/peers/entry-peers.js';
-import { FleetRequestGate } from '../../src/peers/fleet-wish.js';
+import { FleetRequestGate } from '../../src/peers/fleet-request-gate.js';
 import {
   type ConnectionContext,
   ConnectionListener,
--- a/tools/guard-table.mjs
+++ b/tools/guard-table.mjs
@@ -57,7 +57,7 @@
   },
   {
     fault: 'all entries of a zone ask another zone for the configuration at the same time',
-    file: 'src/peers/fleet-wish.ts',
+    file: 'src/peers/fleet-request-gate.ts',
     find: 'OTHER_ZONE_STAGGER * Math.min(place, MAX_STAGGER_STEPS)',
     replace: '0',
     test: 'test/peers/configuration-copies.test.ts',
@@ -721,7 +721,7 @@
   },
   {
     fault: 'a process that stood still takes the others for dead',
-    file: 'src/model/standstills.ts',
+    file: 'src/model/stall-detector.ts',
     find: 'return now - since - stalledTime;',
     replace: 'return now - since;',
     test: 'test/model/stall-detector.test.ts test/peers/standstill.test.ts test/forwarding/standstill.test.ts',
@@ -959,7 +959,7 @@
   },
   {
     fault: 'a second order to stop ends the process at once',
-    file: 'src/model/stop-order.ts',
+    file: 'src/model/stop-signal.ts',
     find: 'source.on(',
     replace: '(source as NodeJS.Process).once(',
     test: 'test/model/stop-signal.test.ts',
@@ -1169,24 +1169,24 @@
   },
   {
     fault: 'the whole configuration comes from each entry that has it',
-    file: 'src/peers/fleet-wish.ts',
+    file: 'src/peers/fleet-request-gate.ts',
     find: 'if (isPending) return false;',
     replace: '',
-    test: 'test/peers/fleet-wish.test.ts',
+    test: 'test/peers/fleet-request-gate.test.ts',
   },
   {
     fault: 'entries of other zones are asked for what comes from the own one',
-    file: 'src/peers/fleet-wish.ts',
+    file: 'src/peers/fleet-request-gate.ts',
     find: 'if (now - this.#behind.since < delayFor(isNear, ownRevision === 0, place)) return false;',
     replace: '',
-    test: 'test/peers/fleet-wish.test.ts',
+    test: 'test/peers/fleet-request-gate.test.ts',
   },
   {
     fault: 'copies of one configuration are asked for again while they are on their way',
-    file: 'src/peers/fleet-wish.ts',
+    file: 'src/peers/fleet-request-gate.ts',
     find: '* 2 ** Math.min(this.#unanswered - 1, MAX_DOUBLINGS)',
     replace: '',
-    test: 'test/peers/fleet-wish.test.ts',
+    test: 'test/peers/fleet-request-gate.test.ts',
   },
   {
     fault: 'a call runs for a caller that has gone while its agent was connected',
